--- a/tier/claimer/booking.go
+++ b/tier/claimer/booking.go
@@ -6,44 +6,45 @@
 	"cicadagrade.example/tier"
 )
 
-// phase is how far a booking has come at this VM.
+// phase is the progress of a booking on this VM.
 type phase int
 
 const (
-	phaseWaiting   phase = iota // for its claim
-	phaseRunning                // it was sent
-	phaseRecording              // it did not run; the record of that is on its way
+	phaseWaiting        phase = iota // for its claim to be stored
+	phaseRunning                     // sent to the back end
+	phaseStoringRefusal              // it did not run; that is being stored
 	phaseEnded
 )
 
-// booking is one request that this VM works on.
+// booking is the work of this VM on one idempotency key. Several submissions of the same
+// key share it.
 type booking struct {
-	key         Key
-	fingerprint string
-	ticket      uint64 // of the first waiter, who sends it
-	deadline    tier.Millis
-	phase       phase
-	page        *page // nil for a minted key
-	claim       tier.AttemptID
-	generation  uint64
-	maybe       bool // a write that carries the claim may have taken effect
-	fresh       bool // the page was read after the booking came
-	dropped     bool // nobody waits for it any more
-	outcome     tier.Outcome
-	waiters     []*waiter
+	key             Key
+	fingerprint     string
+	owner           uint64 // submission that is sent to the back end, at first the earliest one
+	deadline        tier.Millis
+	phase           phase
+	page            *page // nil for a minted key
+	claimID         tier.AttemptID
+	claimGeneration uint64
+	claimMayStand   bool // a write that carries the claim may have taken effect
+	readSinceSubmit bool // the page was read after the booking was submitted
+	abandoned       bool // no submission waits for it any more
+	outcome         tier.Outcome
+	waiters         []*waiter
 }
 
-// waiter is one sending of a booking.
+// waiter is one submission that waits for the outcome of its booking.
 type waiter struct {
-	ticket   uint64
-	deadline tier.Millis
-	first    bool
-	booking  *booking
+	submissionID uint64
+	deadline     tier.Millis
+	first        bool
+	booking      *booking
 }
 
-// NotRun words the refusal of a sending that is known not to run. Unless the
-// caller vouches that it is the key's first one, an earlier sending may have
-// run.
+// NotRun returns the outcome of a submission that is known not to run. Unless the caller
+// states that it is the first one of its key, the outcome is Unknown, because an earlier
+// submission may have run.
 func NotRun(first bool, reason tier.RefuseReason) tier.Outcome {
 	r := tier.NewRefused(reason, 0)
 	if reason == tier.RefuseNoStore {
@@ -55,18 +56,18 @@
 	return tier.NewUnknownEarlier(r)
 }
 
-func (c *Claimer) submit(now tier.Millis, e *Submit) {
-	w := &waiter{ticket: e.ticket, deadline: e.deadline, first: e.first}
-	c.waiters[e.ticket] = w
+func (c *Claimer) handleSubmit(now tier.Millis, e *Submit) {
+	w := &waiter{submissionID: e.submissionID, deadline: e.deadline, first: e.first}
+	c.waiters[e.submissionID] = w
 	if e.key.Minted() {
 		c.submitMinted(now, e, w)
 		return
 	}
 	switch {
-	case e.key.tooEarly(e.wall):
-		c.finishError(w, invalidKey(e.key.text, datedAllowed))
+	case e.key.tooFarAhead(e.wall):
+		c.finishWithError(w, invalidKey(e.key.text, allowedDates))
 		return
-	case e.key.tooOld(e.wall):
+	case e.key.expired(e.wall):
 		c.finish(w, NotRun(w.first, tier.RefuseKeyExpired))
 		return
 	case c.fenced:
@@ -76,107 +77,108 @@
 		c.finish(w, NotRun(w.first, tier.RefuseDeadline))
 		return
 	}
-	g := c.pageOf(e)
-	b, ok := g.bookings[e.key.text]
-	if !ok && g.out(now) && now < g.retryAt {
+	p := c.pageOf(e)
+	b, ok := p.bookings[e.key.text]
+	if !ok && p.storeDown(now) && now < p.retryAt {
 		c.finish(w, NotRun(w.first, tier.RefuseNoStore))
 		return
 	}
 	if !ok {
-		b = &booking{key: e.key, fingerprint: e.fingerprint, ticket: e.ticket, deadline: e.deadline, page: g}
-		g.bookings[e.key.text] = b
-		c.busy[g.key] = g
-		c.claims++
-		b.claim = tier.NewAttemptID(c.vm, c.incarnation, c.claims)
+		b = &booking{key: e.key, fingerprint: e.fingerprint, owner: e.submissionID, deadline: e.deadline, page: p}
+		p.bookings[e.key.text] = b
+		c.busyPages[p.key] = p
+		c.lastClaim++
+		b.claimID = tier.NewAttemptID(c.vm, c.incarnation, c.lastClaim)
 	}
-	c.join(b, w, e.fingerprint)
+	c.addWaiter(b, w, e.fingerprint)
 }
 
-// join lets a sending wait for a booking's end.
-func (c *Claimer) join(b *booking, w *waiter, fingerprint string) {
+// addWaiter attaches a submission to a booking. It fails the submission if its request
+// differs from the booking's.
+func (c *Claimer) addWaiter(b *booking, w *waiter, fingerprint string) {
 	if b.fingerprint != fingerprint {
-		c.finishError(w, &KeyReusedError{key: b.key.text, first: b.fingerprint, now: fingerprint})
+		c.finishWithError(w, &KeyReusedError{key: b.key.text, firstFingerprint: b.fingerprint, currentFingerprint: fingerprint})
 		return
 	}
 	w.booking = b
 	b.waiters = append(b.waiters, w)
-	c.due.add(w.deadline, w.ticket)
+	c.deadlines.add(w.deadline, w.submissionID)
 }
 
-// run sends a booking that is claimed, unless it is too late.
-func (c *Claimer) run(now tier.Millis, b *booking) {
+// startRun sends a claimed booking, unless its deadline has passed or this VM is fenced.
+func (c *Claimer) startRun(now tier.Millis, b *booking) {
 	if c.fenced || now >= b.deadline {
 		reason := tier.RefuseDeadline
 		if c.fenced {
 			reason = tier.RefuseLeaving
 		}
-		c.notSent(now, b, tier.NewRefused(reason, 0))
+		c.recordNotRun(now, b, tier.NewRefused(reason, 0))
 		return
 	}
 	b.phase = phaseRunning
-	c.bookings[b.ticket] = b
+	c.running[b.owner] = b
 	c.counters.runs++
-	c.do(&Run{ticket: b.ticket, key: b.key, deadline: b.deadline})
+	c.emit(&Run{submissionID: b.owner, key: b.key, deadline: b.deadline})
 }
 
-// ran notes how a booking ended.
-func (c *Claimer) ran(now tier.Millis, e *Ran) {
-	b, ok := c.bookings[e.ticket]
+// handleRan records how a booking ended.
+func (c *Claimer) handleRan(now tier.Millis, e *Ran) {
+	b, ok := c.running[e.submissionID]
 	if !ok {
 		return
 	}
-	delete(c.bookings, e.ticket)
+	delete(c.running, e.submissionID)
 	if b.page == nil {
 		c.mintedRan(b, e.outcome)
 		return
 	}
 	switch o := e.outcome.(type) {
 	case *tier.Refused:
-		c.notSent(now, b, o)
+		c.recordNotRun(now, b, o)
 	case *tier.Booked:
-		c.record(now, b, stateAnswered, o.Receipt(), "")
-		c.end(b, o)
+		c.queueOutcome(now, b, stateAnswered, o.Receipt(), "")
+		c.endBooking(b, o)
 	case *tier.Unknown:
-		c.record(now, b, stateUnknown, "", o.Reason())
-		c.end(b, o)
+		c.queueOutcome(now, b, stateUnknown, "", o.Reason())
+		c.endBooking(b, o)
 	default:
 		o = tier.NewUnknown(tier.UnknownLostReply)
-		c.record(now, b, stateUnknown, "", tier.UnknownLostReply)
-		c.end(b, o)
+		c.queueOutcome(now, b, stateUnknown, "", tier.UnknownLostReply)
+		c.endBooking(b, o)
 	}
 }
 
-// notSent records that a claimed booking did not run. Its waiters learn so
-// once the record stands, so that the same key sent at once to another VM
-// may run, or at their deadline.
-func (c *Claimer) notSent(now tier.Millis, b *booking, r *tier.Refused) {
-	b.phase = phaseRecording
+// recordNotRun records that a claimed booking did not run. Its waiters get the outcome
+// once the record is stored, so that the same key can run if a caller immediately submits
+// it to another VM, or else at their deadline.
+func (c *Claimer) recordNotRun(now tier.Millis, b *booking, r *tier.Refused) {
+	b.phase = phaseStoringRefusal
 	b.outcome = r
-	c.record(now, b, stateRefused, "", "").waiting = b
+	c.queueOutcome(now, b, stateRefused, "", "").booking = b
 }
 
-// record queues the outcome of a claim for the store.
-func (c *Claimer) record(now tier.Millis, b *booking, s state, receipt string, reason tier.UnknownReason) *record {
+// queueOutcome queues the outcome of a claim for the next write of its page.
+func (c *Claimer) queueOutcome(now tier.Millis, b *booking, s state, receipt string, reason tier.UnknownReason) *unstoredOutcome {
 	if len(receipt) > MaxReceiptBytes {
 		s, receipt, reason = stateUnknown, "", tier.UnknownForgotten
 	}
-	r := &record{key: b.key.text, claim: b.claim, state: s, receipt: receipt, reason: reason, due: now + c.recordDelay}
+	r := &unstoredOutcome{key: b.key.text, claimID: b.claimID, state: s, receipt: receipt, reason: reason, due: now + c.recordDelay}
 	if s == stateRefused {
 		r.due = now
 	}
-	b.page.records = append(b.page.records, r)
-	c.busy[b.page.key] = b.page
+	b.page.unstored = append(b.page.unstored, r)
+	c.busyPages[b.page.key] = b.page
 	return r
 }
 
-// end finishes everyone who waits for a booking, and forgets it.
-func (c *Claimer) end(b *booking, o tier.Outcome) {
+// endBooking removes a booking and gives its outcome to every waiter.
+func (c *Claimer) endBooking(b *booking, o tier.Outcome) {
 	b.phase = phaseEnded
 	if b.page != nil && b.page.bookings[b.key.text] == b {
 		delete(b.page.bookings, b.key.text)
 	}
 	for _, w := range b.waiters {
-		if booked, ok := o.(*tier.Booked); ok && w.ticket != b.ticket {
+		if booked, ok := o.(*tier.Booked); ok && w.submissionID != b.owner {
 			c.finish(w, tier.NewBooked(booked.Receipt(), true))
 			continue
 		}
@@ -185,37 +187,37 @@
 	b.waiters = nil
 }
 
-// drop gives a waiting booking up. If its claim stands all the same, it is
-// released.
-func (c *Claimer) drop(b *booking, reason tier.RefuseReason) {
-	b.dropped = true
-	if b.maybe {
-		b.page.dropped = append(b.page.dropped, b)
+// abandon refuses every submission of a booking that is not claimed yet. If a write of
+// its claim still takes effect, resolveClaims releases the claim.
+func (c *Claimer) abandon(b *booking, reason tier.RefuseReason) {
+	b.abandoned = true
+	if b.claimMayStand {
+		b.page.abandoned = append(b.page.abandoned, b)
 	}
 	waiters := b.waiters
 	b.waiters = nil
-	c.end(b, nil)
+	c.endBooking(b, nil)
 	for _, w := range waiters {
 		c.finish(w, NotRun(w.first, reason))
 	}
 }
 
-// expire ends the sendings whose deadline has come.
-func (c *Claimer) expire(now tier.Millis) {
+// expireWaiters ends the submissions whose deadline has passed.
+func (c *Claimer) expireWaiters(now tier.Millis) {
 	for {
-		ticket, ok := c.due.expired(now)
+		id, ok := c.deadlines.expired(now)
 		if !ok {
 			return
 		}
-		w, waits := c.waiters[ticket]
+		w, waits := c.waiters[id]
 		if !waits {
 			continue
 		}
 		b := w.booking
 		switch {
 		case b.phase == phaseWaiting && now >= b.deadline:
-			c.drop(b, tier.RefuseNoStore)
-		case b.phase == phaseRecording:
+			c.abandon(b, tier.RefuseNoStore)
+		case b.phase == phaseStoringRefusal:
 			c.finish(w, b.outcome)
 		case b.phase == phaseWaiting:
 			c.finish(w, tier.NewUnknown(tier.UnknownInProgress))
@@ -225,19 +227,19 @@
 	}
 }
 
-func (c *Claimer) callerGone(ticket uint64) {
-	w, ok := c.waiters[ticket]
+func (c *Claimer) handleCallerGone(id uint64) {
+	w, ok := c.waiters[id]
 	if !ok {
 		return
 	}
 	b := w.booking
 	switch {
 	case b.phase == phaseWaiting && len(b.waiters) == 1:
-		c.drop(b, tier.RefuseCallerGone)
+		c.abandon(b, tier.RefuseCallerGone)
 	case b.phase == phaseWaiting:
 		c.finish(w, tier.NewUnknown(tier.UnknownInProgress))
-		b.ticket, b.deadline = b.waiters[0].ticket, b.waiters[0].deadline
-	case b.phase == phaseRecording:
+		b.owner, b.deadline = b.waiters[0].submissionID, b.waiters[0].deadline
+	case b.phase == phaseStoringRefusal:
 		c.finish(w, b.outcome)
 	default:
 		c.finish(w, tier.NewUnknown(tier.UnknownCallerGone))
@@ -245,24 +247,24 @@
 }
 
 func (c *Claimer) finish(w *waiter, o tier.Outcome) {
-	if c.forget(w) {
-		c.do(&Finish{ticket: w.ticket, outcome: o})
+	if c.removeWaiter(w) {
+		c.emit(&Finish{submissionID: w.submissionID, outcome: o})
 	}
 }
 
-func (c *Claimer) finishError(w *waiter, err error) {
-	if c.forget(w) {
-		c.do(&Finish{ticket: w.ticket, err: errors.Wrap(err, "Claimer.Step")})
+func (c *Claimer) finishWithError(w *waiter, err error) {
+	if c.removeWaiter(w) {
+		c.emit(&Finish{submissionID: w.submissionID, err: errors.Wrap(err, "Claimer.Step")})
 	}
 }
 
-// forget takes a sending out of its booking and reports whether it still
-// waited.
-func (c *Claimer) forget(w *waiter) bool {
-	if _, ok := c.waiters[w.ticket]; !ok {
+// removeWaiter detaches a submission from its booking and reports whether it was still
+// waiting.
+func (c *Claimer) removeWaiter(w *waiter) bool {
+	if _, ok := c.waiters[w.submissionID]; !ok {
 		return false
 	}
-	delete(c.waiters, w.ticket)
+	delete(c.waiters, w.submissionID)
 	if w.booking == nil {
 		return true
 	}
--- a/tier/claimer/calls.go
+++ b/tier/claimer/calls.go
@@ -6,206 +6,209 @@
 	"cicadagrade.example/tier"
 )
 
-func (c *Claimer) open(g *page) uint64 {
-	c.calls++
-	g.call = c.calls
-	return c.calls
+func (c *Claimer) startCall(p *page) uint64 {
+	c.lastCall++
+	p.openCall = c.lastCall
+	return c.lastCall
 }
 
-// opened finds the page whose open call an event ends.
-func (c *Claimer) opened(call uint64) (*page, bool) {
-	for _, g := range c.busy {
-		if g.call == call && call != 0 {
-			return g, true
+// pageOfCall returns the page whose open call has this number.
+func (c *Claimer) pageOfCall(call uint64) (*page, bool) {
+	for _, p := range c.busyPages {
+		if p.openCall == call && call != 0 {
+			return p, true
 		}
 	}
 	return nil, false
 }
 
-func (c *Claimer) read(g *page) {
+func (c *Claimer) startRead(p *page) {
 	c.counters.reads++
-	for _, b := range g.waiting() {
-		b.fresh = true
+	for _, b := range p.waitingBookings() {
+		b.readSinceSubmit = true
 	}
-	c.do(&Read{call: c.open(g), key: g.key})
+	c.emit(&Read{call: c.startCall(p), key: p.key})
 }
 
-func (c *Claimer) write(g *page, next map[string]entry, claims []*booking) {
+func (c *Claimer) startWrite(p *page, next map[string]entry, claims []*booking) {
 	data, err := encodePage(next)
 	if err != nil || len(data) > MaxPageBytes {
-		c.giveUpPage(g)
+		c.abandonPage(p)
 		return
 	}
 	c.counters.writes++
-	g.sent, g.claimed = next, claims
-	g.carried = append([]*record(nil), g.records...)
+	p.writtenEntries, p.writtenClaims = next, claims
+	p.writtenOutcomes = append([]*unstoredOutcome(nil), p.unstored...)
 	for _, b := range claims {
-		if !b.maybe {
-			b.maybe = true
-			g.newly = append(g.newly, b)
+		if !b.claimMayStand {
+			b.claimMayStand = true
+			p.newClaims = append(p.newClaims, b)
 		}
 	}
-	c.do(&Write{call: c.open(g), key: g.key, data: data, expect: g.revision})
+	c.emit(&Write{call: c.startCall(p), key: p.key, data: data, expect: p.revision})
 }
 
-// giveUpPage ends what can't be written; claims without an outcome stay.
-func (c *Claimer) giveUpPage(g *page) {
-	for _, r := range g.records {
-		c.recorded(r)
+// abandonPage gives up the work on a page that can't be written, because it can't be
+// encoded or is too large. Claims in the store whose outcome is discarded stay without
+// one.
+func (c *Claimer) abandonPage(p *page) {
+	for _, r := range p.unstored {
+		c.outcomeStored(r)
 	}
-	g.records = nil
-	for _, b := range g.waiting() {
-		c.drop(b, tier.RefuseOverload)
+	p.unstored = nil
+	for _, b := range p.waitingBookings() {
+		c.abandon(b, tier.RefuseOverload)
 	}
 }
 
-func (c *Claimer) close(g *page) {
-	g.call, g.sent, g.claimed, g.newly, g.carried = 0, nil, nil, nil, nil
+func (c *Claimer) endCall(p *page) {
+	p.openCall, p.writtenEntries, p.writtenClaims, p.newClaims, p.writtenOutcomes = 0, nil, nil, nil, nil
 }
 
-// readDone takes a page, unless a newer state of it is known: the store may
-// answer reads from the past. At a higher revision than the known one no
-// earlier write can take effect any more.
-func (c *Claimer) readDone(now tier.Millis, e *ReadDone) {
-	g, ok := c.opened(e.call)
+// handleReadDone adopts the page unless this VM knows a later revision, because the store
+// may serve stale reads. A higher revision than the known one also proves that no earlier
+// write of this VM can take effect any more.
+func (c *Claimer) handleReadDone(now tier.Millis, e *ReadDone) {
+	p, ok := c.pageOfCall(e.call)
 	if !ok {
 		return
 	}
-	c.close(g)
-	before, known := g.revision, g.known
+	c.endCall(p)
+	before, known := p.revision, p.known
 	if known && e.revision < before {
 		return
 	}
-	if c.adopt(now, g, e.data, e.revision) && known && e.revision > before {
-		c.settleClaims(now, g, nil)
+	if c.adoptPage(now, p, e.data, e.revision) && known && e.revision > before {
+		c.resolveClaims(now, p, nil)
 	}
 }
 
-// writeDone makes the written page the known one. Whatever an earlier write
-// at the same revision carried, it can't take effect any more.
-func (c *Claimer) writeDone(now tier.Millis, e *WriteDone) {
-	g, ok := c.opened(e.call)
+// handleWriteDone makes the written page the known one. An earlier write of this VM that
+// expected the same revision can't take effect any more.
+func (c *Claimer) handleWriteDone(now tier.Millis, e *WriteDone) {
+	p, ok := c.pageOfCall(e.call)
 	if !ok {
 		return
 	}
-	claimed, carried := g.claimed, g.carried
-	g.entries, g.revision = g.sent, e.revision
-	g.well()
-	c.close(g)
-	g.removeRecords(carried)
-	for _, r := range carried {
-		c.recorded(r)
+	claims, outcomes := p.writtenClaims, p.writtenOutcomes
+	p.entries, p.revision = p.writtenEntries, e.revision
+	p.callSucceeded()
+	c.endCall(p)
+	p.removeStored(outcomes)
+	for _, r := range outcomes {
+		c.outcomeStored(r)
 	}
-	c.settleClaims(now, g, claimed)
+	c.resolveClaims(now, p, claims)
 }
 
-func (g *page) removeRecords(done []*record) {
-	gone := make(map[*record]bool, len(done))
+func (p *page) removeStored(done []*unstoredOutcome) {
+	stored := make(map[*unstoredOutcome]bool, len(done))
 	for _, r := range done {
-		gone[r] = true
+		stored[r] = true
 	}
-	kept := g.records[:0]
-	for _, r := range g.records {
-		if !gone[r] {
+	kept := p.unstored[:0]
+	for _, r := range p.unstored {
+		if !stored[r] {
 			kept = append(kept, r)
 		}
 	}
-	g.records = kept
+	p.unstored = kept
 }
 
-// conflict takes the page as it is now. If it holds the claims of a write
-// whose answer was lost, that write took effect.
-func (c *Claimer) conflict(now tier.Millis, e *Conflict) {
-	g, ok := c.opened(e.call)
+// handleConflict adopts the current page from the store. If the page contains the claims
+// of an earlier write whose reply was lost, that write took effect.
+func (c *Claimer) handleConflict(now tier.Millis, e *Conflict) {
+	p, ok := c.pageOfCall(e.call)
 	if !ok {
 		return
 	}
 	c.counters.conflicts++
-	claimed := g.claimed
-	c.close(g)
-	if c.adopt(now, g, e.data, e.revision) {
-		c.settleClaims(now, g, claimed)
-	}
-}
-
-// settleClaims runs the bookings whose claim stands in the known page and
-// lets the others try again. The known page is newer than any write that
-// carried them.
-func (c *Claimer) settleClaims(now tier.Millis, g *page, claimed []*booking) {
-	dropped := g.dropped
-	g.dropped = nil
-	for _, b := range dropped {
-		if g.holds(b) {
-			c.record(now, b, stateRefused, "", "")
+	claims := p.writtenClaims
+	c.endCall(p)
+	if c.adoptPage(now, p, e.data, e.revision) {
+		c.resolveClaims(now, p, claims)
+	}
+}
+
+// resolveClaims runs the bookings whose claim is in the known page and lets the others be
+// claimed again. It requires that the known page is later than any write that carried
+// these claims. It also releases the claims of abandoned bookings.
+func (c *Claimer) resolveClaims(now tier.Millis, p *page, claims []*booking) {
+	abandoned := p.abandoned
+	p.abandoned = nil
+	for _, b := range abandoned {
+		if p.holdsClaim(b) {
+			c.queueOutcome(now, b, stateRefused, "", "")
 		}
 	}
-	for _, b := range append(claimed, g.waiting()...) {
-		if b.phase != phaseWaiting || b.dropped || !b.maybe {
+	for _, b := range append(claims, p.waitingBookings()...) {
+		if b.phase != phaseWaiting || b.abandoned || !b.claimMayStand {
 			continue
 		}
-		b.maybe = false
-		if g.holds(b) {
-			c.run(now, b)
+		b.claimMayStand = false
+		if p.holdsClaim(b) {
+			c.startRun(now, b)
 		}
 	}
 }
 
-func (g *page) holds(b *booking) bool {
-	e, ok := g.entries[b.key.text]
-	return ok && e.claim == b.claim && e.state == stateClaimed
+func (p *page) holdsClaim(b *booking) bool {
+	e, ok := p.entries[b.key.text]
+	return ok && e.claimID == b.claimID && e.state == stateClaimed
 }
 
-func (c *Claimer) failed(now tier.Millis, e *Failed) {
-	g, ok := c.opened(e.call)
+func (c *Claimer) handleFailed(now tier.Millis, e *Failed) {
+	p, ok := c.pageOfCall(e.call)
 	if !ok {
 		return
 	}
 	c.counters.failures++
 	if !e.unsure {
-		g.neverCarried(g.newly)
+		p.markNeverWritten(p.newClaims)
 	}
-	c.close(g)
-	c.delay(now, g)
-	if !g.failing {
-		g.failing, g.since = true, now
+	c.endCall(p)
+	c.backOff(now, p)
+	if !p.failing {
+		p.failing, p.since = true, now
 	}
-	if !g.out(now) {
+	if !p.storeDown(now) {
 		return
 	}
-	for _, b := range g.waiting() {
-		c.drop(b, tier.RefuseNoStore)
+	for _, b := range p.waitingBookings() {
+		c.abandon(b, tier.RefuseNoStore)
 	}
 }
 
-// neverCarried notes that the only write with these claims had no effect.
-func (g *page) neverCarried(list []*booking) {
+// markNeverWritten notes that the only write that carried these claims had no effect.
+func (p *page) markNeverWritten(list []*booking) {
 	for _, b := range list {
-		b.maybe = false
+		b.claimMayStand = false
 	}
-	g.dropped = slices.DeleteFunc(g.dropped, func(b *booking) bool { return !b.maybe })
+	p.abandoned = slices.DeleteFunc(p.abandoned, func(b *booking) bool { return !b.claimMayStand })
 }
 
-// delay holds a page back after a failure, longer each time.
-func (c *Claimer) delay(now tier.Millis, g *page) {
-	g.backoff = min(MaxBackoff, max(DefaultBackoff, 2*g.backoff))
-	g.retryAt = now + g.backoff/2 + tier.Millis(c.random.Int64N(int64(g.backoff/2)+1))
+// backOff postpones the next call for a page after a failure, with exponential backoff
+// and jitter.
+func (c *Claimer) backOff(now tier.Millis, p *page) {
+	p.backoff = min(MaxBackoff, max(DefaultBackoff, 2*p.backoff))
+	p.retryAt = now + p.backoff/2 + tier.Millis(c.random.Int64N(int64(p.backoff/2)+1))
 }
 
-// adopt makes a page that came from the store the known one. What this VM
-// knew already stays: a claim never goes back, even if the store does.
-func (c *Claimer) adopt(now tier.Millis, g *page, data []byte, revision int64) bool {
+// adoptPage makes a page from the store the known one. Entries that this VM knows in a
+// later state are kept, so that a claim never moves back even if the store loses writes.
+func (c *Claimer) adoptPage(now tier.Millis, p *page, data []byte, revision int64) bool {
 	entries, err := decodePage(data)
 	if err != nil {
 		c.counters.failures++
-		c.delay(now, g)
+		c.backOff(now, p)
 		return false
 	}
-	for k, known := range g.entries {
-		if e, ok := entries[k]; !ok || known.newer(e) {
+	for k, known := range p.entries {
+		if e, ok := entries[k]; !ok || known.newerThan(e) {
 			entries[k] = known
 		}
 	}
-	g.known, g.entries, g.revision = true, entries, revision
-	g.well()
+	p.known, p.entries, p.revision = true, entries, revision
+	p.callSucceeded()
 	return true
 }
--- a/tier/claimer/claimer.go
+++ b/tier/claimer/claimer.go
@@ -1,14 +1,15 @@
-// Package claimer lets a request that may not be repeated run at most once.
+// Package claimer runs non-idempotent requests (bookings) at most once per idempotency
+// key.
 //
-// A key that a caller made is claimed in the platform's store before the
-// first send: claims lie in pages, and one compare-and-swap of a page carries
-// every claim and outcome that waits for it. Only the holder of a claim runs
-// it, and a claim is never given to another holder unless its own one
-// recorded that it did not run. So neither clocks, leases nor membership
-// bear on the promise; they only decide how an unknown outcome is worded.
+// A key made by a caller is claimed in the platform's store before the request is first
+// sent. Claims are grouped in pages; one compare-and-swap of a page writes all claims and
+// outcomes that are waiting for it. Only the holder of a claim sends the request, and a
+// claim passes to another holder only after its holder has recorded that the request did
+// not run. The guarantee therefore depends on neither clocks, leases nor membership;
+// these only affect which reason is given with an unknown outcome.
 //
-// A key that a VM minted needs no store: only the life of the VM that minted
-// it may run it.
+// A key minted by a VM needs no store: only the incarnation of the VM that minted it may
+// run it.
 package claimer
 
 import (
@@ -19,101 +20,102 @@
 
 // Defaults of a claimer's options.
 const (
-	DefaultPages       = 8
-	DefaultRecordDelay = 20 * tier.Millis(1)
-	DefaultBackoff     = 10 * tier.Millis(1)
+	DefaultPages       = 8                   // per shard set and date
+	DefaultRecordDelay = 20 * tier.Millis(1) // lets one write carry several outcomes
+	DefaultBackoff     = 10 * tier.Millis(1) // before the first retry of a store call
 	MaxBackoff         = 500 * tier.Millis(1)
-	StoreRetryAfter    = 1 * tier.Second // told to callers while the store is down
-	outageAfter        = 300 * tier.Millis(1)
-	DefaultMemory      = 65536
-	maxIdlePages       = 256
-	// Counters start at random, so that two lives that take the same
-	// incarnation by mistake still share no claim.
+	StoreRetryAfter    = 1 * tier.Second      // given to callers while the store is down
+	outageAfter        = 300 * tier.Millis(1) // of failing calls; from then on bookings are refused at once
+	DefaultMemory      = 65536                // minted keys that are remembered
+	maxIdlePages       = 256                  // cached pages, above which idle ones are evicted
+	// Claim numbers start at random, so that two incarnations of a VM that got the same
+	// number by mistake still make distinct claims.
 	maxFirstCounter = 1 << 52
 )
 
-// LiveFunc reports whether a life of a VM is believed to go on.
+// LiveFunc reports whether an incarnation of a VM is believed to be alive.
 type LiveFunc func(vm string, i tier.Incarnation) bool
 
-// Claimer is the state machine of one life of a VM. It is not safe for
-// concurrent use.
+// Claimer is the state machine that claims and runs bookings for one incarnation of a VM.
+// It does no I/O: Step takes events and returns the actions to perform. It is not safe
+// for concurrent use.
 type Claimer struct {
-	vm          string
-	incarnation tier.Incarnation
-	pageCount   int
-	recordDelay tier.Millis
-	memory      int
-	live        LiveFunc
-	random      *rand.Rand
-
-	pages    map[string]*page
-	busy     map[string]*page    // those with an open call or with work
-	bookings map[uint64]*booking // by the ticket that runs
-	waiters  map[uint64]*waiter
-	due      timers
-	minted   minter
-	claims   uint64
-	calls    uint64
-	fenced   bool
-	hurry    bool
-	out      []Action
-	counters Counters
+	vm            string
+	incarnation   tier.Incarnation
+	pageCount     int
+	recordDelay   tier.Millis
+	maxMintedKeys int
+	live          LiveFunc
+	random        *rand.Rand
+
+	pages     map[string]*page
+	busyPages map[string]*page    // those with an open call or pending work
+	running   map[uint64]*booking // by the submission that is sent to the back end
+	waiters   map[uint64]*waiter
+	deadlines timers
+	minted    mintedKeys
+	lastClaim uint64
+	lastCall  uint64
+	fenced    bool // a later incarnation of this VM exists; nothing more is sent
+	flushing  bool // outcomes are written without recordDelay
+	actions   []Action
+	counters  Counters
 }
 
 // Option sets one field of a claimer.
 type Option func(*Claimer)
 
-// WithPages sets into how many pages the claims of a set and date are
-// divided. All VMs have to agree.
+// WithPages sets the number of pages over which the claims of one shard set and date are
+// spread. It must be the same on all VMs.
 func WithPages(n int) Option { return func(c *Claimer) { c.pageCount = n } }
 
-// WithRecordDelay sets how long an outcome waits for company before it is
-// recorded.
+// WithRecordDelay sets how long an outcome may wait to be written together with others.
 func WithRecordDelay(m tier.Millis) Option { return func(c *Claimer) { c.recordDelay = m } }
 
 // WithMemory sets how many minted keys are remembered.
-func WithMemory(n int) Option { return func(c *Claimer) { c.memory = n } }
+func WithMemory(n int) Option { return func(c *Claimer) { c.maxMintedKeys = n } }
 
-// WithLive sets which other VMs are believed to live. Without it, all are.
+// WithLive sets the function that reports which other VMs are alive. By default all are.
 func WithLive(f LiveFunc) Option { return func(c *Claimer) { c.live = f } }
 
-// WithSeed seeds the first counter and the jitter of retries. Two lives of a
+// WithSeed seeds the first claim number and the jitter of retries. Two incarnations of a
 // VM should have different seeds.
 func WithSeed(seed uint64) Option {
 	return func(c *Claimer) { c.random = rand.New(rand.NewPCG(seed, 0)) }
 }
 
-// New returns the claimer of one life of a VM.
+// New returns the claimer of one incarnation of a VM.
 func New(vm string, i tier.Incarnation, opts ...Option) *Claimer {
 	c := &Claimer{
 		vm:          vm,
 		incarnation: i,
 		pages:       map[string]*page{},
-		busy:        map[string]*page{},
-		bookings:    map[uint64]*booking{},
+		busyPages:   map[string]*page{},
+		running:     map[uint64]*booking{},
 		waiters:     map[uint64]*waiter{},
-		minted:      minter{issued: map[uint64]*booking{}},
+		minted:      mintedKeys{bookings: map[uint64]*booking{}},
 	}
 	c.Defaults()
 	for _, o := range opts {
 		o(c)
 	}
-	c.claims = c.random.Uint64N(maxFirstCounter)
-	c.minted.last = c.claims
-	c.minted.oldest = c.claims + 1
+	c.lastClaim = c.random.Uint64N(maxFirstCounter)
+	c.minted.last = c.lastClaim
+	c.minted.oldest = c.lastClaim + 1
 	return c
 }
 
-// Defaults sets pages, delay, memory, liveness and seed.
+// Defaults sets the default number of pages, record delay, number of minted keys,
+// liveness function and seed.
 func (c *Claimer) Defaults() {
 	c.pageCount = DefaultPages
 	c.recordDelay = DefaultRecordDelay
-	c.memory = DefaultMemory
+	c.maxMintedKeys = DefaultMemory
 	c.live = func(string, tier.Incarnation) bool { return true }
 	c.random = rand.New(rand.NewPCG(uint64(c.incarnation), 0))
 }
 
-// Counters count what a claimer did.
+// Counters are the totals since the claimer was created.
 type Counters struct {
 	reads     int
 	writes    int
@@ -122,91 +124,93 @@
 	runs      int
 }
 
-// Reads is how many pages were read.
+// Reads is the number of reads of pages.
 func (c Counters) Reads() int { return c.reads }
 
-// Writes is how many pages were written or tried to be.
+// Writes is the number of writes of pages, including those that failed.
 func (c Counters) Writes() int { return c.writes }
 
-// Conflicts is how many writes met a page that had changed.
+// Conflicts is the number of writes rejected because the page had changed.
 func (c Counters) Conflicts() int { return c.conflicts }
 
-// Failures is how many calls of the store failed.
+// Failures is the number of store calls that failed and of pages that could not be
+// decoded.
 func (c Counters) Failures() int { return c.failures }
 
-// Runs is how many bookings were sent.
+// Runs is the number of bookings sent to a back end.
 func (c Counters) Runs() int { return c.runs }
 
-// Counters returns the counts so far.
+// Counters returns the totals so far.
 func (c *Claimer) Counters() Counters { return c.counters }
 
-// Idle reports whether nothing runs and every outcome is recorded.
+// Idle reports whether nothing runs or waits and every outcome is stored.
 func (c *Claimer) Idle() bool {
-	return len(c.bookings) == 0 && len(c.waiters) == 0 && len(c.busy) == 0
+	return len(c.running) == 0 && len(c.waiters) == 0 && len(c.busyPages) == 0
 }
 
-// Next is when the next Tick is due, if one is.
+// Next returns when the next Tick is due, if one is.
 func (c *Claimer) Next() (tier.Millis, bool) {
-	next, ok := c.due.first()
-	for _, g := range c.busy {
-		if at, waits := g.next(c.hurry); waits && (!ok || at < next) {
+	next, ok := c.deadlines.first()
+	for _, p := range c.busyPages {
+		if at, waits := p.nextTick(c.flushing); waits && (!ok || at < next) {
 			next, ok = at, true
 		}
 	}
 	return next, ok
 }
 
-// Step takes an event and returns what is to be done now.
+// Step handles one event and returns the actions to perform.
 func (c *Claimer) Step(now tier.Millis, e Event) []Action {
-	c.out = nil
+	c.actions = nil
 	switch e := e.(type) {
 	case *Submit:
-		c.submit(now, e)
+		c.handleSubmit(now, e)
 	case *Ran:
-		c.ran(now, e)
+		c.handleRan(now, e)
 	case *CallerGone:
-		c.callerGone(e.ticket)
+		c.handleCallerGone(e.submissionID)
 	case *ReadDone:
-		c.readDone(now, e)
+		c.handleReadDone(now, e)
 	case *WriteDone:
-		c.writeDone(now, e)
+		c.handleWriteDone(now, e)
 	case *Conflict:
-		c.conflict(now, e)
+		c.handleConflict(now, e)
 	case *Failed:
-		c.failed(now, e)
+		c.handleFailed(now, e)
 	case *Fenced:
 		c.fenced = true
 	case *Flush:
-		c.hurry = true
+		c.flushing = true
 	case *Tick:
 	}
-	c.expire(now)
-	c.pumpAll(now)
-	return c.out
+	c.expireWaiters(now)
+	c.advancePages(now)
+	return c.actions
 }
 
-func (c *Claimer) do(a Action) { c.out = append(c.out, a) }
+func (c *Claimer) emit(a Action) { c.actions = append(c.actions, a) }
 
-// pumpAll lets every busy page go on, in a fixed order.
-func (c *Claimer) pumpAll(now tier.Millis) {
+// advancePages starts the next store call of every busy page that needs one, in sorted
+// order so that runs are reproducible.
+func (c *Claimer) advancePages(now tier.Millis) {
 	recording := false
-	for _, key := range sortedKeys(c.busy) {
-		g := c.busy[key]
-		c.pump(now, g)
-		recording = recording || len(g.records) > 0
-		if g.call == 0 && !g.hasWork() {
-			delete(c.busy, key)
+	for _, key := range sortedKeys(c.busyPages) {
+		p := c.busyPages[key]
+		c.advancePage(now, p)
+		recording = recording || len(p.unstored) > 0
+		if p.openCall == 0 && !p.hasWork() {
+			delete(c.busyPages, key)
 		}
 	}
-	c.hurry = c.hurry && recording
+	c.flushing = c.flushing && recording
 	if len(c.pages) > maxIdlePages {
 		c.forgetIdlePages()
 	}
 }
 
 func (c *Claimer) forgetIdlePages() {
-	for key, g := range c.pages {
-		if c.busy[key] == nil && len(g.bookings) == 0 {
+	for key, p := range c.pages {
+		if c.busyPages[key] == nil && len(p.bookings) == 0 {
 			delete(c.pages, key)
 		}
 	}
--- a/tier/claimer/claimer_test.go
+++ b/tier/claimer/claimer_test.go
@@ -13,11 +13,11 @@
 
 const minute = 60 * tier.Second
 
-// sendOne submits a key to a VM at once and plays the world to its end.
-func sendOne(w *world, v *vm, key string) tier.Outcome {
-	w.submit(v, key, false, minute)
-	w.play()
-	return w.sent[len(w.sent)-1].outcome
+// submitAndRun submits a key to a VM and runs the simulation until no event is left.
+func submitAndRun(si *sim, v *vm, key string) tier.Outcome {
+	si.submit(v, key, false, minute)
+	si.runToEnd()
+	return si.submissions[len(si.submissions)-1].outcome
 }
 
 func unknownReason(o tier.Outcome) tier.UnknownReason {
@@ -28,25 +28,25 @@
 }
 
 func TestSameKeyAgain(t *testing.T) {
-	w := newWorld(1, faults{off: true}, 2)
+	si := newSim(1, faults{disabled: true}, 2)
 	key := today + "-certificate-9"
-	first, _ := sendOne(w, w.vms[0], key).(*tier.Booked)
-	second, _ := sendOne(w, w.vms[1], key).(*tier.Booked)
+	first, _ := submitAndRun(si, si.vms[0], key).(*tier.Booked)
+	second, _ := submitAndRun(si, si.vms[1], key).(*tier.Booked)
 	if first == nil || second == nil || first.Repeated() || !second.Repeated() || first.Receipt() != second.Receipt() {
 		t.Errorf("first %+v, second %+v", first, second)
 	}
 }
 
 func TestSameKeyOtherRequest(t *testing.T) {
-	w := newWorld(1, faults{off: true}, 2)
-	v := w.vms[0]
+	si := newSim(1, faults{disabled: true}, 2)
+	v := si.vms[0]
 	k, err := claimer.ParseKey(today + "-x")
 	if err != nil {
 		t.Fatal(err)
 	}
-	v.open[1], v.open[2] = &sending{}, &sending{}
-	v.step(v.life, claimer.NewSubmit(1, k, "portao", "one", false, minute, wall))
-	acts := v.claimer.Step(w.now, claimer.NewSubmit(2, k, "portao", "two", false, minute, wall))
+	v.open[1], v.open[2] = &submission{}, &submission{}
+	v.handle(v.incarnation, claimer.NewSubmit(1, k, "portao", "one", false, minute, wallStart))
+	acts := v.claimer.Step(si.now, claimer.NewSubmit(2, k, "portao", "two", false, minute, wallStart))
 	var reused *claimer.KeyReusedError
 	if len(acts) != 1 || !errors.As(acts[0].(*claimer.Finish).Err(), &reused) || reused.First() != "one" {
 		t.Errorf("got %+v", acts)
@@ -60,10 +60,10 @@
 		"2026-12-05-a": "booked",
 		"2026-12-06-a": "invalid",
 	} {
-		w := newWorld(1, faults{off: true, vouched: true}, 2)
+		si := newSim(1, faults{disabled: true, alwaysFirst: true}, 2)
 		got := "invalid"
-		if o := sendOne(w, w.vms[0], key); o != nil {
-			got = nameOf(o)
+		if o := submitAndRun(si, si.vms[0], key); o != nil {
+			got = outcomeName(o)
 		}
 		if got != want {
 			t.Errorf("%s: %s, want %s", key, got, want)
@@ -71,95 +71,95 @@
 	}
 }
 
-// TestOldPagesAreDropped holds that the first booking of a day drops a page
-// of keys that are taken no more.
-func TestOldPagesAreDropped(t *testing.T) {
-	w := newWorld(1, faults{off: true}, 1)
-	old := sendOne(w, w.vms[0], "2026-12-03-a")
-	if len(w.dropped) != 1 || !strings.HasPrefix(w.dropped[0], claimer.PagePrefix+"portao/2026-10-31/") {
-		t.Errorf("%v: dropped %v", old, w.dropped)
+// TestExpiredPagesAreDeleted checks that the first booking of a day deletes a page whose
+// keys have all expired.
+func TestExpiredPagesAreDeleted(t *testing.T) {
+	si := newSim(1, faults{disabled: true}, 1)
+	outcome := submitAndRun(si, si.vms[0], "2026-12-03-a")
+	if len(si.deletedPages) != 1 || !strings.HasPrefix(si.deletedPages[0], claimer.PagePrefix+"portao/2026-10-31/") {
+		t.Errorf("%v: deleted %v", outcome, si.deletedPages)
 	}
 }
 
 func TestHolderGone(t *testing.T) {
-	w := newWorld(1, faults{off: true}, 2)
+	si := newSim(1, faults{disabled: true}, 2)
 	key := today + "-kill"
-	w.submit(w.vms[0], key, true, minute)
-	for len(w.pages) == 0 { // until the claim stands
-		w.step()
+	si.submit(si.vms[0], key, true, minute)
+	for len(si.pages) == 0 { // until the claim is stored
+		si.runNext()
 	}
-	w.vms[0].start()
-	for _, v := range w.vms {
-		if o := sendOne(w, v, key); unknownReason(o) != tier.UnknownHolderGone {
+	si.vms[0].start()
+	for _, v := range si.vms {
+		if o := submitAndRun(si, v, key); unknownReason(o) != tier.UnknownHolderGone {
 			t.Errorf("%s: %v", v.name, o)
 		}
 	}
-	if len(w.runs[key]) > 0 {
-		t.Errorf("it ran")
+	if len(si.runs[key]) > 0 {
+		t.Errorf("the booking ran")
 	}
 }
 
 func TestStoreDown(t *testing.T) {
 	for first, want := range map[bool]string{true: "refused", false: "unknown"} {
-		w := newWorld(1, faults{off: true}, 2)
-		w.down = true
-		w.submit(w.vms[0], today+"-down", first, tier.Second)
-		w.after(2*tier.Second, func() { w.down = false })
-		w.play()
-		if got := nameOf(w.sent[0].outcome); got != want || len(w.runs) > 0 {
-			t.Errorf("first %t: %s, want %s; runs %v", first, got, want, w.runs)
+		si := newSim(1, faults{disabled: true}, 2)
+		si.down = true
+		si.submit(si.vms[0], today+"-down", first, tier.Second)
+		si.after(2*tier.Second, func() { si.down = false })
+		si.runToEnd()
+		if got := outcomeName(si.submissions[0].outcome); got != want || len(si.runs) > 0 {
+			t.Errorf("first %t: %s, want %s; runs %v", first, got, want, si.runs)
 		}
-		if o := sendOne(w, w.vms[1], today+"-down"); nameOf(o) != "booked" {
+		if o := submitAndRun(si, si.vms[1], today+"-down"); outcomeName(o) != "booked" {
 			t.Errorf("after the outage: %v", o)
 		}
 	}
 }
 
-// TestStoreDownTellsAtOnce: a caller is not kept until its deadline once the
-// store is known to be down, and the next one is told without a try.
-func TestStoreDownTellsAtOnce(t *testing.T) {
-	w := newWorld(1, faults{off: true, vouched: true}, 1)
-	w.down = true
+// TestStoreDownFailsFast checks that a booking is refused soon after the store is found
+// to be down, not at its deadline.
+func TestStoreDownFailsFast(t *testing.T) {
+	si := newSim(1, faults{disabled: true, alwaysFirst: true}, 1)
+	si.down = true
 	key := today + "-down"
-	w.submit(w.vms[0], key, true, minute)
-	w.after(2*tier.Second, func() { w.down = false })
-	w.play()
-	if s := w.sent[0]; nameOf(s.outcome) != "refused" || s.ended-s.called > tier.Second {
-		t.Errorf("%v after %d ms", s.outcome, s.ended-s.called)
+	si.submit(si.vms[0], key, true, minute)
+	si.after(2*tier.Second, func() { si.down = false })
+	si.runToEnd()
+	if s := si.submissions[0]; outcomeName(s.outcome) != "refused" || s.endedAt-s.submittedAt > tier.Second {
+		t.Errorf("%v after %d ms", s.outcome, s.endedAt-s.submittedAt)
 	}
 }
 
 func TestFencedVM(t *testing.T) {
-	w := newWorld(1, faults{off: true, vouched: true}, 2)
-	w.vms[0].step(w.vms[0].life, &claimer.Fenced{})
-	if o := sendOne(w, w.vms[0], today+"-late"); nameOf(o) != "refused" {
+	si := newSim(1, faults{disabled: true, alwaysFirst: true}, 2)
+	si.vms[0].handle(si.vms[0].incarnation, &claimer.Fenced{})
+	if o := submitAndRun(si, si.vms[0], today+"-late"); outcomeName(o) != "refused" {
 		t.Errorf("got %v", o)
 	}
 }
 
 func TestMintedKeys(t *testing.T) {
-	w := newWorld(1, faults{off: true}, 2)
-	key := w.vms[0].claimer.Mint().String()
-	if o := sendOne(w, w.vms[1], key); unknownReason(o) != tier.UnknownIncarnations {
+	si := newSim(1, faults{disabled: true}, 2)
+	key := si.vms[0].claimer.Mint().String()
+	if o := submitAndRun(si, si.vms[1], key); unknownReason(o) != tier.UnknownIncarnations {
 		t.Errorf("another VM: %v", o)
 	}
-	if o := sendOne(w, w.vms[0], key); nameOf(o) != "booked" {
+	if o := submitAndRun(si, si.vms[0], key); outcomeName(o) != "booked" {
 		t.Errorf("the VM that minted it: %v", o)
 	}
-	if o := sendOne(w, w.vms[0], key); nameOf(o) != "repeated" {
+	if o := submitAndRun(si, si.vms[0], key); outcomeName(o) != "repeated" {
 		t.Errorf("again: %v", o)
 	}
-	w.vms[0].start()
-	if o := sendOne(w, w.vms[0], key); unknownReason(o) != tier.UnknownIncarnations {
-		t.Errorf("its next life: %v", o)
+	si.vms[0].start()
+	if o := submitAndRun(si, si.vms[0], key); unknownReason(o) != tier.UnknownIncarnations {
+		t.Errorf("its next incarnation: %v", o)
 	}
-	if len(w.pages) > 0 {
-		t.Error("a minted key went to the store")
+	if len(si.pages) > 0 {
+		t.Error("a minted key was written to the store")
 	}
 }
 
-// BenchmarkStoreWrites reports the store's writes for each booking, for keys
-// of one set and day that are sent at once to one VM or to seven in turn.
+// BenchmarkStoreWrites reports the store writes per booking, for keys of one shard set
+// and day that are submitted at the same time to one VM or spread over seven.
 func BenchmarkStoreWrites(b *testing.B) {
 	for _, vms := range []int{1, 7} {
 		for _, pages := range []int{1, 8, 64} {
@@ -167,9 +167,9 @@
 				b.Run(fmt.Sprintf("vms-%d/pages-%d/at-once-%d", vms, pages, burst), func(b *testing.B) {
 					writes, took := 0, tier.Millis(0)
 					for i := range b.N {
-						w := newWorld(uint64(i), faults{off: true}, vms)
-						took += w.burst(10, burst, pages)
-						for _, v := range w.vms {
+						si := newSim(uint64(i), faults{disabled: true}, vms)
+						took += si.burst(10, burst, pages)
+						for _, v := range si.vms {
 							writes += v.claimer.Counters().Writes()
 						}
 					}
@@ -181,21 +181,21 @@
 	}
 }
 
-// burst sends rounds of bookings, each round at one moment, and returns how
-// long their callers waited, all together.
-func (w *world) burst(rounds, size, pages int) tier.Millis {
-	for _, v := range w.vms {
-		v.claimer = claimer.New(v.name, v.life, claimer.WithPages(pages))
+// burst submits rounds of simultaneous bookings and returns the total time that their
+// callers waited.
+func (si *sim) burst(rounds, size, pages int) tier.Millis {
+	for _, v := range si.vms {
+		v.claimer = claimer.New(v.name, v.incarnation, claimer.WithPages(pages))
 	}
 	for round := range rounds {
 		for k := range size {
-			w.submit(w.vms[k%len(w.vms)], fmt.Sprintf("%s-%d-%d", today, round, k), true, minute)
+			si.submit(si.vms[k%len(si.vms)], fmt.Sprintf("%s-%d-%d", today, round, k), true, minute)
 		}
-		w.play()
+		si.runToEnd()
 	}
 	var took tier.Millis
-	for _, s := range w.sent {
-		took += s.ended - s.called
+	for _, s := range si.submissions {
+		took += s.endedAt - s.submittedAt
 	}
 	return took
 }
--- a/tier/claimer/page.go
+++ b/tier/claimer/encoding.go
@@ -11,25 +11,25 @@
 	"cicadagrade.example/tier"
 )
 
-// Where and how claims lie in the store.
+// Location and bounds of the stored claims.
 const (
 	PagePrefix      = "cicadagrade/claims/"
 	MaxPageBytes    = 1_000_000
-	MaxReceiptBytes = 512 // a longer receipt is not kept for repeats
-	entryBytes      = 256 // an entry without key and receipt, at most
+	MaxReceiptBytes = 512 // a longer receipt is not stored: a repeat gets an unknown outcome
+	maxEntryBytes   = 256 // of an encoded entry, without its key and receipt
 )
 
-// state is how far a claim has come.
+// state is the stored state of a claim.
 type state string
 
 const (
-	stateClaimed  state = "claimed"  // its holder may run it
-	stateRefused  state = "refused"  // did not run; may be claimed anew
-	stateAnswered state = "answered" // ran
-	stateUnknown  state = "unknown"  // may have run; never runs again
+	stateClaimed  state = "claimed"  // its holder may run the booking
+	stateRefused  state = "refused"  // the booking did not run; the key may be claimed again
+	stateAnswered state = "answered" // the booking ran
+	stateUnknown  state = "unknown"  // the booking may have run; it never runs again
 )
 
-// rank orders the states of one claim: a claim only moves upwards.
+// rank orders the states of one claim: the rank of a claim never decreases.
 func (s state) rank() int {
 	switch s {
 	case stateClaimed:
@@ -40,9 +40,9 @@
 	return 0
 }
 
-// entry is the claim of one key.
+// entry is the stored claim of one key.
 type entry struct {
-	claim       tier.AttemptID
+	claimID     tier.AttemptID
 	generation  uint64 // counts the claims of this key
 	fingerprint string
 	state       state
@@ -50,8 +50,8 @@
 	reason      tier.UnknownReason
 }
 
-// newer reports whether e stands for a later state of its key than o.
-func (e entry) newer(o entry) bool {
+// newerThan reports whether e is a later state of the same key than o.
+func (e entry) newerThan(o entry) bool {
 	if e.generation != o.generation {
 		return e.generation > o.generation
 	}
@@ -72,12 +72,12 @@
 	Reason      string `json:"reason,omitempty"`
 }
 
-// encodePage writes a page, sorted by key.
+// encodePage encodes a page, sorted by key.
 func encodePage(entries map[string]entry) ([]byte, error) {
 	d := pageDocument{Claims: make([]claimDocument, 0, len(entries))}
 	for k, e := range entries {
 		d.Claims = append(d.Claims, claimDocument{
-			Key: k, Claim: e.claim.String(), Generation: e.generation, Fingerprint: e.fingerprint,
+			Key: k, Claim: e.claimID.String(), Generation: e.generation, Fingerprint: e.fingerprint,
 			State: e.state, Receipt: e.receipt, Reason: string(e.reason),
 		})
 	}
@@ -86,8 +86,7 @@
 	return b, errors.Wrap(err, "encodePage")
 }
 
-// decodePage reads a page; no bytes are an empty one. Its error is a
-// *PageError.
+// decodePage decodes a page; empty input is an empty page. Its error is a *PageError.
 func decodePage(b []byte) (map[string]entry, error) {
 	entries := map[string]entry{}
 	if len(b) == 0 {
@@ -100,15 +99,15 @@
 		return nil, errors.WithStack(&PageError{problem: err.Error()})
 	}
 	if _, err := r.Token(); err != io.EOF {
-		return nil, errors.WithStack(&PageError{problem: "bytes after the document"})
+		return nil, errors.WithStack(&PageError{problem: "unexpected data after the document"})
 	}
 	for _, c := range d.Claims {
 		e, err := c.entry()
 		if err != nil {
 			return nil, errors.Wrap(err, "decodePage")
 		}
-		if _, double := entries[c.Key]; double {
-			return nil, errors.WithStack(&PageError{key: c.Key, problem: "stands twice"})
+		if _, duplicate := entries[c.Key]; duplicate {
+			return nil, errors.WithStack(&PageError{key: c.Key, problem: "claimed twice"})
 		}
 		entries[c.Key] = e
 	}
@@ -118,17 +117,17 @@
 func (c claimDocument) entry() (entry, error) {
 	k, err := ParseKey(c.Key)
 	if err != nil || k.Minted() {
-		return entry{}, &PageError{key: c.Key, problem: "not the key of a caller"}
+		return entry{}, &PageError{key: c.Key, problem: "not a caller-made key"}
 	}
-	vm, life, counter, ok := parseID(c.Claim)
+	vm, incarnation, counter, ok := parseID(c.Claim)
 	if !ok {
-		return entry{}, &PageError{key: c.Key, problem: "bad claim"}
+		return entry{}, &PageError{key: c.Key, problem: "malformed claim ID"}
 	}
 	if c.State.rank() == 0 || (c.State == stateAnswered) != (c.Receipt != "") || c.Generation == 0 {
-		return entry{}, &PageError{key: c.Key, problem: "bad state"}
+		return entry{}, &PageError{key: c.Key, problem: "inconsistent state, receipt or generation"}
 	}
 	return entry{
-		claim: tier.NewAttemptID(vm, life, counter), generation: c.Generation, fingerprint: c.Fingerprint,
+		claimID: tier.NewAttemptID(vm, incarnation, counter), generation: c.Generation, fingerprint: c.Fingerprint,
 		state: c.State, receipt: c.Receipt, reason: tier.UnknownReason(c.Reason),
 	}, nil
 }
--- a/tier/claimer/errors.go
+++ b/tier/claimer/errors.go
@@ -2,41 +2,42 @@
 
 import "fmt"
 
-// KeyReusedError says that an idempotency key was first sent with another
-// request. Nothing was run for this one.
+// KeyReusedError says that an idempotency key was first submitted with a different
+// request. This request did not run.
 type KeyReusedError struct {
-	key   string
-	first string
-	now   string
+	key                string
+	firstFingerprint   string
+	currentFingerprint string
 }
 
 // Key is the idempotency key.
 func (e *KeyReusedError) Key() string { return e.key }
 
-// First is the fingerprint of the request that the key stands for.
-func (e *KeyReusedError) First() string { return e.first }
+// First is the fingerprint of the request that the key was first submitted with.
+func (e *KeyReusedError) First() string { return e.firstFingerprint }
 
-// Now is the fingerprint of the request that was sent now.
-func (e *KeyReusedError) Now() string { return e.now }
+// Now is the fingerprint of the request submitted now.
+func (e *KeyReusedError) Now() string { return e.currentFingerprint }
 
 // Error names the key.
 func (e *KeyReusedError) Error() string {
 	return fmt.Sprintf("idempotency key %q was first sent with another request", e.key)
 }
 
-// PageError says that a page of claims can't be read. It is left as it is.
+// PageError says that a page of claims from the store can't be decoded. The page is not
+// overwritten.
 type PageError struct {
 	key     string
 	problem string
 }
 
-// Key is the idempotency key at fault, or empty.
+// Key is the idempotency key of the malformed claim, or empty.
 func (e *PageError) Key() string { return e.key }
 
-// Problem says what is wrong.
+// Problem describes what is malformed.
 func (e *PageError) Problem() string { return e.problem }
 
-// Error names key and problem.
+// Error names the key and the problem.
 func (e *PageError) Error() string {
-	return fmt.Sprintf("the page of claims is bad at %q: %s", e.key, e.problem)
+	return fmt.Sprintf("the page of claims is malformed at key %q: %s", e.key, e.problem)
 }
--- a/tier/claimer/events.go
+++ b/tier/claimer/events.go
@@ -8,8 +8,8 @@
 	"cicadagrade.example/tier"
 )
 
-// Fingerprint identifies the content of a booking, so that a key sent with
-// another request is noticed. It is the start of a SHA-256 in hexadecimal.
+// Fingerprint returns a hash of the content of a booking, to detect that a key is reused
+// for a different request. It is the first 16 bytes of a SHA-256 in hexadecimal.
 func Fingerprint(set, recordKey, body string) string {
 	h := sha256.New()
 	var n [8]byte
@@ -21,52 +21,52 @@
 	return hex.EncodeToString(h.Sum(nil)[:16])
 }
 
-// Event is what a claimer is told: *Submit, *Ran, *CallerGone, *ReadDone,
-// *WriteDone, *Conflict, *Failed, *Fenced, *Flush or *Tick.
+// Event is an input of Claimer.Step: *Submit, *Ran, *CallerGone, *ReadDone, *WriteDone,
+// *Conflict, *Failed, *Fenced, *Flush or *Tick.
 type Event interface{ event() }
 
 // Submit asks for a booking to run at most once.
 type Submit struct {
-	ticket      uint64
-	key         Key
-	set         string
-	fingerprint string
-	first       bool
-	deadline    tier.Millis
-	wall        tier.Millis
+	submissionID uint64
+	key          Key
+	set          string
+	fingerprint  string
+	first        bool
+	deadline     tier.Millis
+	wall         tier.Millis
 }
 
-// NewSubmit returns a booking. The ticket names it in actions and is used
-// once. First says that the caller vouches never to have sent this key
-// before. Deadline is on the monotonic clock; wall is the wall time now.
-func NewSubmit(ticket uint64, key Key, set, fingerprint string, first bool, deadline, wall tier.Millis) *Submit {
-	return &Submit{ticket: ticket, key: key, set: set, fingerprint: fingerprint, first: first, deadline: deadline, wall: wall}
+// NewSubmit returns a submission. SubmissionID identifies it in actions and must be
+// unique. First states that the caller has never sent this key before. Deadline is on the
+// monotonic clock; wall is the current wall time.
+func NewSubmit(submissionID uint64, key Key, set, fingerprint string, first bool, deadline, wall tier.Millis) *Submit {
+	return &Submit{submissionID: submissionID, key: key, set: set, fingerprint: fingerprint, first: first, deadline: deadline, wall: wall}
 }
 
-// Ran says how a booking ended that a Run asked for: *tier.Booked,
-// *tier.Refused if it did not run, or *tier.Unknown.
+// Ran gives the outcome of a Run: *tier.Booked, *tier.Refused if the booking did not run,
+// or *tier.Unknown.
 type Ran struct {
-	ticket  uint64
-	outcome tier.Outcome
+	submissionID uint64
+	outcome      tier.Outcome
 }
 
-// NewRan returns the end of a run.
-func NewRan(ticket uint64, o tier.Outcome) *Ran { return &Ran{ticket: ticket, outcome: o} }
+// NewRan returns the outcome of a Run.
+func NewRan(id uint64, o tier.Outcome) *Ran { return &Ran{submissionID: id, outcome: o} }
 
-// CallerGone says that nobody waits for a booking any more.
-type CallerGone struct{ ticket uint64 }
+// CallerGone says that the caller of a submission no longer waits for it.
+type CallerGone struct{ submissionID uint64 }
 
-// NewCallerGone returns the leaving of a booking's caller.
-func NewCallerGone(ticket uint64) *CallerGone { return &CallerGone{ticket: ticket} }
+// NewCallerGone returns the event for a submission whose caller has gone.
+func NewCallerGone(id uint64) *CallerGone { return &CallerGone{submissionID: id} }
 
-// ReadDone says what a Read found.
+// ReadDone gives the result of a Read.
 type ReadDone struct {
 	call     uint64
 	data     []byte
 	revision int64
 }
 
-// NewReadDone returns the page that a Read found; revision 0 says absent.
+// NewReadDone returns the page that a Read found; revision 0 means that it is absent.
 func NewReadDone(call uint64, data []byte, revision int64) *ReadDone {
 	return &ReadDone{call: call, data: data, revision: revision}
 }
@@ -77,41 +77,40 @@
 	revision int64
 }
 
-// NewWriteDone returns the success of a Write at a new revision.
+// NewWriteDone returns the success of a Write, with the page's new revision.
 func NewWriteDone(call uint64, revision int64) *WriteDone {
 	return &WriteDone{call: call, revision: revision}
 }
 
-// Conflict says that a Write did not take effect, as the page had changed.
+// Conflict says that a Write had no effect because the page had changed.
 type Conflict struct {
 	call     uint64
 	data     []byte
 	revision int64
 }
 
-// NewConflict returns the page as it is now.
+// NewConflict returns the conflict of a Write with the page's current content.
 func NewConflict(call uint64, data []byte, revision int64) *Conflict {
 	return &Conflict{call: call, data: data, revision: revision}
 }
 
-// Failed says that a call failed.
+// Failed says that a Read or Write failed.
 type Failed struct {
 	call   uint64
 	unsure bool
 }
 
-// NewFailed returns the failure of a Read or Write; unsure says that it may
-// have taken effect all the same.
+// NewFailed returns the failure of a Read or Write; unsure means that a Write may have
+// taken effect nevertheless.
 func NewFailed(call uint64, unsure bool) *Failed { return &Failed{call: call, unsure: unsure} }
 
-// Fenced says that a later life of this VM has been seen: nothing more is
-// sent.
+// Fenced says that a later incarnation of this VM exists. The claimer sends nothing more.
 type Fenced struct{}
 
-// Flush asks to record all outcomes without waiting for company.
+// Flush asks to store all outcomes now, without the record delay.
 type Flush struct{}
 
-// Tick tells the time.
+// Tick says that time has passed: the time given by Claimer.Next has come.
 type Tick struct{}
 
 func (*Submit) event()     {}
@@ -125,23 +124,22 @@
 func (*Flush) event()      {}
 func (*Tick) event()       {}
 
-// Action is what a claimer wants done: *Read, *Write, *Drop, *Run or
-// *Finish.
+// Action is an output of Claimer.Step: *Read, *Write, *DeletePage, *Run or *Finish.
 type Action interface{ action() }
 
-// Read reads a page from the store.
+// Read asks to read a page from the store.
 type Read struct {
 	call uint64
 	key  string
 }
 
-// Call names the call in the event that ends it.
+// Call is the number by which the resulting event refers to this call.
 func (r *Read) Call() uint64 { return r.call }
 
-// Key is the store's key.
+// Key is the store key of the page.
 func (r *Read) Key() string { return r.key }
 
-// Write replaces a page if its revision is the expected one.
+// Write asks to replace a page if its revision is the expected one.
 type Write struct {
 	call   uint64
 	key    string
@@ -149,51 +147,51 @@
 	expect int64
 }
 
-// Call names the call in the event that ends it.
+// Call is the number by which the resulting event refers to this call.
 func (w *Write) Call() uint64 { return w.call }
 
-// Key is the store's key.
+// Key is the store key of the page.
 func (w *Write) Key() string { return w.key }
 
-// Data is the new page.
+// Data is the encoded page.
 func (w *Write) Data() []byte { return w.data }
 
-// Expect is the expected revision; 0 says absent.
+// Expect is the expected revision; 0 means that the page must be absent.
 func (w *Write) Expect() int64 { return w.expect }
 
-// Drop deletes a page that has expired, if it exists. No event answers it.
+// Drop asks to delete an expired page, if it exists. No event follows.
 type Drop struct{ key string }
 
-// Key is the store's key.
+// Key is the store key of the page.
 func (d *Drop) Key() string { return d.key }
 
-// Run sends a booking on its way, once, until its deadline. Ran ends it.
+// Run asks to send a booking to a back end, once, before its deadline. Ran follows.
 type Run struct {
-	ticket   uint64
-	key      Key
-	deadline tier.Millis
+	submissionID uint64
+	key          Key
+	deadline     tier.Millis
 }
 
-// Ticket names the booking.
-func (r *Run) Ticket() uint64 { return r.ticket }
+// Ticket identifies the submission.
+func (r *Run) Ticket() uint64 { return r.submissionID }
 
-// Key is its idempotency key.
+// Key is the idempotency key of the booking.
 func (r *Run) Key() Key { return r.key }
 
-// Deadline is the latest time to send it, on the monotonic clock.
+// Deadline is the latest time at which to send the booking, on the monotonic clock.
 func (r *Run) Deadline() tier.Millis { return r.deadline }
 
-// Finish ends a booking. Either outcome or err is set.
+// Finish ends a submission. Exactly one of outcome and err is set.
 type Finish struct {
-	ticket  uint64
-	outcome tier.Outcome
-	err     error
+	submissionID uint64
+	outcome      tier.Outcome
+	err          error
 }
 
-// Ticket names the booking.
-func (f *Finish) Ticket() uint64 { return f.ticket }
+// Ticket identifies the submission.
+func (f *Finish) Ticket() uint64 { return f.submissionID }
 
-// Outcome is the end.
+// Outcome is the outcome of the submission, or nil.
 func (f *Finish) Outcome() tier.Outcome { return f.outcome }
 
 // Err is a *KeyReusedError or *tier.InvalidError, or nil.
--- a/tier/claimer/fuzz_test.go
+++ b/tier/claimer/fuzz_test.go
@@ -5,8 +5,7 @@
 	"testing"
 )
 
-// FuzzDecodePage holds a page that was read to be the page that is written
-// back.
+// FuzzDecodePage checks that a decoded page survives encoding and decoding unchanged.
 func FuzzDecodePage(f *testing.F) {
 	f.Add([]byte(`{"claims":[{"key":"2026-12-04-a","claim":"caxias-1/5/42","generation":1,"fingerprint":"00","state":"answered","receipt":"r"}]}`))
 	f.Add([]byte(`{"claims":[{"key":"2026-12-04-a","claim":"caxias-1/5/42","generation":2,"fingerprint":"00","state":"unknown","reason":"lost-reply"}]}`))
@@ -27,7 +26,7 @@
 	})
 }
 
-// FuzzParseKey holds that a key has one spelling and a page.
+// FuzzParseKey checks that an accepted key is in its canonical spelling and has a page.
 func FuzzParseKey(f *testing.F) {
 	f.Add("2026-12-04-order-17")
 	f.Add("minted/caxias-1/5/42")
@@ -46,7 +45,7 @@
 			}
 			return
 		}
-		if k.pageKey("portao", 16) == "" || k.tooOld(k.day) || k.tooEarly(k.day) {
+		if k.pageKey("portao", 16) == "" || k.expired(k.day) || k.tooFarAhead(k.day) {
 			t.Fatalf("%q has no page or no valid day", in)
 		}
 	})
--- a/tier/claimer/history_test.go
+++ b/tier/claimer/history_test.go
@@ -19,48 +19,48 @@
 	firstSeed = flag.Uint64("first-seed", 1, "the seed of the first history")
 )
 
-// playHistory has callers send a few keys, each several times to both VMs
-// and some at the same moment, while the world disturbs them.
-func playHistory(seed uint64, f faults) *world {
-	w := newWorld(seed, f, 2)
-	w.disturb()
+// runHistory simulates callers that submit a few keys, each several times to both VMs
+// and some of them concurrently, while faults occur.
+func runHistory(seed uint64, f faults) *sim {
+	si := newSim(seed, f, 2)
+	si.scheduleFaults()
 	for k := range 5 {
 		key := fmt.Sprintf("%s-order-%d", today, k)
-		start := w.upTo(faultEnd * 3 / 4)
+		start := si.upTo(faultEnd * 3 / 4)
 		for i := range 5 {
 			at := start
 			if i > 1 {
-				at += w.upTo(faultEnd / 2)
+				at += si.upTo(faultEnd / 2)
 			}
-			v := w.vms[(i+w.random.IntN(2))%len(w.vms)]
-			patience := 20 + w.upTo(400)
-			vouched := i == 0 && w.chance(50)
-			w.after(at, func() { w.submit(v, key, vouched, patience) })
+			v := si.vms[(i+si.random.IntN(2))%len(si.vms)]
+			timeout := 20 + si.upTo(400)
+			first := i == 0 && si.chance(50)
+			si.after(at, func() { si.submit(v, key, first, timeout) })
 		}
-		w.after(2*faultEnd+w.upTo(100), func() { w.submit(w.vms[k%2], key, false, tier.Second) })
+		si.after(2*faultEnd+si.upTo(100), func() { si.submit(si.vms[k%2], key, false, tier.Second) })
 	}
-	w.after(w.upTo(faultEnd/2), w.submitMinted)
-	w.play()
-	return w
+	si.after(si.upTo(faultEnd/2), si.submitMinted)
+	si.runToEnd()
+	return si
 }
 
-// submitMinted has a VM mint a key, which is then sent to both VMs.
-func (w *world) submitMinted() {
-	key := w.vms[0].claimer.Mint().String()
+// submitMinted mints a key on one VM and submits it to both VMs.
+func (si *sim) submitMinted() {
+	key := si.vms[0].claimer.Mint().String()
 	for i := range 4 {
-		w.after(w.upTo(100), func() { w.submit(w.vms[i/3], key, false, tier.Second) })
+		si.after(si.upTo(100), func() { si.submit(si.vms[i/3], key, false, tier.Second) })
 	}
 }
 
-// answer is the output of one operation on the register that a key is.
+// answer is the output of one operation on the register that models a key.
 type answer struct {
 	outcome tier.Outcome
-	runs    []string // what the backend server ran of the key
+	runs    []string // receipts of all runs of the key on the back end
 }
 
-// register is the model: a key is a register that is written at most once,
-// with the receipt. An unknown outcome may have written it, at any time; a
-// refusal is true only while nothing is written.
+// register models a key as a register that is written at most once, with the receipt. An
+// unknown outcome may have written it, at any time; a refusal is correct only while
+// nothing is written.
 var register = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{""} },
 	Step: func(state, _, output any) []any {
@@ -88,26 +88,26 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// checkHistory reports a key that ran twice, or answers that no register
-// could have given.
-func checkHistory(w *world) error {
+// checkHistory reports a key that ran twice, or outcomes that are not linearizable with
+// respect to the register.
+func checkHistory(si *sim) error {
 	byKey := map[string][]porcupine.Operation{}
-	for i, s := range w.sent {
-		ended := int64(s.ended)
+	for i, s := range si.submissions {
+		ended := int64(s.endedAt)
 		if _, unknown := s.outcome.(*tier.Unknown); unknown || s.outcome == nil {
 			ended = math.MaxInt64
 		}
 		byKey[s.key] = append(byKey[s.key], porcupine.Operation{
-			ClientId: i, Call: int64(s.called), Return: ended,
-			Output: answer{outcome: s.outcome, runs: w.runs[s.key]},
+			ClientId: i, Call: int64(s.submittedAt), Return: ended,
+			Output: answer{outcome: s.outcome, runs: si.runs[s.key]},
 		})
 	}
 	for key, ops := range byKey {
-		if n := len(w.runs[key]); n > 1 {
+		if n := len(si.runs[key]); n > 1 {
 			return errors.Errorf("%s ran %d times", key, n)
 		}
 		if porcupine.CheckOperationsTimeout(register.ToModel(), ops, 10*time.Second) != porcupine.Ok {
-			return errors.Errorf("%s: the answers are those of no register", key)
+			return errors.Errorf("%s: the outcomes are not linearizable", key)
 		}
 	}
 	return nil
@@ -117,38 +117,38 @@
 	ends := map[string]int{}
 	for i := range *histories {
 		seed := *firstSeed + uint64(i)
-		w := playHistory(seed, faults{})
-		if err := checkHistory(w); err != nil {
+		si := runHistory(seed, faults{})
+		if err := checkHistory(si); err != nil {
 			t.Errorf("seed %d: %v", seed, err)
 		}
-		for _, v := range w.vms {
+		for _, v := range si.vms {
 			if !v.claimer.Idle() {
 				t.Errorf("seed %d: %s is not idle at the end", seed, v.name)
 			}
 		}
-		for _, s := range w.sent {
-			ends[nameOf(s.outcome)]++
+		for _, s := range si.submissions {
+			ends[outcomeName(s.outcome)]++
 		}
 	}
 	for _, kind := range []string{"booked", "repeated", "refused", "unknown", "died"} {
 		if ends[kind] == 0 {
-			t.Errorf("no sending ended %s", kind)
+			t.Errorf("no submission ended as %s", kind)
 		}
 	}
 	t.Logf("%d histories from seed %d: %v", *histories, *firstSeed, ends)
 }
 
-// TestCheckSeesBreaches shows that the check can fail: it objects to a
-// hedged booking, to claims that the store lost and to refusals that do not
-// reckon with earlier sendings.
-func TestCheckSeesBreaches(t *testing.T) {
+// TestCheckDetectsViolations checks that checkHistory objects to a booking that is sent
+// twice (hedged), to a store that loses claims, and to refusals that ignore earlier
+// submissions.
+func TestCheckDetectsViolations(t *testing.T) {
 	for name, f := range map[string]faults{
-		"hedged":    {hedged: true, off: true},
-		"forgetful": {forgetful: true, off: true},
-		"vouched":   {vouched: true},
+		"hedged":       {hedged: true, disabled: true},
+		"loses-claims": {losesClaims: true, disabled: true},
+		"always-first": {alwaysFirst: true},
 	} {
 		seen := slices.ContainsFunc(seeds(100), func(seed uint64) bool {
-			return checkHistory(playHistory(seed, f)) != nil
+			return checkHistory(runHistory(seed, f)) != nil
 		})
 		if !seen {
 			t.Errorf("%s: 100 histories pass", name)
@@ -164,7 +164,7 @@
 	return out
 }
 
-func nameOf(o tier.Outcome) string {
+func outcomeName(o tier.Outcome) string {
 	switch o := o.(type) {
 	case *tier.Booked:
 		if o.Repeated() {
--- a/tier/claimer/minter.go
+++ b/tier/claimer/minter.go
@@ -4,30 +4,30 @@
 	"cicadagrade.example/tier"
 )
 
-// minter remembers the keys that this life of the VM minted.
-type minter struct {
-	last   uint64
-	oldest uint64 // no key below it is remembered
-	issued map[uint64]*booking
+// mintedKeys are the keys minted by this incarnation of the VM.
+type mintedKeys struct {
+	last     uint64
+	oldest   uint64 // keys below it have been forgotten
+	bookings map[uint64]*booking
 }
 
-// Mint returns a new key that only this life of the VM runs.
+// Mint returns a new key that only this incarnation of the VM will run.
 func (c *Claimer) Mint() Key {
 	m := &c.minted
 	m.last++
 	k := mintedKey(c.vm, c.incarnation, m.last)
-	m.issued[m.last] = &booking{key: k}
-	for len(m.issued) > c.memory && m.oldest < m.last {
+	m.bookings[m.last] = &booking{key: k}
+	for len(m.bookings) > c.maxMintedKeys && m.oldest < m.last {
 		c.forgetOldest()
 	}
 	return k
 }
 
-// forgetOldest drops the oldest key, unless it runs.
+// forgetOldest forgets the oldest minted key, unless it is running.
 func (c *Claimer) forgetOldest() {
 	m := &c.minted
-	if b, ok := m.issued[m.oldest]; ok && b.phase != phaseRunning {
-		delete(m.issued, m.oldest)
+	if b, ok := m.bookings[m.oldest]; ok && b.phase != phaseRunning {
+		delete(m.bookings, m.oldest)
 	}
 	m.oldest++
 }
@@ -37,7 +37,7 @@
 		c.finish(w, tier.NewUnknown(tier.UnknownIncarnations))
 		return
 	}
-	b, ok := c.minted.issued[e.key.counter]
+	b, ok := c.minted.bookings[e.key.counter]
 	if !ok {
 		c.finish(w, tier.NewUnknown(tier.UnknownForgotten))
 		return
@@ -49,7 +49,7 @@
 	case phaseWaiting:
 		c.runMinted(now, b, w, e)
 	case phaseRunning:
-		c.join(b, w, e.fingerprint)
+		c.addWaiter(b, w, e.fingerprint)
 	default:
 		c.repeatMinted(b, w, e)
 	}
@@ -58,21 +58,21 @@
 func (c *Claimer) runMinted(now tier.Millis, b *booking, w *waiter, e *Submit) {
 	switch {
 	case b.fingerprint != e.fingerprint:
-		c.finishError(w, &KeyReusedError{key: b.key.text, first: b.fingerprint, now: e.fingerprint})
+		c.finishWithError(w, &KeyReusedError{key: b.key.text, firstFingerprint: b.fingerprint, currentFingerprint: e.fingerprint})
 	case c.fenced:
 		c.finish(w, tier.NewRefused(tier.RefuseLeaving, 0))
 	case now >= e.deadline:
 		c.finish(w, tier.NewRefused(tier.RefuseDeadline, 0))
 	default:
-		b.ticket, b.deadline = e.ticket, e.deadline
-		c.join(b, w, e.fingerprint)
-		c.run(now, b)
+		b.owner, b.deadline = e.submissionID, e.deadline
+		c.addWaiter(b, w, e.fingerprint)
+		c.startRun(now, b)
 	}
 }
 
 func (c *Claimer) repeatMinted(b *booking, w *waiter, e *Submit) {
 	if b.fingerprint != e.fingerprint {
-		c.finishError(w, &KeyReusedError{key: b.key.text, first: b.fingerprint, now: e.fingerprint})
+		c.finishWithError(w, &KeyReusedError{key: b.key.text, firstFingerprint: b.fingerprint, currentFingerprint: e.fingerprint})
 		return
 	}
 	if o, ok := b.outcome.(*tier.Booked); ok {
@@ -82,11 +82,12 @@
 	c.finish(w, b.outcome)
 }
 
-// mintedRan ends a run. A key that was refused may be sent again.
+// mintedRan handles the outcome of a run. A key whose run was refused may be submitted
+// again.
 func (c *Claimer) mintedRan(b *booking, o tier.Outcome) {
 	switch o.(type) {
 	case *tier.Refused:
-		c.end(b, o)
+		c.endBooking(b, o)
 		b.phase = phaseWaiting
 		return
 	case *tier.Booked, *tier.Unknown:
@@ -94,8 +95,8 @@
 		o = tier.NewUnknown(tier.UnknownLostReply)
 	}
 	b.outcome = o
-	c.end(b, o)
+	c.endBooking(b, o)
 	if b.key.counter < c.minted.oldest {
-		delete(c.minted.issued, b.key.counter)
+		delete(c.minted.bookings, b.key.counter)
 	}
 }
--- a/tier/claimer/store_test.go
+++ b/tier/claimer/store_test.go
@@ -5,86 +5,86 @@
 	"cicadagrade.example/tier/claimer"
 )
 
-func (w *world) delay() tier.Millis {
-	if w.slow {
-		return w.upTo(200)
+func (si *sim) storeDelay() tier.Millis {
+	if si.slow {
+		return si.upTo(200)
 	}
-	return w.upTo(4)
+	return si.upTo(4)
 }
 
-func (w *world) page(key string) stored {
-	if h := w.pages[key]; len(h) > 0 {
+func (si *sim) currentPage(key string) pageState {
+	if h := si.pages[key]; len(h) > 0 {
 		return h[len(h)-1]
 	}
-	return stored{}
+	return pageState{}
 }
 
-// read may answer from the past.
-func (w *world) read(a *claimer.Read, reply func(claimer.Event)) {
-	if w.down || !w.off && w.chance(5) {
-		reply(claimer.NewFailed(a.Call(), w.chance(50)))
+// readPage answers a Read, sometimes with an earlier state of the page.
+func (si *sim) readPage(a *claimer.Read, reply func(claimer.Event)) {
+	if si.down || !si.disabled && si.chance(5) {
+		reply(claimer.NewFailed(a.Call(), si.chance(50)))
 		return
 	}
-	s := w.page(a.Key())
-	if h := w.pages[a.Key()]; len(h) > 0 && !w.off && w.chance(20) {
-		s = h[w.random.IntN(len(h))]
+	s := si.currentPage(a.Key())
+	if h := si.pages[a.Key()]; len(h) > 0 && !si.disabled && si.chance(20) {
+		s = h[si.random.IntN(len(h))]
 	}
 	reply(claimer.NewReadDone(a.Call(), s.data, s.revision))
 }
 
-// write may fail, or lose its answer before, after or long before the write
-// takes effect.
-func (w *world) write(a *claimer.Write, reply func(claimer.Event)) {
+// writePage answers a Write. It may fail, or its reply may get lost, in which case the
+// write has had no effect, has taken effect, or takes effect later.
+func (si *sim) writePage(a *claimer.Write, reply func(claimer.Event)) {
 	lost := func() { reply(claimer.NewFailed(a.Call(), true)) }
 	switch {
-	case w.down && w.chance(70):
+	case si.down && si.chance(70):
 		reply(claimer.NewFailed(a.Call(), false))
-	case w.down || !w.off && w.chance(5):
+	case si.down || !si.disabled && si.chance(5):
 		lost()
-	case !w.off && w.chance(10):
-		w.swap(a)
+	case !si.disabled && si.chance(10):
+		si.compareAndSwap(a)
 		lost()
-	case !w.off && w.chance(5):
-		w.after(w.upTo(100), func() { w.swap(a) })
+	case !si.disabled && si.chance(5):
+		si.after(si.upTo(100), func() { si.compareAndSwap(a) })
 		lost()
 	default:
-		if revision, ok := w.swap(a); ok {
+		if revision, ok := si.compareAndSwap(a); ok {
 			reply(claimer.NewWriteDone(a.Call(), revision))
 			return
 		}
-		s := w.page(a.Key())
+		s := si.currentPage(a.Key())
 		reply(claimer.NewConflict(a.Call(), s.data, s.revision))
 	}
 }
 
-func (w *world) swap(a *claimer.Write) (int64, bool) {
-	if w.forgetful {
-		w.last++
-		return w.last, true
+func (si *sim) compareAndSwap(a *claimer.Write) (int64, bool) {
+	if si.losesClaims {
+		si.lastRevision++
+		return si.lastRevision, true
 	}
-	if w.page(a.Key()).revision != a.Expect() {
+	if si.currentPage(a.Key()).revision != a.Expect() {
 		return 0, false
 	}
-	w.last++
-	w.pages[a.Key()] = append(w.pages[a.Key()], stored{a.Data(), w.last})
-	return w.last, true
+	si.lastRevision++
+	si.pages[a.Key()] = append(si.pages[a.Key()], pageState{a.Data(), si.lastRevision})
+	return si.lastRevision, true
 }
 
-// disturb schedules outages, slowness, deaths and pauses until faultEnd.
-func (w *world) disturb() {
-	if w.off {
+// scheduleFaults schedules outages, slowness, restarts and pauses until faultEnd.
+func (si *sim) scheduleFaults() {
+	if si.disabled {
 		return
 	}
-	w.after(w.upTo(faultEnd/2), func() { w.down = true })
-	w.after(faultEnd/2+w.upTo(faultEnd/2), func() { w.down = false })
-	w.after(w.upTo(faultEnd), func() { w.slow = true })
-	w.after(faultEnd, func() { w.slow, w.down, w.off = false, false, true })
+	si.after(si.upTo(faultEnd/2), func() { si.down = true })
+	si.after(faultEnd/2+si.upTo(faultEnd/2), func() { si.down = false })
+	si.after(si.upTo(faultEnd), func() { si.slow = true })
+	si.after(faultEnd, func() { si.slow, si.down, si.disabled = false, false, true })
 	for range 6 {
-		v := w.vms[w.random.IntN(len(w.vms))]
-		w.after(w.upTo(faultEnd), v.start)
+		v := si.vms[si.random.IntN(len(si.vms))]
+		si.after(si.upTo(faultEnd), v.start)
 	}
 	for range 4 {
-		v := w.vms[w.random.IntN(len(w.vms))]
-		w.after(w.upTo(faultEnd), func() { v.paused = w.now + w.upTo(400) })
+		v := si.vms[si.random.IntN(len(si.vms))]
+		si.after(si.upTo(faultEnd), func() { v.pausedUntil = si.now + si.upTo(400) })
 	}
 }
--- a/tier/claimer/timers.go
+++ b/tier/claimer/timers.go
@@ -7,13 +7,13 @@
 	"cicadagrade.example/tier"
 )
 
-// timer is the deadline of one ticket.
+// timer is the deadline of one submission.
 type timer struct {
-	at     tier.Millis
-	ticket uint64
+	at           tier.Millis
+	submissionID uint64
 }
 
-// timers is a heap of deadlines, the earliest first.
+// timers is a min-heap of deadlines.
 type timers []timer
 
 // Len implements heap.Interface.
@@ -36,7 +36,7 @@
 	return x
 }
 
-func (t *timers) add(at tier.Millis, ticket uint64) { heap.Push(t, timer{at, ticket}) }
+func (t *timers) add(at tier.Millis, submissionID uint64) { heap.Push(t, timer{at, submissionID}) }
 
 func (t timers) first() (tier.Millis, bool) {
 	if len(t) == 0 {
@@ -45,12 +45,12 @@
 	return t[0].at, true
 }
 
-// expired takes a ticket whose time has come, if there is one.
+// expired removes and returns a submission whose deadline has passed, if there is one.
 func (t *timers) expired(now tier.Millis) (uint64, bool) {
 	if len(*t) == 0 || (*t)[0].at > now {
 		return 0, false
 	}
-	return heap.Pop(t).(timer).ticket, true
+	return heap.Pop(t).(timer).submissionID, true
 }
 
 func sortedKeys[V any](m map[string]V) []string {
