--- a/tier/keeper/event.go
+++ b/tier/keeper/event.go
@@ -6,29 +6,29 @@
 	"cicadagrade.example/tier/storer"
 )
 
-// Event is what a Keeper reacts to.
+// Event is an input of Replicator.Step.
 type Event interface{ event() }
 
-// Listed brings the answer to List: every configuration key of the store.
+// Listed gives the result of List: the values of all configuration keys in the store.
 type Listed struct{ values []storer.Value }
 
 // NewListed returns the event.
 func NewListed(values []storer.Value) *Listed { return &Listed{values: values} }
 
-// ListFailed says that the store did not answer List.
+// ListFailed says that List failed.
 type ListFailed struct{}
 
-// Changed brings one change that the watch saw.
+// Changed gives one change reported by the watch.
 type Changed struct{ value storer.Value }
 
 // NewChanged returns the event.
 func NewChanged(v storer.Value) *Changed { return &Changed{value: v} }
 
-// WatchEnded says that the watch broke.
+// WatchEnded says that the watch broke off.
 type WatchEnded struct{}
 
-// Members names the live VMs: those of this data centre, with this VM, and
-// those elsewhere.
+// Members gives the live VMs: those of this data centre, including this VM, and those of
+// other data centres.
 type Members struct {
 	local  []string
 	remote []string
@@ -37,7 +37,7 @@
 // NewMembers returns the event.
 func NewMembers(local, remote []string) *Members { return &Members{local: local, remote: remote} }
 
-// Announced brings the refs that another VM publishes.
+// Announced gives the document versions that another VM announces.
 type Announced struct {
 	vm   string
 	refs []Ref
@@ -46,7 +46,7 @@
 // NewAnnounced returns the event.
 func NewAnnounced(vm string, refs []Ref) *Announced { return &Announced{vm: vm, refs: refs} }
 
-// Fetched brings a VM's answer to Fetch.
+// Fetched gives a VM's reply to Fetch.
 type Fetched struct {
 	vm      string
 	updates []Update
@@ -55,13 +55,13 @@
 // NewFetched returns the event.
 func NewFetched(vm string, updates []Update) *Fetched { return &Fetched{vm: vm, updates: updates} }
 
-// FetchFailed says that a VM did not answer Fetch.
+// FetchFailed says that a VM did not reply to Fetch.
 type FetchFailed struct{ vm string }
 
 // NewFetchFailed returns the event.
 func NewFetchFailed(vm string) *FetchFailed { return &FetchFailed{vm: vm} }
 
-// Tick says that the time given by Next has come.
+// Tick says that the time given by Replicator.Next has come.
 type Tick struct{}
 
 func (*Listed) event()      {}
@@ -74,47 +74,46 @@
 func (*FetchFailed) event() {}
 func (*Tick) event()        {}
 
-// Action is what a Keeper asks its driver to do.
+// Action is an output of Replicator.Step, to be performed by the caller.
 type Action interface{ action() }
 
-// List asks to read every configuration key of the store: Listed or
-// ListFailed follows.
+// List asks to read all configuration keys from the store. Listed or ListFailed follows.
 type List struct{}
 
-// Watch asks to watch the configuration keys after a store revision, until
+// Watch asks to watch the configuration keys for changes after a store revision, until
 // WatchEnded or EndWatch.
 type Watch struct{ from int64 }
 
-// From is the store's revision to start after.
+// From is the store revision after which the watch starts.
 func (a *Watch) From() int64 { return a.from }
 
-// EndWatch asks to end the watch; no WatchEnded follows.
+// EndWatch asks to end the watch. No WatchEnded follows.
 type EndWatch struct{}
 
-// Fetch asks a VM for documents: Fetched or FetchFailed follows.
+// Fetch asks to fetch documents from a VM. Fetched or FetchFailed follows.
 type Fetch struct {
 	vm   string
 	have []Ref
 }
 
-// VM is the VM to ask.
+// VM is the VM to fetch from.
 func (a *Fetch) VM() string { return a.vm }
 
-// Have names the wanted documents with what is held of each; a revision of
-// 0 stands for nothing.
+// Have lists the wanted documents, each with the version that this VM holds; revision 0
+// means that it holds none.
 func (a *Fetch) Have() []Ref { return a.have }
 
-// Took says that a document came into force on this VM.
+// Took says that this VM now serves a new state of a document.
 type Took struct{ state *State }
 
-// State is the document's new state.
+// State is the new state of the document.
 func (a *Took) State() *State { return a.state }
 
-// Warned says that a flag was raised.
-type Warned struct{ flag Flag }
+// Warned says that a new alert was raised.
+type Warned struct{ alert Flag }
 
-// Flag is what was raised.
-func (a *Warned) Flag() Flag { return a.flag }
+// Flag is the alert.
+func (a *Warned) Flag() Flag { return a.alert }
 
 func (*List) action()     {}
 func (*Watch) action()    {}
@@ -123,50 +122,50 @@
 func (*Took) action()     {}
 func (*Warned) action()   {}
 
-// Trouble names what is wrong with a document.
+// Trouble is the kind of problem with a document.
 type Trouble string
 
-// The troubles.
+// The kinds of alert.
 const (
-	// StoreBehind: the store shows an older state than this VM serves, or
-	// none: it answered stale, restarted empty or was restored.
+	// StoreBehind: the store shows an older state than this VM serves, or none. It served
+	// a stale read, was restarted empty or was restored from a backup.
 	StoreBehind Trouble = "store-behind"
-	// Forked: another state with the same or a higher revision does not
+	// Forked: a state with the same or a higher revision was offered that does not
 	// descend from the one this VM serves.
 	Forked Trouble = "forked"
-	// Damaged: a state that was offered can't be read.
+	// Damaged: a state was offered that can't be decoded.
 	Damaged Trouble = "damaged"
 )
 
-// Flag is a trouble with one document that an operator has to look at. The
-// VM goes on serving what it holds.
+// Flag is a problem with one document that an operator has to look at. The VM continues
+// to serve the state that it holds.
 type Flag struct {
-	trouble Trouble
+	kind    Trouble
 	served  Ref
-	seen    Ref
+	offered Ref
 	source  string
 }
 
-// Trouble names what is wrong.
-func (f Flag) Trouble() Trouble { return f.trouble }
+// Trouble is the kind of problem.
+func (a Flag) Trouble() Trouble { return a.kind }
 
-// Served is the state that this VM serves.
-func (f Flag) Served() Ref { return f.served }
+// Served is the version that this VM serves.
+func (a Flag) Served() Ref { return a.served }
 
-// Seen is the state that was offered instead; revision 0 stands for none.
-func (f Flag) Seen() Ref { return f.seen }
+// Seen is the version that was offered instead; revision 0 means none.
+func (a Flag) Seen() Ref { return a.offered }
 
-// Source is "store" or the name of the VM that offered it.
-func (f Flag) Source() string { return f.source }
+// Source is "store", or the name of the VM that offered the state.
+func (a Flag) Source() string { return a.source }
 
-// String tells an operator what is wrong, on one line.
-func (f Flag) String() string {
-	seen := "nothing"
-	if f.seen.revision > 0 {
-		seen = f.seen.String()
+// String describes the problem to an operator, on one line.
+func (a Flag) String() string {
+	offered := "nothing"
+	if a.offered.revision > 0 {
+		offered = a.offered.String()
 	}
-	if f.trouble == Damaged {
-		seen = "a document that can't be read"
+	if a.kind == Damaged {
+		offered = "a document that can't be read"
 	}
-	return fmt.Sprintf("%s: %s shows %s, this VM serves %s; reconcile %s", f.trouble, f.source, seen, f.served, f.served.key)
+	return fmt.Sprintf("%s: %s shows %s, this VM serves %s; reconcile %s", a.kind, a.source, offered, a.served, a.served.key)
 }
--- a/tier/keeper/fetch.go
+++ b/tier/keeper/fetch.go
@@ -6,30 +6,32 @@
 	"cicadagrade.example/tier"
 )
 
-// hear takes what another VM announces.
-func (k *Keeper) hear(e *Announced, out *actions) {
+// handleAnnounced stores what another VM announces, and raises an alert if it announces
+// another state at the version that this VM serves.
+func (rp *Keeper) handleAnnounced(e *Announced, out *actions) {
 	refs := make(map[string]Ref, len(e.refs))
 	for _, r := range e.refs {
 		refs[r.key] = r
-		served := k.refOf(r.key)
+		served := rp.refOf(r.key)
 		switch {
-		case served.revision == 0 || !r.level(served):
+		case served.revision == 0 || !r.sameVersion(served):
 		case r.digest == served.digest:
-			k.clear(r.key, e.vm)
+			rp.clearAlert(r.key, e.vm)
 		default:
-			k.raise(Flag{trouble: Forked, served: served, seen: r, source: e.vm}, out)
+			rp.raiseAlert(Flag{kind: Forked, served: served, offered: r, source: e.vm}, out)
 		}
 	}
-	k.announced[e.vm] = refs
+	rp.announced[e.vm] = refs
 }
 
-// wanted lists what a VM announces and this VM lacks, sorted by key, with
-// what is held of each.
-func (k *Keeper) wanted(vm string) []Ref {
+// newerAt lists the documents of which a VM announces a later version than this VM
+// holds, sorted by key, each with the version held here. The revision is 0 if a delta
+// could not be applied and the whole document is needed.
+func (rp *Keeper) newerAt(vm string) []Ref {
 	var out []Ref
-	for key, r := range k.announced[vm] {
-		if have := k.refOf(key); r.Above(have) && !k.refused[r] {
-			if k.wholeOnly[key] {
+	for key, r := range rp.announced[vm] {
+		if have := rp.refOf(key); r.Above(have) && !rp.rejected[r] {
+			if rp.needsWhole[key] {
 				have = Ref{key: key}
 			}
 			out = append(out, have)
@@ -39,43 +41,44 @@
 	return out
 }
 
-// planFetch asks one VM at a time, preferring those of this data centre.
-func (k *Keeper) planFetch(now tier.Millis, out *actions) {
-	if k.fetching != "" {
+// planFetch starts a fetch when one is due: from one VM at a time, chosen at random,
+// preferably from this data centre.
+func (rp *Keeper) planFetch(now tier.Millis, out *actions) {
+	if rp.fetchingFrom != "" {
 		return
 	}
-	local, remote, retry := k.sources(now)
+	local, remote, retry := rp.fetchSources(now)
 	if len(local) == 0 {
 		local = remote
 	}
 	if len(local) == 0 {
-		k.fetchAt = retry
+		rp.nextFetchAt = retry
 		return
 	}
-	if k.fetchAt > now+fetchSpread {
-		k.fetchAt = now + k.random64(fetchSpread)
+	if rp.nextFetchAt > now+fetchSpread {
+		rp.nextFetchAt = now + rp.upTo(fetchSpread)
 	}
-	if now < k.fetchAt {
+	if now < rp.nextFetchAt {
 		return
 	}
-	k.fetching = local[k.random.IntN(len(local))]
-	k.fetchAt = never
-	k.counts.fetches++
-	out.add(&Fetch{vm: k.fetching, have: k.wanted(k.fetching)})
+	rp.fetchingFrom = local[rp.random.IntN(len(local))]
+	rp.nextFetchAt = never
+	rp.counts.fetches++
+	out.add(&Fetch{vm: rp.fetchingFrom, have: rp.newerAt(rp.fetchingFrom)})
 }
 
-// sources lists the VMs that hold what this VM lacks, and when to look again
-// at those that failed.
-func (k *Keeper) sources(now tier.Millis) (local, remote []string, retry tier.Millis) {
+// fetchSources lists the VMs that announce later versions than this VM holds, and the
+// time of the next retry of those whose last fetch failed.
+func (rp *Keeper) fetchSources(now tier.Millis) (local, remote []string, retry tier.Millis) {
 	retry = never
-	for vm := range k.announced {
-		if !k.usable(vm) || len(k.wanted(vm)) == 0 {
+	for vm := range rp.announced {
+		if !rp.assumedLive(vm) || len(rp.newerAt(vm)) == 0 {
 			continue
 		}
 		switch {
-		case now < k.badPeers[vm]:
-			retry = min(retry, k.badPeers[vm])
-		case k.local[vm]:
+		case now < rp.retryPeerAt[vm]:
+			retry = min(retry, rp.retryPeerAt[vm])
+		case rp.localVMs[vm]:
 			local = append(local, vm)
 		default:
 			remote = append(remote, vm)
@@ -86,77 +89,76 @@
 	return local, remote, retry
 }
 
-func (k *Keeper) fetched(now tier.Millis, e *Fetched, out *actions) {
-	if k.fetching == e.vm {
-		k.fetching = ""
+func (rp *Keeper) handleFetched(now tier.Millis, e *Fetched, out *actions) {
+	if rp.fetchingFrom == e.vm {
+		rp.fetchingFrom = ""
 	}
-	retry := fetchRetry
+	retry := fetchRetryDelay
 	for _, u := range e.updates {
-		s, err := k.documents[u.ref.key].resolve(u)
+		s, err := rp.documents[u.ref.key].resolveUpdate(u)
 		switch {
 		case err == nil:
-			k.offer(s, e.vm, out)
+			rp.adoptIfNewer(s, e.vm, out)
 		case u.delta != nil:
-			k.wholeOnly[u.ref.key] = true
+			rp.needsWhole[u.ref.key] = true
 		default:
-			retry = damagedRetry
-			k.raise(Flag{trouble: Damaged, served: k.refOf(u.ref.key), seen: u.ref, source: e.vm}, out)
+			retry = damagedRetryDelay
+			rp.raiseAlert(Flag{kind: Damaged, served: rp.refOf(u.ref.key), offered: u.ref, source: e.vm}, out)
 		}
 	}
-	if !k.watcher && len(k.documents) > 0 {
-		k.listAt = max(k.listAt, now+k.jitter(otherReadPeriod))
+	if !rp.watcher && len(rp.documents) > 0 {
+		rp.nextListAt = max(rp.nextListAt, now+rp.jitter(nonWatcherReadPeriod))
 	}
-	if len(k.wanted(e.vm)) > 0 {
-		k.badPeers[e.vm] = now + k.jitter(retry)
+	if len(rp.newerAt(e.vm)) > 0 {
+		rp.retryPeerAt[e.vm] = now + rp.jitter(retry)
 	}
 }
 
-func (k *Keeper) fetchFailed(now tier.Millis, vm string) {
-	if k.fetching == vm {
-		k.fetching = ""
+func (rp *Keeper) handleFetchFailed(now tier.Millis, vm string) {
+	if rp.fetchingFrom == vm {
+		rp.fetchingFrom = ""
 	}
-	k.badPeers[vm] = now + k.jitter(fetchRetry)
+	rp.retryPeerAt[vm] = now + rp.jitter(fetchRetryDelay)
 }
 
-// Answer returns the updates for a peer that names what it holds: a revision
-// of 0 asks for the whole document. With all, every other document comes
-// too.
-func (k *Keeper) Answer(have []Ref, all bool) []Update {
+// Answer returns the updates for a peer that lists the versions it holds; a revision of 0
+// requests the whole document. With all, the documents that it does not list are added.
+func (rp *Keeper) Answer(have []Ref, all bool) []Update {
 	var out []Update
 	asked := map[string]bool{}
 	for _, r := range have {
 		asked[r.key] = true
-		if h, ok := k.documents[r.key]; ok && h.state.ref.Above(r) {
-			out = append(out, h.update(r))
+		if sd, ok := rp.documents[r.key]; ok && sd.state.ref.Above(r) {
+			out = append(out, sd.updateFrom(r))
 		}
 	}
 	if !all {
 		return out
 	}
-	for _, s := range k.Documents() {
+	for _, s := range rp.Documents() {
 		if !asked[s.ref.key] {
-			out = append(out, k.documents[s.ref.key].update(Ref{key: s.ref.key}))
+			out = append(out, rp.documents[s.ref.key].updateFrom(Ref{key: s.ref.key}))
 		}
 	}
 	return out
 }
 
-// Index lists the refs that this VM announces. Watchers announce all they
-// hold; the others only what no live VM has announced as high, so that a
-// change costs a data centre few announcements.
-func (k *Keeper) Index() []Ref {
+// Index lists the versions that this VM announces. Watchers announce all documents they
+// hold. The other VMs announce only those of which no live VM has announced the same or a
+// later version, so that a change causes few announcements in a data centre.
+func (rp *Keeper) Index() []Ref {
 	var out []Ref
-	for _, s := range k.Documents() {
-		if k.watcher || !k.announcedByOthers(s.ref) {
+	for _, s := range rp.Documents() {
+		if rp.watcher || !rp.announcedByOthers(s.ref) {
 			out = append(out, s.ref)
 		}
 	}
 	return out
 }
 
-func (k *Keeper) announcedByOthers(r Ref) bool {
-	for vm, refs := range k.announced {
-		if o, ok := refs[r.key]; ok && !r.Above(o) && k.usable(vm) {
+func (rp *Keeper) announcedByOthers(r Ref) bool {
+	for vm, refs := range rp.announced {
+		if o, ok := refs[r.key]; ok && !r.Above(o) && rp.assumedLive(vm) {
 			return true
 		}
 	}
--- a/tier/keeper/memory_test.go
+++ b/tier/keeper/heap_test.go
@@ -8,13 +8,13 @@
 	"cicadagrade.example/tier/keeper"
 )
 
-// BenchmarkSetMemory is the heap that a set in force takes, by its servers,
-// and the bytes of its document in the store.
+// BenchmarkSetMemory measures the heap that a served shard set takes by its number of
+// servers, and the size of the stored document.
 func BenchmarkSetMemory(b *testing.B) {
 	for _, servers := range []int{20, 220, 880, 2600} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			var states []*keeper.State
-			before := heap()
+			before := heapBytes()
 			for b.Loop() {
 				s, _ := keeper.Next(nil, bigSet(b, servers, 2), keeper.NewAuthor("ana", "9f2d6c1b7a3e4f50", "new set", 0))
 				read, err := keeper.Decode(s.Ref().Key(), s.Encode())
@@ -23,14 +23,14 @@
 				}
 				states = append(states, read)
 			}
-			b.ReportMetric(float64(heap()-before)/float64(len(states)), "heap-bytes/set")
+			b.ReportMetric(float64(heapBytes()-before)/float64(len(states)), "heap-bytes/set")
 			b.ReportMetric(float64(len(states[0].Encode())), "document-bytes")
 			runtime.KeepAlive(states)
 		})
 	}
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
--- a/tier/keeper/load_test.go
+++ b/tier/keeper/load_test.go
@@ -14,50 +14,50 @@
 
 const stepLength = 50 * tier.Millis(1)
 
-// simulation drives the keepers of whole data centres against a store that
-// answers at once, on a manual clock, and counts the store's calls.
+// simulation runs the replicators of whole data centres on a manual clock, with a store
+// that replies at once, and counts the calls to the store.
 type simulation struct {
-	now      tier.Millis
-	keepers  []*keeper.Keeper
-	names    []string
-	centre   []int
-	local    [][]string // by data centre
-	said     [][]keeper.Ref
-	values   []storer.Value
-	gossip   bool
-	calls    map[tier.Millis]int // by second
-	total    int
-	document *keeper.State
+	now            tier.Millis
+	replicators    []*keeper.Keeper
+	names          []string
+	dataCentreOf   []int
+	local          [][]string // by data centre
+	announced      [][]keeper.Ref
+	values         []storer.Value
+	gossip         bool
+	callsPerSecond map[tier.Millis]int // by second
+	totalCalls     int
+	document       *keeper.State
 }
 
-func newSimulation(centres, perCentre int, gossip bool) *simulation {
-	s := &simulation{gossip: gossip, calls: map[tier.Millis]int{}, local: make([][]string, centres)}
-	s.document = line(nil, "main", 1)[0]
-	s.values = []storer.Value{value(s.document, 1)}
-	for c := range centres {
-		for i := range perCentre {
+func newSimulation(dataCentres, vmsPerDataCentre int, gossip bool) *simulation {
+	s := &simulation{gossip: gossip, callsPerSecond: map[tier.Millis]int{}, local: make([][]string, dataCentres)}
+	s.document = history(nil, "main", 1)[0]
+	s.values = []storer.Value{storeValue(s.document, 1)}
+	for c := range dataCentres {
+		for i := range vmsPerDataCentre {
 			name := fmt.Sprintf("vm-%d-%d", c, i)
 			s.names = append(s.names, name)
-			s.centre = append(s.centre, c)
+			s.dataCentreOf = append(s.dataCentreOf, c)
 			s.local[c] = append(s.local[c], name)
-			s.keepers = append(s.keepers, keeper.New(name,
+			s.replicators = append(s.replicators, keeper.New(name,
 				keeper.WithDataCentre(fmt.Sprint(c)), keeper.WithSeeds(3), keeper.WithSeed(1)))
 		}
 	}
-	s.said = make([][]keeper.Ref, centres)
+	s.announced = make([][]keeper.Ref, dataCentres)
 	return s
 }
 
 func (s *simulation) step(i int, e keeper.Event) {
-	for _, a := range s.keepers[i].Step(s.now, e) {
+	for _, a := range s.replicators[i].Step(s.now, e) {
 		switch a := a.(type) {
 		case *keeper.List:
-			s.count()
+			s.countCall()
 			s.step(i, keeper.NewListed(s.values))
 		case *keeper.Watch:
-			s.count()
+			s.countCall()
 		case *keeper.Fetch:
-			peer := s.keepers[s.indexOf(a.VM())]
+			peer := s.replicators[s.indexOf(a.VM())]
 			s.step(i, keeper.NewFetched(a.VM(), peer.Answer(a.Have(), false)))
 		}
 	}
@@ -72,21 +72,21 @@
 	return -1
 }
 
-func (s *simulation) count() {
-	s.calls[s.now/tier.Second]++
-	s.total++
+func (s *simulation) countCall() {
+	s.callsPerSecond[s.now/tier.Second]++
+	s.totalCalls++
 }
 
-// run starts all VMs at once. With gossip, members are known after two
-// seconds, and announcements reach the data centre every quarter second.
+// run starts all VMs at once. With gossip, the members are known after two seconds, and
+// announcements reach the whole data centre every 250 ms.
 func (s *simulation) run(length tier.Millis) {
 	for s.now = 0; s.now < length; s.now += stepLength {
-		for i, k := range s.keepers {
-			if at, ok := k.Next(); s.now == 0 || (ok && at <= s.now) {
+		for i, rp := range s.replicators {
+			if at, ok := rp.Next(); s.now == 0 || (ok && at <= s.now) {
 				s.step(i, &keeper.Tick{})
 			}
 			if s.gossip && s.now == 2*tier.Second {
-				s.step(i, keeper.NewMembers(s.local[s.centre[i]], nil))
+				s.step(i, keeper.NewMembers(s.local[s.dataCentreOf[i]], nil))
 			}
 		}
 		if s.gossip && s.now > 2*tier.Second && s.now%250 == 0 && s.now < tier.Minute {
@@ -96,12 +96,12 @@
 }
 
 func (s *simulation) announce() {
-	for i, k := range s.keepers {
-		c := s.centre[i]
-		if refs := k.Index(); k.Watcher() && len(refs) > 0 && s.said[c] == nil {
-			s.said[c] = refs
-			for j := range s.keepers {
-				if s.centre[j] == c && j != i {
+	for i, rp := range s.replicators {
+		c := s.dataCentreOf[i]
+		if refs := rp.Index(); rp.Watcher() && len(refs) > 0 && s.announced[c] == nil {
+			s.announced[c] = refs
+			for j := range s.replicators {
+				if s.dataCentreOf[j] == c && j != i {
 					s.step(j, keeper.NewAnnounced(s.names[i], refs))
 				}
 			}
@@ -109,41 +109,41 @@
 	}
 }
 
-func (s *simulation) worstSecond() int {
-	worst := 0
-	for _, n := range s.calls {
-		worst = max(worst, n)
+func (s *simulation) maxCallsPerSecond() int {
+	highest := 0
+	for _, n := range s.callsPerSecond {
+		highest = max(highest, n)
 	}
-	return worst
+	return highest
 }
 
-// TestBulkRestart: when 8,190 VMs start at once, the store gets fewer than
-// 2,000 calls in any second, also when no VM hears of another; each VM ends
-// with the configuration. Without the spread of first reads it gets more.
+// TestBulkRestart checks that the store gets fewer than 2,000 calls in any second when
+// 8,190 VMs start at once, even if no VM hears of another, and that each VM gets the
+// configuration. Without the spread of first reads the store gets more calls than that.
 func TestBulkRestart(t *testing.T) {
 	for _, gossip := range []bool{true, false} {
 		s := newSimulation(30, 273, gossip)
 		s.run(25 * tier.Second)
-		t.Logf("gossip %t: %d calls, %d in the worst second", gossip, s.total, s.worstSecond())
-		if s.worstSecond() >= 2000 {
-			t.Errorf("gossip %t: %d calls in a second", gossip, s.worstSecond())
+		t.Logf("gossip %t: %d calls, %d in the worst second", gossip, s.totalCalls, s.maxCallsPerSecond())
+		if s.maxCallsPerSecond() >= 2000 {
+			t.Errorf("gossip %t: %d calls in a second", gossip, s.maxCallsPerSecond())
 		}
-		for i, k := range s.keepers {
-			if len(k.Documents()) == 0 {
+		for i, rp := range s.replicators {
+			if len(rp.Documents()) == 0 {
 				t.Fatalf("gossip %t: no configuration on %s", gossip, s.names[i])
 			}
 		}
 	}
 	broken := newSimulation(30, 273, false)
-	for i := range broken.keepers {
-		broken.keepers[i] = keeper.New(broken.names[i]) // told of no others
+	for i := range broken.replicators {
+		broken.replicators[i] = keeper.New(broken.names[i]) // without seeds: no spread
 	}
-	if broken.run(5 * tier.Second); broken.worstSecond() < 2000 {
-		t.Errorf("the check accepts a bulk restart without a spread: %d", broken.worstSecond())
+	if broken.run(5 * tier.Second); broken.maxCallsPerSecond() < 2000 {
+		t.Errorf("a bulk restart without a spread passes: %d calls in a second", broken.maxCallsPerSecond())
 	}
 }
 
-// BenchmarkStoreCalls counts the store's calls of an hour without changes.
+// BenchmarkStoreCalls counts the calls to the store in an hour without changes.
 func BenchmarkStoreCalls(b *testing.B) {
 	for _, size := range [][2]int{{3, 2}, {1, 30}, {1, 100}, {1, 270}} {
 		b.Run(fmt.Sprintf("centres=%d/vms=%d", size[0], size[1]), func(b *testing.B) {
@@ -152,14 +152,14 @@
 				s = newSimulation(size[0], size[1], true)
 				s.run(tier.Hour)
 			}
-			b.ReportMetric(float64(s.total), "calls/h")
-			b.ReportMetric(float64(s.total)/float64(len(s.keepers)), "calls/vm/h")
-			b.ReportMetric(float64(s.worstSecond()), "worst-calls/s")
+			b.ReportMetric(float64(s.totalCalls), "calls/h")
+			b.ReportMetric(float64(s.totalCalls)/float64(len(s.replicators)), "calls/vm/h")
+			b.ReportMetric(float64(s.maxCallsPerSecond()), "worst-calls/s")
 		})
 	}
 }
 
-// BenchmarkUpdateBytes measures what a VM gets for one changed server of a
+// BenchmarkUpdateBytes measures the size of the update for one changed server of a shard
 // set, whole and as a delta.
 func BenchmarkUpdateBytes(b *testing.B) {
 	for _, servers := range []int{20, 2600} {
@@ -168,30 +168,30 @@
 			next, _ := keeper.Next(first, bigSet(b, servers, 4), keeper.NewAuthor("ana", "0a1b2c3d4e5f6071", "more slots", 0))
 			var delta []keeper.Update
 			for b.Loop() {
-				delta = update(next, first.Ref(), first)
+				delta = updateFrom(next, first.Ref(), first)
 			}
-			whole := update(next, keeper.Ref{})
+			whole := updateFrom(next, keeper.Ref{})
 			b.ReportMetric(float64(len(delta[0].Delta())), "delta-bytes")
 			b.ReportMetric(float64(len(whole[0].Whole())), "whole-bytes")
 		})
 	}
 }
 
-// BenchmarkTakeDelta measures the processor time of a VM for one changed
-// server of a set that comes as a delta.
+// BenchmarkTakeDelta measures the time that a VM needs to adopt a delta with one changed
+// server of a shard set.
 func BenchmarkTakeDelta(b *testing.B) {
 	for _, servers := range []int{20, 2600} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			state, _ := keeper.Next(nil, bigSet(b, servers, 1), keeper.NewAuthor("ana", "change-0", "new set", 0))
-			k := keeper.New("a")
-			k.Step(0, keeper.NewChanged(value(state, 1)))
+			rp := keeper.New("a")
+			rp.Step(0, keeper.NewChanged(storeValue(state, 1)))
 			for i := 1; b.Loop(); i++ {
 				b.StopTimer()
 				next, _ := keeper.Next(state, bigSet(b, servers, 1+i%20), keeper.NewAuthor("ana", fmt.Sprint("change-", i), "slots", 0))
-				u := update(next, state.Ref(), state)
+				u := updateFrom(next, state.Ref(), state)
 				b.StartTimer()
-				if len(taken(k.Step(0, keeper.NewFetched("peer", u)))) != 1 {
-					b.Fatal("not taken")
+				if len(adoptedStates(rp.Step(0, keeper.NewFetched("peer", u)))) != 1 {
+					b.Fatal("not adopted")
 				}
 				state = next
 			}
@@ -199,7 +199,8 @@
 	}
 }
 
-// bigSet is a set of n servers with a shard each; slots is that of the first.
+// bigSet returns a shard set with n servers of one shard each. The first server has this
+// many slots.
 func bigSet(b *testing.B, n, slots int) parser.Document {
 	var servers []tier.Backend
 	var shards []tier.Shard
@@ -224,55 +225,56 @@
 	return parser.NewSetDocument(set)
 }
 
-// TestReadsKeepTheirGap: however a store answers and members change, a VM
-// reads it at most once a second, and watches it at most once for each read.
-func TestReadsKeepTheirGap(t *testing.T) {
+// TestReadsKeepMinimumGap checks that a VM reads the store at most once a second and
+// starts at most one watch per read, however the store replies and the members change.
+func TestReadsKeepMinimumGap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		k := keeper.New("a", keeper.WithDataCentre("x"))
+		rp := keeper.New("a", keeper.WithDataCentre("x"))
 		var reads []tier.Millis
-		now, asked, watched, watches := tier.Millis(0), false, false, 0
+		now, listing, watching, watches := tier.Millis(0), false, false, 0
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			now += tier.Millis(rapid.IntRange(0, 3000).Draw(t, "pause"))
-			e := storeEvent(t, asked, watched)
+			e := storeEvent(t, listing, watching)
 			switch e.(type) {
 			case *keeper.Listed, *keeper.ListFailed:
-				asked = false
+				listing = false
 			case *keeper.WatchEnded:
-				watched = false
+				watching = false
 			}
-			for _, a := range k.Step(now, e) {
+			for _, a := range rp.Step(now, e) {
 				switch a.(type) {
 				case *keeper.List:
-					reads, asked = append(reads, now), true
+					reads, listing = append(reads, now), true
 				case *keeper.Watch:
-					watches, watched = watches+1, true
+					watches, watching = watches+1, true
 				case *keeper.EndWatch:
-					watched = false
+					watching = false
 				}
 			}
 		}
-		if err := gap(reads); err != nil || watches > len(reads) {
+		if err := findShortGap(reads); err != nil || watches > len(reads) {
 			t.Fatalf("%d watches after %d reads, %v", watches, len(reads), err)
 		}
 	})
 }
 
-// storeEvent draws an event; the store only answers what was asked.
-func storeEvent(t *rapid.T, asked, watched bool) keeper.Event {
+// storeEvent draws an event. Events of the store are drawn only if they can follow from
+// what was requested.
+func storeEvent(t *rapid.T, listing, watching bool) keeper.Event {
 	events := []keeper.Event{
 		&keeper.Tick{}, keeper.NewMembers([]string{"a"}, nil), keeper.NewMembers([]string{"a", "b", "c", "d", "e"}, nil),
 	}
-	if asked {
+	if listing {
 		events = append(events, &keeper.ListFailed{}, keeper.NewListed(nil))
 	}
-	if watched {
+	if watching {
 		events = append(events, &keeper.WatchEnded{})
 	}
 	return rapid.SampledFrom(events).Draw(t, "event")
 }
 
-// gap finds two reads less than a second apart.
-func gap(reads []tier.Millis) error {
+// findShortGap returns an error if two reads are less than a second apart.
+func findShortGap(reads []tier.Millis) error {
 	for i := 1; i < len(reads); i++ {
 		if reads[i]-reads[i-1] < tier.Second {
 			return fmt.Errorf("reads at %d and %d", reads[i-1], reads[i])
@@ -281,21 +283,21 @@
 	return nil
 }
 
-// TestCheckObjectsToCloseReads shows the check of the gap able to fail: a
-// keeper that is started anew after each failure reads without a pause.
-func TestCheckObjectsToCloseReads(t *testing.T) {
+// TestGapCheckDetectsCloseReads checks that findShortGap detects reads that are too
+// close: those of a replicator that is restarted after each failure.
+func TestGapCheckDetectsCloseReads(t *testing.T) {
 	var reads []tier.Millis
 	for now := tier.Millis(0); now < 2*tier.Second; now += 100 {
-		k := keeper.New("a")
-		k.Step(now-tier.Second, &keeper.Tick{})
-		k.Step(now-100, &keeper.Tick{})
-		for _, a := range k.Step(now+100, &keeper.Tick{}) {
+		rp := keeper.New("a")
+		rp.Step(now-tier.Second, &keeper.Tick{})
+		rp.Step(now-100, &keeper.Tick{})
+		for _, a := range rp.Step(now+100, &keeper.Tick{}) {
 			if _, ok := a.(*keeper.List); ok {
 				reads = append(reads, now)
 			}
 		}
 	}
-	if gap(reads) == nil {
-		t.Error("the check accepts reads without a pause")
+	if findShortGap(reads) == nil {
+		t.Error("findShortGap accepts reads without a pause")
 	}
 }
--- a/tier/keeper/plan.go
+++ b/tier/keeper/plan.go
@@ -5,146 +5,149 @@
 	"cicadagrade.example/tier/picker"
 )
 
-// setMembers takes the live VMs. What the others announced is kept, in case
-// they become live, but not used.
-func (k *Keeper) setMembers(now tier.Millis, e *Members) {
-	k.members = e.local
-	if known := len(e.local) + len(e.remote); known > k.fleet {
-		k.fleet = known
-		k.settleAt = min(k.startedAt+maxSettleTime, now+settleTime)
-	}
-	k.local = map[string]bool{}
-	k.live = map[string]bool{}
+// handleMembers stores the list of live VMs. Announcements of other VMs are kept but not
+// used, in case the VMs become live again.
+func (rp *Keeper) handleMembers(now tier.Millis, e *Members) {
+	rp.localMembers = e.local
+	if known := len(e.local) + len(e.remote); known > rp.knownVMs {
+		rp.knownVMs = known
+		rp.decideRoleAt = min(rp.startedAt+maxRoleDecisionDelay, now+roleDecisionDelay)
+	}
+	rp.localVMs = map[string]bool{}
+	rp.liveVMs = map[string]bool{}
 	for _, vm := range e.local {
-		k.local[vm] = true
-		k.live[vm] = true
+		rp.localVMs[vm] = true
+		rp.liveVMs[vm] = true
 	}
 	for _, vm := range e.remote {
-		k.live[vm] = true
+		rp.liveVMs[vm] = true
 	}
-	for vm := range k.announced {
-		if len(k.announced) > maxAnnounced && !k.live[vm] {
-			delete(k.announced, vm)
-			delete(k.badPeers, vm)
+	for vm := range rp.announced {
+		if len(rp.announced) > maxAnnouncers && !rp.liveVMs[vm] {
+			delete(rp.announced, vm)
+			delete(rp.retryPeerAt, vm)
 		}
 	}
-	for key, f := range k.flags {
-		if f.source != storeSource && !k.live[f.source] {
-			delete(k.flags, key)
+	for key, a := range rp.alerts {
+		if a.source != storeSource && !rp.liveVMs[a.source] {
+			delete(rp.alerts, key)
 		}
 	}
 }
 
-// usable reports whether what a VM announced counts; before members are told,
-// all count.
-func (k *Keeper) usable(vm string) bool { return k.live == nil || k.live[vm] }
+// assumedLive reports whether the announcements of a VM are used. Before the first
+// Members event those of all VMs are.
+func (rp *Keeper) assumedLive(vm string) bool { return rp.liveVMs == nil || rp.liveVMs[vm] }
 
-// picked reports whether rendezvous hashing makes this VM a watcher. Alone
-// or untold, it is one. The score is that of the gossip's contacts, whose
-// announcements reach the other data centres.
-func (k *Keeper) picked() bool {
-	mine := k.score(k.name)
-	above := 0
-	for _, vm := range k.members {
-		if vm != k.name && k.score(vm) > mine {
-			above++
+// selectedAsWatcher reports whether rendezvous hashing selects this VM as a watcher. A VM
+// that knows no others selects itself. The hash is the one by which the gossip selects
+// the contacts between data centres, so the watchers' announcements reach the other data
+// centres directly.
+func (rp *Keeper) selectedAsWatcher() bool {
+	ownScore := rp.watcherScore(rp.name)
+	higher := 0
+	for _, vm := range rp.localMembers {
+		if vm != rp.name && rp.watcherScore(vm) > ownScore {
+			higher++
 		}
 	}
-	return above < k.watchers
+	return higher < rp.watchers
 }
 
-func (k *Keeper) score(vm string) uint64 { return picker.Score("contact", k.dataCentre, vm) }
+func (rp *Keeper) watcherScore(vm string) uint64 { return picker.Score("contact", rp.dataCentre, vm) }
 
-// planStore starts and ends the watch and reads when it is time.
-func (k *Keeper) planStore(now tier.Millis, out *actions) {
-	if !k.settled && k.alone() {
-		k.settleAt = k.startedAt + maxSettleTime
+// planStoreCalls decides whether this VM is a watcher, ends its watch when it no longer
+// is, and reads the store when a read is due.
+func (rp *Keeper) planStoreCalls(now tier.Millis, out *actions) {
+	if !rp.roleDecided && rp.awaitsPeers() {
+		rp.decideRoleAt = rp.startedAt + maxRoleDecisionDelay
 	}
-	if !k.settled && now < k.settleAt {
+	if !rp.roleDecided && now < rp.decideRoleAt {
 		return
 	}
-	if picked := k.picked(); !k.settled || picked != k.watcher {
-		k.settled, k.watcher = true, picked
-		k.changeRole(now, out)
+	if selected := rp.selectedAsWatcher(); !rp.roleDecided || selected != rp.watcher {
+		rp.roleDecided, rp.watcher = true, selected
+		rp.changeRole(now, out)
 	}
-	if k.listing || now < k.listAt {
+	if rp.listing || now < rp.nextListAt {
 		return
 	}
-	k.listing = true
-	k.counts.lists++
-	k.lastList = now
+	rp.listing = true
+	rp.counts.lists++
+	rp.lastListAt = now
 	out.add(&List{})
 }
 
-// alone reports that this VM has never heard of others that it should know.
-func (k *Keeper) alone() bool { return k.fleet <= 1 && k.seeds > 0 }
+// awaitsPeers reports that this VM has seeds but has never known another VM.
+func (rp *Keeper) awaitsPeers() bool { return rp.knownVMs <= 1 && rp.seeds > 0 }
 
-// changeRole sets the time of the next read. A watcher reads soon, then
-// watches; the others leave peers the time to announce what they hold.
-func (k *Keeper) changeRole(now tier.Millis, out *actions) {
-	if k.watching && !k.watcher {
-		k.watching = false
+// changeRole schedules the next read for the new role. A watcher reads soon and then
+// watches; the other VMs first give peers the time to announce what they hold.
+func (rp *Keeper) changeRole(now tier.Millis, out *actions) {
+	if rp.watching && !rp.watcher {
+		rp.watching = false
 		out.add(&EndWatch{})
 	}
-	spread := max(minReadSpread, tier.Millis(k.fleet)*readSpreadPerVM)
-	if k.alone() {
-		spread = aloneReadSpread
+	spread := max(minFirstReadSpread, tier.Millis(rp.knownVMs)*firstReadSpreadPerVM)
+	if rp.awaitsPeers() {
+		spread = isolatedReadSpread
 	}
 	switch {
-	case k.watcher:
-		k.readAt(now + k.random64(spread))
-	case len(k.documents) == 0:
-		k.readAt(now + peersFirst + k.random64(spread))
+	case rp.watcher:
+		rp.scheduleRead(now + rp.upTo(spread))
+	case len(rp.documents) == 0:
+		rp.scheduleRead(now + peersFirstDelay + rp.upTo(spread))
 	default:
-		k.readAt(now + k.jitter(otherReadPeriod))
+		rp.scheduleRead(now + rp.jitter(nonWatcherReadPeriod))
 	}
 }
 
-func (k *Keeper) random64(m tier.Millis) tier.Millis { return tier.Millis(k.random.Int64N(int64(m))) }
+// upTo returns a random duration in [0, m).
+func (rp *Keeper) upTo(m tier.Millis) tier.Millis { return tier.Millis(rp.random.Int64N(int64(m))) }
 
-// readAt sets the time of the next read, at least minReadGap after the last.
-func (k *Keeper) readAt(at tier.Millis) { k.listAt = max(at, k.lastList+minReadGap) }
+// scheduleRead sets the time of the next read, at least minReadGap after the last one.
+func (rp *Keeper) scheduleRead(at tier.Millis) { rp.nextListAt = max(at, rp.lastListAt+minReadGap) }
 
-// retryStore sets the time of the next read after a failure.
-func (k *Keeper) retryStore(now tier.Millis) {
+// scheduleRetry schedules the next read after a failure, with exponential backoff.
+func (rp *Keeper) scheduleRetry(now tier.Millis) {
 	limit := maxBackoff
 	switch {
-	case k.alone():
-		limit = aloneReadSpread
-	case !k.watcher:
-		limit = max(maxBackoff, tier.Millis(k.fleet)*retrySpreadPerVM)
+	case rp.awaitsPeers():
+		limit = isolatedReadSpread
+	case !rp.watcher:
+		limit = max(maxBackoff, tier.Millis(rp.knownVMs)*retrySpreadPerVM)
 	}
-	k.failures = min(k.failures+1, maxFailures)
-	k.readAt(now + k.jitter(min(limit, minBackoff<<(k.failures-1))))
+	rp.failures = min(rp.failures+1, maxFailures)
+	rp.scheduleRead(now + rp.jitter(min(limit, minBackoff<<(rp.failures-1))))
 }
 
-// watchEnded has the store read again; a watch that lasted resets the
-// backoff.
-func (k *Keeper) watchEnded(now tier.Millis) {
-	if !k.watching {
+// handleWatchEnded schedules a read, which starts the next watch. A watch that lasted
+// long enough resets the backoff.
+func (rp *Keeper) handleWatchEnded(now tier.Millis) {
+	if !rp.watching {
 		return
 	}
-	k.watching = false
-	if now-k.watchedAt >= steadyWatch {
-		k.failures = 0
+	rp.watching = false
+	if now-rp.watchStartedAt >= stableWatchTime {
+		rp.failures = 0
 	}
-	k.retryStore(now)
+	rp.scheduleRetry(now)
 }
 
-func (k *Keeper) readPeriod() tier.Millis {
+func (rp *Keeper) readPeriod() tier.Millis {
 	switch {
-	case !k.watcher:
-		return otherReadPeriod
-	case k.storeDiffers():
-		return differsReadPeriod
+	case !rp.watcher:
+		return nonWatcherReadPeriod
+	case rp.storeDiffers():
+		return storeDiffersReadPeriod
 	default:
 		return watcherReadPeriod
 	}
 }
 
-func (k *Keeper) storeDiffers() bool {
-	for _, f := range k.flags {
-		if f.source == storeSource {
+func (rp *Keeper) storeDiffers() bool {
+	for _, a := range rp.alerts {
+		if a.source == storeSource {
 			return true
 		}
 	}
--- a/tier/keeper/ref.go
+++ b/tier/keeper/ref.go
@@ -7,7 +7,7 @@
 	"cicadagrade.example/tier/parser"
 )
 
-// Prefix starts the keys of all configuration documents.
+// Prefix is the prefix of the store keys of all configuration documents.
 const Prefix = "cicadagrade/config/"
 
 const (
@@ -17,7 +17,7 @@
 	changesPrefix = "cicadagrade/audit-changes/"
 )
 
-// Key is the store's key of a document; name is that of a shard set and
+// Key returns the store key of a document. Name is the name of the shard set; it is
 // ignored for the profiles.
 func Key(kind parser.Kind, name string) string {
 	if kind == parser.KindProfiles {
@@ -26,10 +26,10 @@
 	return setPrefix + name
 }
 
-// KeyOf is the store's key of a document.
-func KeyOf(d parser.Document) string { return Key(d.Kind(), nameOf(d)) }
+// KeyOf returns the store key of a document.
+func KeyOf(d parser.Document) string { return Key(d.Kind(), setName(d)) }
 
-func nameOf(d parser.Document) string {
+func setName(d parser.Document) string {
 	if s, ok := d.(*parser.SetDocument); ok {
 		return s.Set().Name()
 	}
@@ -38,8 +38,8 @@
 
 func documentPath(key string) string { return strings.TrimPrefix(key, Prefix) }
 
-// Ref names one state of a document. The epoch counts reconciliations of
-// the store with the fleet, the revision counts changes.
+// Ref identifies one version of a document. The epoch counts the reconciliations of the
+// store with the fleet, the revision counts the changes.
 type Ref struct {
 	key      string
 	epoch    uint64
@@ -52,7 +52,7 @@
 	return Ref{key: key, epoch: epoch, revision: revision, digest: digest}
 }
 
-// Key is the document's key.
+// Key is the store key of the document.
 func (r Ref) Key() string { return r.key }
 
 // Epoch is the document's epoch.
@@ -64,7 +64,7 @@
 // Digest is the checksum of the document's canonical encoding.
 func (r Ref) Digest() string { return r.digest }
 
-// Above reports whether r is later than o: a higher epoch, or the same epoch
+// Above reports whether r is a later version than o: a higher epoch, or the same epoch
 // and a higher revision.
 func (r Ref) Above(o Ref) bool {
 	if r.epoch != o.epoch {
@@ -73,8 +73,8 @@
 	return r.revision > o.revision
 }
 
-// level reports the same epoch and revision.
-func (r Ref) level(o Ref) bool { return r.epoch == o.epoch && r.revision == o.revision }
+// sameVersion reports whether epoch and revision are equal. The digests may differ.
+func (r Ref) sameVersion(o Ref) bool { return r.epoch == o.epoch && r.revision == o.revision }
 
-// String is the form in logs, such as "cicadagrade/config/profiles@1.4".
+// String returns the form used in logs, such as "cicadagrade/config/profiles@1.4".
 func (r Ref) String() string { return fmt.Sprintf("%s@%d.%d", r.key, r.epoch, r.revision) }
--- a/tier/keeper/state.go
+++ b/tier/keeper/state.go
@@ -11,63 +11,64 @@
 
 // Bounds of a stored document.
 const (
-	// TailLength is how many audit entries a document keeps.
+	// TailLength is the number of audit entries that a document keeps.
 	TailLength = 16
-	// MaxStored is the largest stored document in bytes.
+	// MaxStored is the maximum size of a stored document in bytes.
 	MaxStored = 900 << 10
-	// maxTailEntry is the largest audit entry kept in the tail in bytes.
-	maxTailEntry = 4 << 10
+	// maxTailEntryBytes is the maximum size of an audit entry in the tail. The list of
+	// changes of a larger one is stored under its own key.
+	maxTailEntryBytes = 4 << 10
 )
 
-// State is a document at one revision, with the tail of its audit trail.
+// State is a document at one version, with the tail (latest entries) of its audit trail.
 type State struct {
 	ref      Ref
 	document parser.Document
 	tail     []Entry
-	patch    []byte // from the state before, if it came as one
+	patch    []byte // delta from the previous state, if it was received as one
 }
 
-// Ref names the state.
+// Ref identifies the version.
 func (s *State) Ref() Ref { return s.ref }
 
-// Document is the document.
+// Document is the configuration document.
 func (s *State) Document() parser.Document { return s.document }
 
 // Tail lists the latest audit entries, oldest first.
 func (s *State) Tail() []Entry { return s.tail }
 
-// Last is the entry of the change that led to this state.
+// Last is the audit entry of the change that made this state.
 func (s *State) Last() Entry { return s.tail[len(s.tail)-1] }
 
-// Find looks for a change in the tail.
+// Find looks up a change in the tail by its ID.
 func (s *State) Find(change string) (Entry, bool) {
 	for _, e := range s.tail {
-		if e.change == change {
+		if e.changeID == change {
 			return e, true
 		}
 	}
 	return Entry{}, false
 }
 
-// Covers reports whether the tail would show a change that led to an epoch
-// and revision, if this state descends from it.
+// Covers reports whether the tail reaches back to an epoch and revision: if it does, it
+// contains the change that made that version, provided that this state descends from it.
 func (s *State) Covers(epoch, revision uint64) bool {
 	first := s.tail[0]
-	return first.revision == 1 || !(Entry{epoch: epoch, revision: revision}).before(first)
+	return first.revision == 1 || !(Entry{epoch: epoch, revision: revision}).olderThan(first)
 }
 
-// Descends reports whether the change that led to o is part of s's trail, or
-// may be, because s's tail no longer reaches back to it.
+// Descends reports whether s descends from o: the change that made o is in the tail of s.
+// It also reports true if the tail no longer reaches back that far.
 func (s *State) Descends(o *State) bool {
 	if !s.Covers(o.ref.epoch, o.ref.revision) {
 		return true
 	}
-	_, ok := s.Find(o.Last().change)
+	_, ok := s.Find(o.Last().changeID)
 	return ok
 }
 
-// Next returns the state after a change of s, which is nil for a document
-// that does not exist yet, and the list of changes made.
+// Next returns the state after a change of s, which is nil if the document does not exist
+// yet, and the list of changes.
 func Next(s *State, d parser.Document, a Author) (*State, []parser.Change) {
 	var before parser.Document
 	ref := Ref{key: KeyOf(d), epoch: 1, revision: 1, digest: parser.Digest(d)}
@@ -78,11 +79,11 @@
 		tail = s.tail
 	}
 	changes := parser.Diff(before, d)
-	return &State{ref: ref, document: d, tail: extend(tail, newEntry(ref, a, changes))}, changes
+	return &State{ref: ref, document: d, tail: appendToTail(tail, newEntry(ref, a, changes))}, changes
 }
 
-// Reconcile returns the state that brings the fleet's highest state back
-// over whatever the store holds, which may be nil: same document, next epoch.
+// Reconcile returns a state that replaces what the store holds, which may be nil, by the
+// highest state that the fleet serves: the same document in a new epoch.
 func Reconcile(fleet, store *State, a Author) *State {
 	ref := fleet.ref
 	var before parser.Document
@@ -94,21 +95,21 @@
 	ref.epoch++
 	ref.revision++
 	entry := newEntry(ref, a, parser.Diff(before, fleet.document))
-	return &State{ref: ref, document: fleet.document, tail: extend(fleet.tail, entry)}
+	return &State{ref: ref, document: fleet.document, tail: appendToTail(fleet.tail, entry)}
 }
 
 func newEntry(ref Ref, a Author, changes []parser.Change) Entry {
 	e := Entry{
-		who: a.who, at: a.at, change: a.change, reason: a.reason,
+		who: a.who, at: a.at, changeID: a.changeID, reason: a.reason,
 		epoch: ref.epoch, revision: ref.revision, changes: changes,
 	}
-	if b, err := json.Marshal(e); err != nil || len(b) > maxTailEntry {
-		e.changes, e.apart = nil, true
+	if b, err := json.Marshal(e); err != nil || len(b) > maxTailEntryBytes {
+		e.changes, e.changesDetached = nil, true
 	}
 	return e
 }
 
-func extend(tail []Entry, entries ...Entry) []Entry {
+func appendToTail(tail []Entry, entries ...Entry) []Entry {
 	out := append(append([]Entry(nil), tail...), entries...)
 	if len(out) > TailLength {
 		out = out[len(out)-TailLength:]
@@ -126,34 +127,35 @@
 	Audit    []Entry         `json:"audit"`
 }
 
-// Encode writes the state as the store and newcomers read it.
+// Encode encodes the state as it is stored and sent to peers that need the whole
+// document.
 func (s *State) Encode() []byte {
 	b, err := json.Marshal(stateBody{
-		Kind: s.document.Kind(), Name: nameOf(s.document),
+		Kind: s.document.Kind(), Name: setName(s.document),
 		Epoch: s.ref.epoch, Revision: s.ref.revision, Digest: s.ref.digest,
 		Body: parser.Encode(s.document), Audit: s.tail,
 	})
 	if err != nil {
-		panic(err) // every part was made from or read as JSON
+		panic(err) // unreachable: every part was decoded from or encoded as JSON
 	}
 	return b
 }
 
-// CorruptError says that a stored document can't be what was written.
+// CorruptError says that stored or received data is not a valid document state.
 type CorruptError struct {
 	key   string
 	cause string
 }
 
-// Key is the document's key.
+// Key is the store key of the document.
 func (e *CorruptError) Key() string { return e.key }
 
-// Error names the key and what is wrong.
+// Error names the key and the problem.
 func (e *CorruptError) Error() string {
-	return fmt.Sprintf("stored document %s is damaged: %s", e.key, e.cause)
+	return fmt.Sprintf("document %s is damaged: %s", e.key, e.cause)
 }
 
-// Decode reads the stored document of a key. The error is a *CorruptError or
+// Decode decodes the stored document of a key. The error is a *CorruptError or a
 // *tier.InvalidError.
 func Decode(key string, data []byte) (*State, error) {
 	var body stateBody
@@ -168,17 +170,17 @@
 	return s, errors.Wrap(s.check(), "Decode")
 }
 
-// check compares a state that was read with its own digest, key and tail.
+// check verifies that digest, key and audit tail of a decoded state are consistent.
 func (s *State) check() error {
 	switch {
 	case KeyOf(s.document) != s.ref.key:
-		return &CorruptError{key: s.ref.key, cause: "it is that of " + KeyOf(s.document)}
+		return &CorruptError{key: s.ref.key, cause: "it contains the document of key " + KeyOf(s.document)}
 	case parser.Digest(s.document) != s.ref.digest:
-		return &CorruptError{key: s.ref.key, cause: "its digest differs"}
+		return &CorruptError{key: s.ref.key, cause: "its digest does not match"}
 	case len(s.tail) == 0:
 		return &CorruptError{key: s.ref.key, cause: "it has no audit entry"}
 	case s.Last().epoch != s.ref.epoch || s.Last().revision != s.ref.revision:
-		return &CorruptError{key: s.ref.key, cause: "its last audit entry is of another revision"}
+		return &CorruptError{key: s.ref.key, cause: "its last audit entry has another revision"}
 	default:
 		return nil
 	}
--- a/tier/keeper/update.go
+++ b/tier/keeper/update.go
@@ -8,14 +8,14 @@
 	"cicadagrade.example/tier/parser"
 )
 
-// Bounds of the deltas that a VM keeps of a document for its peers.
+// Bounds of the delta steps that a VM keeps per document for its peers.
 const (
-	maxSteps     = 8
-	maxStepBytes = 64 << 10
+	maxDeltaSteps     = 8
+	maxDeltaStepBytes = 64 << 10
 )
 
-// Update brings a peer's document up to date: whole, or as a delta on the
-// state that the peer named.
+// Update brings a peer's copy of a document up to date, either with the whole document or
+// with a delta from the version that the peer holds.
 type Update struct {
 	ref   Ref
 	whole []byte
@@ -23,63 +23,64 @@
 	base  uint64
 }
 
-// NewUpdate returns an update; exactly one of whole and delta is set.
+// NewUpdate returns an update. Exactly one of whole and delta is set.
 func NewUpdate(ref Ref, whole, delta []byte, base uint64) Update {
 	return Update{ref: ref, whole: whole, delta: delta, base: base}
 }
 
-// Ref names the state that the update leads to.
+// Ref identifies the version that the update leads to.
 func (u Update) Ref() Ref { return u.ref }
 
-// Whole is the stored document, or nil.
+// Whole is the encoded document, or nil.
 func (u Update) Whole() []byte { return u.whole }
 
-// Delta is what leads there from the base revision, or nil.
+// Delta is the encoded delta from the base revision, or nil.
 func (u Update) Delta() []byte { return u.delta }
 
-// Base is the revision that the delta starts from.
+// Base is the revision to which the delta applies.
 func (u Update) Base() uint64 { return u.base }
 
-// step is one change that this VM has taken, kept for peers behind it.
-type step struct {
-	base   Ref
-	change string // that led to the base
-	patch  []byte
+// deltaStep is one change adopted by this VM, kept for peers that still have the version
+// before it.
+type deltaStep struct {
+	base       Ref
+	baseChange string // ID of the change that made the base
+	patch      []byte
 }
 
-// held is a document that this VM serves.
-type held struct {
+// servedDocument is a document that this VM serves.
+type servedDocument struct {
 	state *State
-	steps []step
+	steps []deltaStep
 }
 
-// take replaces the state and keeps the step that led there.
-func (h *held) take(s *State) {
-	if h.state != nil {
-		h.keepStep(s)
+// replace replaces the state and keeps the step from the previous state.
+func (sd *servedDocument) replace(s *State) {
+	if sd.state != nil {
+		sd.keepStep(s)
 	}
-	h.state = s
+	sd.state = s
 	s.patch = nil
-	for len(h.steps) > maxSteps || h.stepBytes() > maxStepBytes {
-		h.steps = h.steps[1:]
+	for len(sd.steps) > maxDeltaSteps || sd.stepBytes() > maxDeltaStepBytes {
+		sd.steps = sd.steps[1:]
 	}
 }
 
-func (h *held) keepStep(next *State) {
+func (sd *servedDocument) keepStep(next *State) {
 	patch := next.patch
 	if patch == nil {
 		var err error
-		if patch, err = parser.Delta(h.state.document, next.document); err != nil {
-			h.steps = nil
+		if patch, err = parser.Delta(sd.state.document, next.document); err != nil {
+			sd.steps = nil
 			return
 		}
 	}
-	h.steps = append(h.steps, step{base: h.state.ref, change: h.state.Last().change, patch: patch})
+	sd.steps = append(sd.steps, deltaStep{base: sd.state.ref, baseChange: sd.state.Last().changeID, patch: patch})
 }
 
-func (h *held) stepBytes() int {
+func (sd *servedDocument) stepBytes() int {
 	n := 0
-	for _, s := range h.steps {
+	for _, s := range sd.steps {
 		n += len(s.patch)
 	}
 	return n
@@ -91,31 +92,31 @@
 	Audit   []Entry           `json:"audit"`
 }
 
-// update returns what brings a peer that holds have up to date.
-func (h *held) update(have Ref) Update {
-	for i, s := range h.steps {
+// updateFrom returns the update for a peer that holds version have.
+func (sd *servedDocument) updateFrom(have Ref) Update {
+	for i, s := range sd.steps {
 		if s.base == have {
-			if delta, ok := h.delta(have, h.steps[i:]); ok {
-				return NewUpdate(h.state.ref, nil, delta, have.revision)
+			if delta, ok := sd.joinSteps(have, sd.steps[i:]); ok {
+				return NewUpdate(sd.state.ref, nil, delta, have.revision)
 			}
 		}
 	}
-	return NewUpdate(h.state.ref, h.state.Encode(), nil, 0)
+	return NewUpdate(sd.state.ref, sd.state.Encode(), nil, 0)
 }
 
-// delta joins steps; it reports false when the audit tail does not hold
-// every entry since the base.
-func (h *held) delta(base Ref, steps []step) ([]byte, bool) {
-	body := deltaBody{Base: steps[0].change}
+// joinSteps encodes consecutive steps as one delta. It reports false if the audit tail no
+// longer holds every entry since the base.
+func (sd *servedDocument) joinSteps(base Ref, steps []deltaStep) ([]byte, bool) {
+	body := deltaBody{Base: steps[0].baseChange}
 	for _, s := range steps {
 		body.Patches = append(body.Patches, s.patch)
 	}
-	if !h.state.Covers(base.epoch, base.revision) {
+	if !sd.state.Covers(base.epoch, base.revision) {
 		return nil, false
 	}
 	last := Entry{epoch: base.epoch, revision: base.revision}
-	for _, e := range h.state.tail {
-		if last.before(e) {
+	for _, e := range sd.state.tail {
+		if last.olderThan(e) {
 			body.Audit = append(body.Audit, e)
 		}
 	}
@@ -123,28 +124,28 @@
 	return b, err == nil
 }
 
-// resolve turns an update into the state that it leads to. A delta on
-// another base, or one whose result has another digest, is a *CorruptError:
-// the whole document is needed.
-func (h *held) resolve(u Update) (*State, error) {
+// resolveUpdate returns the state that an update leads to. The error is a *CorruptError
+// if a delta applies to another base or leads to another digest; the whole document is
+// needed then.
+func (sd *servedDocument) resolveUpdate(u Update) (*State, error) {
 	if u.delta == nil {
 		s, err := Decode(u.ref.key, u.whole)
 		if err == nil && s.ref != u.ref {
-			err = &CorruptError{key: u.ref.key, cause: "it is of another revision than announced"}
+			err = &CorruptError{key: u.ref.key, cause: "it is not the announced version"}
 		}
 		return s, errors.Wrap(err, "resolve")
 	}
-	if h == nil || h.state == nil || h.state.ref.revision != u.base {
-		return nil, errors.WithStack(&CorruptError{key: u.ref.key, cause: "its base is not held"})
+	if sd == nil || sd.state == nil || sd.state.ref.revision != u.base {
+		return nil, errors.WithStack(&CorruptError{key: u.ref.key, cause: "the base revision of the delta is not served here"})
 	}
 	var body deltaBody
 	if err := json.Unmarshal(u.delta, &body); err != nil {
 		return nil, errors.Wrap(&CorruptError{key: u.ref.key, cause: err.Error()}, "resolve")
 	}
-	if body.Base != h.state.Last().change {
-		return nil, errors.WithStack(&CorruptError{key: u.ref.key, cause: "its base is another change"})
+	if body.Base != sd.state.Last().changeID {
+		return nil, errors.WithStack(&CorruptError{key: u.ref.key, cause: "the base of the delta is another change"})
 	}
-	d := h.state.document
+	d := sd.state.document
 	for _, patch := range body.Patches {
 		next, err := parser.Apply(d, patch)
 		if err != nil {
@@ -152,7 +153,7 @@
 		}
 		d = next
 	}
-	s := &State{ref: u.ref, document: d, tail: extend(h.state.tail, body.Audit...)}
+	s := &State{ref: u.ref, document: d, tail: appendToTail(sd.state.tail, body.Audit...)}
 	if len(body.Patches) == 1 {
 		s.patch = body.Patches[0]
 	}
