--- a/tier/auditor/event.go
+++ b/tier/auditor/event.go
@@ -7,13 +7,13 @@
 	"cicadagrade.example/tier/storer"
 )
 
-// Event is what a Change reacts to.
+// Event is an input of Change.Step.
 type Event interface{ event() }
 
 // Start starts the change.
 type Start struct{}
 
-// Read brings the answer to Get.
+// Read gives the result of Get.
 type Read struct{ value storer.Value }
 
 // NewRead returns the event.
@@ -22,20 +22,20 @@
 // Written says that a Put took effect.
 type Written struct{}
 
-// Conflicted says that a Put found its key at another revision.
+// Conflicted says that a Put had no effect because its key was at another revision.
 type Conflicted struct{ current storer.Value }
 
 // NewConflicted returns the event.
 func NewConflicted(current storer.Value) *Conflicted { return &Conflicted{current: current} }
 
-// Failed says that an action got no answer.
+// Failed says that an action failed.
 type Failed struct {
 	action Action
 	unsure bool
 	cause  error
 }
 
-// NewFailed returns the event; unsure says that a Put may have taken effect.
+// NewFailed returns the event; unsure means that a Put may have taken effect.
 func NewFailed(a Action, unsure bool, cause error) *Failed {
 	return &Failed{action: a, unsure: unsure, cause: cause}
 }
@@ -50,44 +50,44 @@
 func (*Failed) event()     {}
 func (*Tick) event()       {}
 
-// Action is what a Change asks its driver to do.
+// Action is an output of Change.Step, to be performed by the caller.
 type Action interface{ action() }
 
-// Get asks to read a key: Read or Failed follows.
+// Get asks to read a key. Read or Failed follows.
 type Get struct{ key string }
 
 // Key is the key to read.
 func (a *Get) Key() string { return a.key }
 
-// Put asks to write a key if its revision is the expected one: Written,
-// Conflicted or Failed follows.
+// Put asks to write a key if its revision is the expected one. Written, Conflicted or
+// Failed follows.
 type Put struct {
-	key    string
-	data   []byte
-	expect int64
+	key              string
+	data             []byte
+	expectedRevision int64
 }
 
 // Key is the key to write.
 func (a *Put) Key() string { return a.key }
 
-// Data is what to write.
+// Data is the new content of the key.
 func (a *Put) Data() []byte { return a.data }
 
-// Expect is the expected revision of the key; 0 stands for an absent key.
-func (a *Put) Expect() int64 { return a.expect }
+// Expect is the expected revision of the key; 0 means that it must be absent.
+func (a *Put) Expect() int64 { return a.expectedRevision }
 
 // Finish ends the change.
 type Finish struct{ result Result }
 
-// Result is how it ended.
+// Result is the result of the change.
 func (a *Finish) Result() Result { return a.result }
 
 func (*Get) action()    {}
 func (*Put) action()    {}
 func (*Finish) action() {}
 
-// Result is how a change ended: *Accepted, *Rejected, *Invalid, *Unavailable
-// or *Unknown.
+// Result is the result of a change: *Accepted, *Rejected, *Invalid, *Unavailable or
+// *Unknown.
 type Result interface{ result() }
 
 // Accepted says that the change is in the store.
@@ -96,39 +96,39 @@
 	unchanged bool
 }
 
-// State is the document with the change.
+// State is the state of the document that contains the change.
 func (r *Accepted) State() *keeper.State { return r.state }
 
-// Unchanged reports that the document was as wanted before: nothing was
-// written.
+// Unchanged reports that nothing was written because the document already had the wanted
+// content.
 func (r *Accepted) Unchanged() bool { return r.unchanged }
 
-// Reason says why a change was rejected.
+// Reason is the reason why a change was rejected.
 type Reason string
 
-// The reasons.
+// The reasons of a rejection.
 const (
 	ReasonConflict    Reason = "conflict"
 	ReasonStoreBehind Reason = "store-behind"
 )
 
-// Rejected says that the change is not in the store and won't be.
+// Rejected says that the change was not made and will not take effect later.
 type Rejected struct {
-	reason  Reason
-	current *keeper.State
-	floor   keeper.Ref
+	reason        Reason
+	current       *keeper.State
+	highestServed keeper.Ref
 }
 
-// Reason says why.
+// Reason is the reason of the rejection.
 func (r *Rejected) Reason() Reason { return r.reason }
 
-// Current is the document as the store holds it, or nil when it is absent.
+// Current is the state of the document in the store, or nil if it is absent.
 func (r *Rejected) Current() *keeper.State { return r.current }
 
-// Error tells an operator what stood in the way.
+// Error describes to an operator what prevented the change.
 func (r *Rejected) Error() string {
 	if r.reason == ReasonStoreBehind {
-		return fmt.Sprintf("the store shows the document %s, but VMs serve %s: reconcile the store first", describe(r.current), r.floor)
+		return fmt.Sprintf("the store shows the document %s, but VMs serve %s: reconcile the store first", describe(r.current), r.highestServed)
 	}
 	if r.current == nil {
 		return "the document is absent from the store"
@@ -137,20 +137,21 @@
 	return fmt.Sprintf("the document is %s: %s changed it (change %s, reason %q)", describe(r.current), e.Who(), e.Change(), e.Reason())
 }
 
-// Invalid says that the change can't be made; nothing was written.
+// Invalid says that the change is not allowed or can't be encoded. Nothing was written.
 type Invalid struct{ cause error }
 
-// Cause says what is wrong, such as a *tier.InvalidError.
+// Cause is the error, such as a *tier.InvalidError.
 func (r *Invalid) Cause() error { return r.cause }
 
-// Unavailable says that the store did not take the change; it won't be made.
+// Unavailable says that the store could not be reached in time. The change was not made
+// and will not take effect later.
 type Unavailable struct{ cause error }
 
 // Cause is the last failure.
 func (r *Unavailable) Cause() error { return r.cause }
 
-// Unknown says that the change may have been made. Trying again with the
-// same change id tells.
+// Unknown says that the change may have been made. Repeating it with the same change ID
+// is safe and finds out.
 type Unknown struct{ cause error }
 
 // Cause is the last failure.
--- a/tier/auditor/history_test.go
+++ b/tier/auditor/history_test.go
@@ -17,193 +17,194 @@
 )
 
 const (
-	operators  = 4
-	rounds     = 12 // changes of each operator; the audit tail overflows
-	seeds      = 60
-	fewSeeds   = 10 // enough for a broken variant
-	lostBefore = 0.05
-	lostAfter  = 0.10
-	lateEffect = 0.05
-	refused    = 0.05
-	staleRead  = 0.10
+	operators          = 4
+	changesPerOperator = 12 // enough to overflow the audit tail
+	seeds              = 60
+	brokenSeeds        = 10 // enough for a broken variant to be detected
+	lostRequestRate    = 0.05
+	lostReplyRate      = 0.10
+	lateEffectRate     = 0.05
+	refusedRate        = 0.05
+	staleReadRate      = 0.10
 )
 
-// breakage leaves out a part of the mechanism, to see the checks object.
+// breakage disables a part of the mechanism, to verify that the checks detect it.
 type breakage int
 
 const (
-	whole breakage = iota
+	notBroken breakage = iota
 	noReadBack
 	noArchive
 )
 
-// world interleaves operators' changes on one store by a seed.
-type world struct {
-	random  *rand.Rand
-	broken  breakage
-	now     tier.Millis
-	keys    map[string][]storer.Value // all states of each key
-	counter int64
-	late    []*auditor.Put // sent, but not yet carried out
-	events  []porcupine.Operation
-	results map[string]auditor.Result
-	key     string
+// simulation interleaves the changes of several operators on one store. The seed
+// determines the interleaving and the faults.
+type simulation struct {
+	random       *rand.Rand
+	broken       breakage
+	now          tier.Millis
+	history      map[string][]storer.Value // all states of each key, oldest first
+	lastRevision int64
+	delayedPuts  []*auditor.Put // their reply was lost and they take effect later
+	operations   []porcupine.Operation
+	results      map[string]auditor.Result
+	documentKey  string
 }
 
-// operator is one person at a command line; answer is on its way to it.
+// operator makes one change after the other; reply is the event to be handled next.
 type operator struct {
-	number int
-	round  int
-	change *auditor.Change
-	id     string
-	called tier.Millis
-	action auditor.Action
-	answer auditor.Event
+	number      int
+	changesMade int
+	change      *auditor.Change
+	changeID    string
+	calledAt    tier.Millis
+	action      auditor.Action
+	reply       auditor.Event
 }
 
-func newWorld(seed uint64, b breakage) *world {
-	return &world{
-		random:  rand.New(rand.NewPCG(seed, 1)),
-		broken:  b,
-		keys:    map[string][]storer.Value{},
-		results: map[string]auditor.Result{},
-		key:     keeper.Key(parser.KindProfiles, ""),
+func newSimulation(seed uint64, b breakage) *simulation {
+	return &simulation{
+		random:      rand.New(rand.NewPCG(seed, 1)),
+		broken:      b,
+		history:     map[string][]storer.Value{},
+		results:     map[string]auditor.Result{},
+		documentKey: keeper.Key(parser.KindProfiles, ""),
 	}
 }
 
-func (w *world) get(key string) storer.Value {
-	states := w.keys[key]
+func (s *simulation) get(key string) storer.Value {
+	states := s.history[key]
 	if len(states) == 0 {
 		return storer.NewValue(key, nil, 0)
 	}
 	return states[len(states)-1]
 }
 
-func (w *world) put(p *auditor.Put) auditor.Event {
-	if w.broken == noArchive && p.Key() != w.key {
+func (s *simulation) put(p *auditor.Put) auditor.Event {
+	if s.broken == noArchive && p.Key() != s.documentKey {
 		return &auditor.Written{}
 	}
-	current := w.get(p.Key())
+	current := s.get(p.Key())
 	if current.Revision() != p.Expect() {
 		return auditor.NewConflicted(current)
 	}
-	w.counter++
-	w.keys[p.Key()] = append(w.keys[p.Key()], storer.NewValue(p.Key(), p.Data(), w.counter))
+	s.lastRevision++
+	s.history[p.Key()] = append(s.history[p.Key()], storer.NewValue(p.Key(), p.Data(), s.lastRevision))
 	return &auditor.Written{}
 }
 
 var errLost = errors.New("lost")
 
-// perform carries out an action, with faults.
-func (w *world) perform(a auditor.Action) auditor.Event {
-	dice := w.random.Float64()
+// perform performs an action, subject to faults.
+func (s *simulation) perform(a auditor.Action) auditor.Event {
+	roll := s.random.Float64()
 	switch a := a.(type) {
 	case *auditor.Get:
-		if states := w.keys[a.Key()]; dice < staleRead && len(states) > 0 {
-			return auditor.NewRead(states[w.random.IntN(len(states))])
+		if states := s.history[a.Key()]; roll < staleReadRate && len(states) > 0 {
+			return auditor.NewRead(states[s.random.IntN(len(states))])
 		}
-		if dice < staleRead+refused {
+		if roll < staleReadRate+refusedRate {
 			return auditor.NewFailed(a, false, errLost)
 		}
-		return auditor.NewRead(w.get(a.Key()))
+		return auditor.NewRead(s.get(a.Key()))
 	case *auditor.Put:
-		return w.send(a, dice)
+		return s.send(a, roll)
 	}
 	return nil
 }
 
-func (w *world) send(p *auditor.Put, dice float64) auditor.Event {
+func (s *simulation) send(p *auditor.Put, roll float64) auditor.Event {
 	lost := auditor.NewFailed(p, true, errLost)
 	switch {
-	case dice < lostBefore:
+	case roll < lostRequestRate:
 		return lost
-	case dice < lostBefore+lostAfter:
-		w.put(p)
+	case roll < lostRequestRate+lostReplyRate:
+		s.put(p)
 		return lost
-	case dice < lostBefore+lostAfter+lateEffect:
-		w.late = append(w.late, p)
+	case roll < lostRequestRate+lostReplyRate+lateEffectRate:
+		s.delayedPuts = append(s.delayedPuts, p)
 		return lost
-	case dice < lostBefore+lostAfter+lateEffect+refused:
+	case roll < lostRequestRate+lostReplyRate+lateEffectRate+refusedRate:
 		return auditor.NewFailed(p, false, errLost)
 	default:
-		return w.put(p)
+		return s.put(p)
 	}
 }
 
-func (w *world) run(t *testing.T) {
+func (s *simulation) run(t *testing.T) {
 	ops := make([]*operator, operators)
 	for i := range ops {
 		ops[i] = &operator{number: i}
 	}
 	for {
-		w.now++
-		busy := ops[:0:0]
+		s.now++
+		active := ops[:0:0]
 		for _, o := range ops {
-			if o.round < rounds || o.change != nil {
-				busy = append(busy, o)
+			if o.changesMade < changesPerOperator || o.change != nil {
+				active = append(active, o)
 			}
 		}
-		if len(busy) == 0 {
+		if len(active) == 0 {
 			return
 		}
-		w.turn(t, busy[w.random.IntN(len(busy))])
-		if len(w.late) > 0 && w.random.IntN(8) == 0 {
-			w.put(w.late[0])
-			w.late = w.late[1:]
+		s.advance(t, active[s.random.IntN(len(active))])
+		if len(s.delayedPuts) > 0 && s.random.IntN(8) == 0 {
+			s.put(s.delayedPuts[0])
+			s.delayedPuts = s.delayedPuts[1:]
 		}
-		if w.random.IntN(4) == 0 {
-			w.read(t)
+		if s.random.IntN(4) == 0 {
+			s.read(t)
 		}
 	}
 }
 
-// turn moves one operator on by one step.
-func (w *world) turn(t *testing.T, o *operator) {
+// advance makes one step of one operator.
+func (s *simulation) advance(t *testing.T, o *operator) {
 	switch {
 	case o.change == nil:
-		w.begin(t, o)
-	case o.answer != nil:
-		e := o.answer
-		o.answer = nil
-		w.step(o, e)
+		s.begin(t, o)
+	case o.reply != nil:
+		e := o.reply
+		o.reply = nil
+		s.step(o, e)
 	case o.action != nil:
-		o.answer = w.perform(o.action)
+		o.reply = s.perform(o.action)
 		o.action = nil
 	default:
 		at, _ := o.change.Next()
-		w.now = max(w.now, at)
-		w.step(o, &auditor.Tick{})
+		s.now = max(s.now, at)
+		s.step(o, &auditor.Tick{})
 	}
 }
 
-func (w *world) begin(t *testing.T, o *operator) {
-	o.round++
-	o.id = fmt.Sprintf("%d-%d", o.number, o.round)
-	p, err := tier.NewProfile("gate", tier.WithQueueLimit(1000*o.number+o.round))
+func (s *simulation) begin(t *testing.T, o *operator) {
+	o.changesMade++
+	o.changeID = fmt.Sprintf("%d-%d", o.number, o.changesMade)
+	p, err := tier.NewProfile("gate", tier.WithQueueLimit(1000*o.number+o.changesMade))
 	if err != nil {
 		t.Fatal(err)
 	}
-	o.called = w.now
-	o.change = auditor.New(parser.NewProfilesDocument(p), o.id, "op", "", w.now, auditor.WithSeed(w.random.Uint64()))
-	w.step(o, &auditor.Start{})
+	o.calledAt = s.now
+	o.change = auditor.New(parser.NewProfilesDocument(p), o.changeID, "op", "", s.now, auditor.WithSeed(s.random.Uint64()))
+	s.step(o, &auditor.Start{})
 }
 
-func (w *world) step(o *operator, e auditor.Event) {
-	if f, ok := e.(*auditor.Failed); ok && w.broken == noReadBack && f.Unsure() {
-		w.finish(o, &auditor.Unavailable{})
+func (s *simulation) step(o *operator, e auditor.Event) {
+	if f, ok := e.(*auditor.Failed); ok && s.broken == noReadBack && f.Unsure() {
+		s.finish(o, &auditor.Unavailable{})
 		return
 	}
-	for _, a := range o.change.Step(w.now, e) {
+	for _, a := range o.change.Step(s.now, e) {
 		if f, ok := a.(*auditor.Finish); ok {
-			w.finish(o, f.Result())
+			s.finish(o, f.Result())
 			return
 		}
 		o.action = a
 	}
 }
 
-// register is the document as a register: the revision and the change that
-// wrote it.
+// register is the modelled state of the document: its revision and the change that wrote
+// it.
 type register struct {
 	revision uint64
 	change   string
@@ -213,9 +214,9 @@
 
 const (
 	accepted outcome = iota
-	notMade
-	maybe
-	isRead
+	hadNoEffect
+	mayHaveEffect
+	observed
 )
 
 type result struct {
@@ -223,41 +224,41 @@
 	register register
 }
 
-func (w *world) finish(o *operator, r auditor.Result) {
-	w.results[o.id] = r
-	out := result{outcome: notMade, register: register{change: o.id}}
-	returned := w.now
+func (s *simulation) finish(o *operator, r auditor.Result) {
+	s.results[o.changeID] = r
+	out := result{outcome: hadNoEffect, register: register{change: o.changeID}}
+	returned := s.now
 	switch r := r.(type) {
 	case *auditor.Accepted:
 		out.outcome = accepted
 		for _, e := range r.State().Tail() {
-			if e.Change() == o.id {
+			if e.Change() == o.changeID {
 				out.register.revision = e.Revision()
 			}
 		}
 	case *auditor.Unknown:
-		out.outcome = maybe
+		out.outcome = mayHaveEffect
 		returned = 1 << 40 // it may take effect at any later time
 	}
-	w.record(o.number, o.called, returned, out)
+	s.record(o.number, o.calledAt, returned, out)
 	o.change, o.action = nil, nil
 }
 
-func (w *world) record(client int, called, returned tier.Millis, out result) {
-	w.events = append(w.events, porcupine.Operation{
+func (s *simulation) record(client int, called, returned tier.Millis, out result) {
+	s.operations = append(s.operations, porcupine.Operation{
 		ClientId: client, Call: int64(called), Return: int64(returned), Output: out,
 	})
 }
 
-// read observes the register as it truly is.
-func (w *world) read(t *testing.T) {
-	v := w.get(w.key)
-	out := result{outcome: isRead}
+// read records an observation of the current state of the document.
+func (s *simulation) read(t *testing.T) {
+	v := s.get(s.documentKey)
+	out := result{outcome: observed}
 	if v.Present() {
-		s := decode(t, v)
-		out.register = register{revision: s.Ref().Revision(), change: s.Last().Change()}
+		state := decode(t, v)
+		out.register = register{revision: state.Ref().Revision(), change: state.Last().Change()}
 	}
-	w.record(operators, w.now, w.now, out)
+	s.record(operators, s.now, s.now, out)
 }
 
 func decode(t *testing.T, v storer.Value) *keeper.State {
@@ -268,8 +269,9 @@
 	return s
 }
 
-// model is a register: an accepted change is written on the state that it
-// was made on, a rejected one never, an unknown one perhaps.
+// model is a register: an accepted change is written on top of the state that it was
+// based on, a rejected one is never written, and an unknown one may be written at any
+// time.
 func model() porcupine.Model {
 	m := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{register{}} },
@@ -277,11 +279,11 @@
 			s, out := state.(register), output.(result)
 			written := register{revision: s.revision + 1, change: out.register.change}
 			switch {
-			case out.outcome == isRead && out.register == s, out.outcome == notMade:
+			case out.outcome == observed && out.register == s, out.outcome == hadNoEffect:
 				return []any{s}
 			case out.outcome == accepted && out.register.revision == s.revision+1:
 				return []any{written}
-			case out.outcome == maybe:
+			case out.outcome == mayHaveEffect:
 				return []any{s, written}
 			default:
 				return nil
@@ -291,53 +293,54 @@
 	return m.ToModel()
 }
 
-// auditProblem compares the audit trail with what operators were told.
-func (w *world) auditProblem(t *testing.T) error {
-	final := decode(t, w.get(w.key))
+// checkAuditTrail compares the audit trail with the results that the operators got.
+func (s *simulation) checkAuditTrail(t *testing.T) error {
+	final := decode(t, s.get(s.documentKey))
 	var archived []keeper.Entry
-	for key := range w.keys {
-		if key == w.key {
+	for key := range s.history {
+		if key == s.documentKey {
 			continue
 		}
 		var e keeper.Entry
-		if err := json.Unmarshal(w.get(key).Data(), &e); err != nil {
+		if err := json.Unmarshal(s.get(key).Data(), &e); err != nil {
 			t.Fatal(err)
 		}
 		archived = append(archived, e)
 	}
 	trail := keeper.Merge(archived, final.Tail())
-	made := map[string]bool{}
+	inTrail := map[string]bool{}
 	for i, e := range trail {
-		made[e.Change()] = true
+		inTrail[e.Change()] = true
 		if e.Revision() != uint64(i+1) {
 			return fmt.Errorf("entry %d is of revision %d", i, e.Revision())
 		}
 	}
-	for id, r := range w.results {
-		_, yes := r.(*auditor.Accepted)
+	for id, r := range s.results {
+		_, wasAccepted := r.(*auditor.Accepted)
 		_, unknown := r.(*auditor.Unknown)
-		if yes != made[id] && !unknown {
-			return fmt.Errorf("change %s ended %T, in the trail: %t", id, r, made[id])
+		if wasAccepted != inTrail[id] && !unknown {
+			return fmt.Errorf("change %s ended as %T, in the audit trail: %t", id, r, inTrail[id])
 		}
 	}
 	return nil
 }
 
-// histories counts the seeds whose register and audit checks object.
-func histories(t *testing.T, b breakage, n uint64) (register, audit int) {
+// countViolations counts the seeds whose history violates the register model and those
+// that violate the audit trail check.
+func countViolations(t *testing.T, b breakage, n uint64) (register, audit int) {
 	ends := map[string]int{}
 	for seed := uint64(1); seed <= n; seed++ {
-		w := newWorld(seed, b)
-		w.run(t)
-		if !porcupine.CheckOperations(model(), w.events) {
+		s := newSimulation(seed, b)
+		s.run(t)
+		if !porcupine.CheckOperations(model(), s.operations) {
 			register++
-			t.Logf("seed %d: the register check objects", seed)
+			t.Logf("seed %d: the history is not linearizable", seed)
 		}
-		if err := w.auditProblem(t); err != nil {
+		if err := s.checkAuditTrail(t); err != nil {
 			audit++
-			t.Logf("seed %d: the audit check objects: %v", seed, err)
+			t.Logf("seed %d: the audit trail is wrong: %v", seed, err)
 		}
-		for _, r := range w.results {
+		for _, r := range s.results {
 			ends[fmt.Sprintf("%T", r)]++
 		}
 	}
@@ -346,19 +349,19 @@
 }
 
 func TestHistories(t *testing.T) {
-	if r, a := histories(t, whole, seeds); r != 0 || a != 0 {
-		t.Errorf("%d histories are no register, %d lose audit entries", r, a)
+	if r, a := countViolations(t, notBroken, seeds); r != 0 || a != 0 {
+		t.Errorf("%d histories are not linearizable, %d have a wrong audit trail", r, a)
 	}
 }
 
-func TestCheckObjectsWithoutReadBack(t *testing.T) {
-	if r, _ := histories(t, noReadBack, fewSeeds); r == 0 {
-		t.Error("no history breaks the register check")
+func TestRegisterCheckDetectsMissingReadBack(t *testing.T) {
+	if r, _ := countViolations(t, noReadBack, brokenSeeds); r == 0 {
+		t.Error("every history passes the register check")
 	}
 }
 
-func TestCheckObjectsWithoutArchive(t *testing.T) {
-	if _, a := histories(t, noArchive, fewSeeds); a == 0 {
-		t.Error("no history breaks the audit check")
+func TestAuditCheckDetectsMissingArchive(t *testing.T) {
+	if _, a := countViolations(t, noArchive, brokenSeeds); a == 0 {
+		t.Error("every history passes the audit check")
 	}
 }
--- a/tier/auditor/read.go
+++ b/tier/auditor/read.go
@@ -11,23 +11,23 @@
 	"cicadagrade.example/tier/storer"
 )
 
-// read handles the document as the store shows it, or an archived entry that
-// settles a lost answer.
-func (c *Change) read(v storer.Value) Action {
+// handleRead handles the document as read from the store, or the archived audit entry
+// that decides whether a swap with a lost reply took effect.
+func (c *Change) handleRead(v storer.Value) Action {
 	if v.Key() != c.Key() {
 		if v.Present() {
 			return finish(&Accepted{state: c.next})
 		}
 		return finish(&Rejected{reason: ReasonConflict})
 	}
-	if c.unsure {
+	if c.swapUnsure {
 		return c.readBack(v)
 	}
 	current, err := decode(v)
-	if err != nil && c.fleet == nil {
+	if err != nil && c.fleetState == nil {
 		return finish(&Invalid{cause: err})
 	}
-	return c.propose(v, current) // a reconciliation replaces what can't be read
+	return c.buildNext(v, current) // a reconciliation may replace a document that can't be decoded
 }
 
 func decode(v storer.Value) (*keeper.State, error) {
@@ -37,48 +37,48 @@
 	return keeper.Decode(v.Key(), v.Data())
 }
 
-// propose builds the next state on the current one.
-func (c *Change) propose(v storer.Value, current *keeper.State) Action {
-	c.base = v
-	if a := c.check(current); a != nil {
+// buildNext builds the next state from the current one and returns the first write.
+func (c *Change) buildNext(v storer.Value, current *keeper.State) Action {
+	c.current = v
+	if a := c.checkPreconditions(current); a != nil {
 		return a
 	}
 	var changes []parser.Change
-	if c.fleet != nil {
-		c.next = keeper.Reconcile(c.fleet, current, c.author)
+	if c.fleetState != nil {
+		c.next = keeper.Reconcile(c.fleetState, current, c.author)
 	} else {
 		c.next, changes = keeper.Next(current, c.document, c.author)
 	}
 	if size := len(c.next.Encode()); size > keeper.MaxStored {
 		return finish(&Invalid{cause: tooLarge("document", size)})
 	}
-	if a := c.prepare(current, changes); a != nil {
+	if a := c.prepareAuxiliary(current, changes); a != nil {
 		return a
 	}
-	return c.write()
+	return c.nextWrite()
 }
 
-// check ends a change that must not or need not be made.
-func (c *Change) check(current *keeper.State) Action {
+// checkPreconditions ends a change that is rejected, invalid or already made.
+func (c *Change) checkPreconditions(current *keeper.State) Action {
 	if current == nil {
 		return c.checkAbsent()
 	}
 	if _, ok := current.Find(c.id); ok {
 		return finish(&Accepted{state: current})
 	}
-	if c.fleet != nil {
+	if c.fleetState != nil {
 		return nil
 	}
 	r := current.Ref()
 	switch {
-	case c.floor.Above(r):
-		return finish(&Rejected{reason: ReasonStoreBehind, current: current, floor: c.floor})
-	case c.expect != AnyRevision && uint64(c.expect) != r.Revision():
+	case c.highestServed.Above(r):
+		return finish(&Rejected{reason: ReasonStoreBehind, current: current, highestServed: c.highestServed})
+	case c.expectedRevision != AnyRevision && uint64(c.expectedRevision) != r.Revision():
 		return finish(&Rejected{reason: ReasonConflict, current: current})
 	case r.Digest() == parser.Digest(c.document):
 		return finish(&Accepted{state: current, unchanged: true})
 	}
-	if err := checkMap(current.Document(), c.document); err != nil {
+	if err := checkShardMap(current.Document(), c.document); err != nil {
 		return finish(&Invalid{cause: err})
 	}
 	return nil
@@ -86,19 +86,19 @@
 
 func (c *Change) checkAbsent() Action {
 	switch {
-	case c.fleet != nil:
+	case c.fleetState != nil:
 		return nil
-	case c.floor.Revision() > 0:
-		return finish(&Rejected{reason: ReasonStoreBehind, floor: c.floor})
-	case c.expect > 0:
+	case c.highestServed.Revision() > 0:
+		return finish(&Rejected{reason: ReasonStoreBehind, highestServed: c.highestServed})
+	case c.expectedRevision > 0:
 		return finish(&Rejected{reason: ReasonConflict})
 	}
 	return nil
 }
 
-// checkMap demands a higher epoch for a shard map that divides the keys
-// otherwise, because answers name the snapshot by it.
-func checkMap(before, after parser.Document) error {
+// checkShardMap requires a higher epoch for a shard map with other key ranges, because
+// replies identify their snapshot by the epoch.
+func checkShardMap(before, after parser.Document) error {
 	b, ok := before.(*parser.SetDocument)
 	a, both := after.(*parser.SetDocument)
 	if !ok || !both {
@@ -109,7 +109,7 @@
 	switch {
 	case set.Epoch() < old.Epoch():
 		allowed = fmt.Sprintf("at least %d, the present epoch", old.Epoch())
-	case set.Epoch() == old.Epoch() && !sameMap(old, set):
+	case set.Epoch() == old.Epoch() && !sameShardRanges(old, set):
 		allowed = fmt.Sprintf("above %d, because the shards divide the keys otherwise", old.Epoch())
 	default:
 		return nil
@@ -118,7 +118,7 @@
 	return errors.WithStack(tier.NewInvalidError("set "+set.Name(), []tier.FieldProblem{p}))
 }
 
-func sameMap(a, b *tier.ShardSet) bool {
+func sameShardRanges(a, b *tier.ShardSet) bool {
 	if len(a.Shards()) != len(b.Shards()) {
 		return false
 	}
@@ -134,12 +134,13 @@
 	return true
 }
 
-// prepare lists the writes that come before the swap: the changes that are
-// too long for the tail, and the entries that the swap takes from the tail.
-func (c *Change) prepare(current *keeper.State, changes []parser.Change) Action {
-	c.pending = nil
+// prepareAuxiliary lists the writes that have to precede the swap: a list of changes that
+// is too long for the audit tail, and the audit entries that the swap removes from the
+// tail.
+func (c *Change) prepareAuxiliary(current *keeper.State, changes []parser.Change) Action {
+	c.auxiliary = nil
 	if c.next.Last().Apart() {
-		if c.fleet != nil {
+		if c.fleetState != nil {
 			changes = parser.Diff(documentOf(current), c.document)
 		}
 		b, err := keeper.EncodeChanges(changes)
@@ -149,29 +150,29 @@
 		if err != nil {
 			return finish(&Invalid{cause: err})
 		}
-		c.pending = append(c.pending, &Put{key: keeper.ChangesKey(c.Key(), c.id), data: b})
+		c.auxiliary = append(c.auxiliary, &Put{key: keeper.ChangesKey(c.Key(), c.id), data: b})
 	}
-	for _, e := range c.leaving(current) {
+	for _, e := range c.entriesToArchive(current) {
 		b, err := e.MarshalJSON()
 		if err != nil {
 			return finish(&Invalid{cause: err})
 		}
-		c.pending = append(c.pending, &Put{key: keeper.ArchiveKey(c.Key(), e), data: b})
+		c.auxiliary = append(c.auxiliary, &Put{key: keeper.ArchiveKey(c.Key(), e), data: b})
 	}
 	return nil
 }
 
-// leaving lists the entries that are in no tail after the swap.
-func (c *Change) leaving(current *keeper.State) []keeper.Entry {
-	var held []keeper.Entry
+// entriesToArchive lists the audit entries that are in no tail after the swap.
+func (c *Change) entriesToArchive(current *keeper.State) []keeper.Entry {
+	var entries []keeper.Entry
 	if current != nil {
-		held = current.Tail()
+		entries = current.Tail()
 	}
-	if c.fleet != nil {
-		held = keeper.Merge(c.fleet.Tail(), held)
+	if c.fleetState != nil {
+		entries = keeper.Merge(c.fleetState.Tail(), entries)
 	}
 	var out []keeper.Entry
-	for _, e := range held {
+	for _, e := range entries {
 		if _, ok := c.next.Find(e.Change()); !ok {
 			out = append(out, e)
 		}
@@ -191,19 +192,19 @@
 	return errors.WithStack(tier.NewInvalidError("change", []tier.FieldProblem{p}))
 }
 
-// readBack settles a swap whose answer was lost. While the key is as the
-// swap expected it, the same swap is sent again: at most one of them can
+// readBack handles the document read after a swap whose reply was lost. If the key is
+// still at the expected revision, the same swap is sent again: at most one of the two can
 // take effect.
 func (c *Change) readBack(v storer.Value) Action {
-	if v.Revision() == c.base.Revision() {
-		return c.write()
+	if v.Revision() == c.current.Revision() {
+		return c.nextWrite()
 	}
-	return c.lost(v)
+	return c.resolveOverwritten(v)
 }
 
-// lost handles a key that has changed since it was read: by this change,
-// whose answer was lost, or by another.
-func (c *Change) lost(v storer.Value) Action {
+// resolveOverwritten handles a key that has changed since it was read: either by an
+// earlier swap of this change, whose reply was lost, or by another change.
+func (c *Change) resolveOverwritten(v storer.Value) Action {
 	current, err := decode(v)
 	if err != nil {
 		return finish(&Unknown{cause: err})
@@ -215,7 +216,7 @@
 	}
 	r := c.next.Ref()
 	switch {
-	case !c.unsure:
+	case !c.swapUnsure:
 		return finish(&Rejected{reason: ReasonConflict, current: current})
 	case current == nil || r.Above(current.Ref()):
 		return finish(&Unknown{cause: fmt.Errorf("the store shows the document %s, below this change", describe(current))})
--- a/tier/auditor/drive.go
+++ b/tier/auditor/run.go
@@ -10,8 +10,8 @@
 	"cicadagrade.example/tier/storer"
 )
 
-// Drive carries a change out against a store until it ends or ctx does; then
-// the result is Unknown or Unavailable.
+// Drive performs a change against a store until the change or ctx ends. If ctx ends
+// first, the result is Unknown or Unavailable.
 func Drive(ctx context.Context, clock *tier.Clock, store storer.Store, c *Change) Result {
 	e := Event(&Start{})
 	for {
@@ -27,14 +27,14 @@
 		}
 		select {
 		case <-ctx.Done():
-			return c.cut(ctx.Err())
+			return c.interrupted(ctx.Err())
 		case <-time.After((at - clock.Now()).Duration()):
 			e = &Tick{}
 		}
 	}
 }
 
-// perform carries one action out and returns what came of it.
+// perform performs one action and returns the resulting event.
 func perform(ctx context.Context, store storer.Store, a Action) Event {
 	switch a := a.(type) {
 	case *Get:
@@ -44,7 +44,7 @@
 		}
 		return NewRead(v)
 	case *Put:
-		_, err := store.Swap(ctx, a.key, a.data, a.expect, 0)
+		_, err := store.Swap(ctx, a.key, a.data, a.expectedRevision, 0)
 		var conflict *storer.ConflictError
 		var unsure *storer.UnsureError
 		switch {
@@ -59,9 +59,9 @@
 	return &Tick{}
 }
 
-// cut is the result of a change that was given up.
-func (c *Change) cut(cause error) Result {
-	if c.unsure {
+// interrupted returns the result of a change that is given up.
+func (c *Change) interrupted(cause error) Result {
+	if c.swapUnsure {
 		return &Unknown{cause: cause}
 	}
 	return &Unavailable{cause: cause}
--- a/tier/storer/faker/faker.go
+++ b/tier/storer/faker/faker.go
@@ -1,6 +1,6 @@
-// Package faker is a key-value store in memory with the faults of the
-// platform's service, for tests. It keeps no time: a slow call waits until
-// its context ends or the slowness does.
+// Package faker provides an in-memory key-value store for tests, which can simulate the
+// failures of the platform's service. It has no clock: a slow call waits until its
+// context ends or slowness is turned off.
 package faker
 
 import (
@@ -15,10 +15,10 @@
 	"cicadagrade.example/tier/storer"
 )
 
-// Call is a kind of call, for counting.
+// Call is a kind of store call.
 type Call string
 
-// The kinds.
+// The kinds of call.
 const (
 	CallGet       Call = "get"
 	CallList      Call = "list"
@@ -29,22 +29,22 @@
 	CallWatch     Call = "watch"
 )
 
-// Store implements storer.Store. It is safe for concurrent use.
+// Store implements storer.Store in memory. It is safe for concurrent use.
 type Store struct {
-	mu       sync.Mutex
-	values   map[string]storer.Value
-	revision int64
-	lease    storer.LeaseID
-	ttl      map[storer.LeaseID]tier.Millis
-	calls    map[Call]int
-	changed  chan struct{} // closed at each change
-	history  []storer.Value
-	down     bool
-	slow     chan struct{} // closed when the slowness ends; nil if fast
-	lose     int           // how many answers of writes are still to be lost
-}
-
-// New returns an empty store without faults.
+	mu          sync.Mutex
+	values      map[string]storer.Value
+	revision    int64
+	lease       storer.LeaseID
+	ttl         map[storer.LeaseID]tier.Millis
+	calls       map[Call]int
+	changed     chan struct{}  // closed and replaced at each change
+	history     []storer.Value // all changes; the change with revision n is at index n-1
+	down        bool
+	slow        chan struct{} // closed when slowness is turned off; nil while calls are fast
+	lostReplies int           // number of writes whose reply will still be lost
+}
+
+// New returns an empty store without failures.
 func New() *Store {
 	return &Store{
 		values:  map[string]storer.Value{},
@@ -54,14 +54,14 @@
 	}
 }
 
-// SetDown has the store take no calls, or take them again.
+// SetDown sets whether the store rejects all calls.
 func (s *Store) SetDown(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = on
 }
 
-// SetSlow has calls wait until it is set off again.
+// SetSlow sets whether calls block. Blocked calls continue when it is turned off.
 func (s *Store) SetSlow(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,23 +74,23 @@
 	}
 }
 
-// LoseAnswers has the next n writes take effect and lose their answer.
+// LoseAnswers makes the next n writes take effect but lose their reply.
 func (s *Store) LoseAnswers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lose = n
+	s.lostReplies = n
 }
 
-// Calls is how many calls of a kind came.
+// Calls is the number of calls of a kind.
 func (s *Store) Calls(c Call) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[c]
 }
 
-// enter counts a call and waits while the store is slow. It returns with the
-// lock held unless there is an error.
-func (s *Store) enter(ctx context.Context, c Call) error {
+// beginCall counts a call and waits while the store is slow. It returns with the lock
+// held unless it returns an error.
+func (s *Store) beginCall(ctx context.Context, c Call) error {
 	s.mu.Lock()
 	s.calls[c]++
 	for s.slow != nil {
@@ -112,7 +112,7 @@
 
 // Get implements storer.Store.
 func (s *Store) Get(ctx context.Context, key string) (storer.Value, error) {
-	if err := s.enter(ctx, CallGet); err != nil {
+	if err := s.beginCall(ctx, CallGet); err != nil {
 		return storer.Value{}, err
 	}
 	defer s.mu.Unlock()
@@ -129,7 +129,7 @@
 
 // List implements storer.Store.
 func (s *Store) List(ctx context.Context, prefix string, limit int) ([]storer.Value, error) {
-	if err := s.enter(ctx, CallList); err != nil {
+	if err := s.beginCall(ctx, CallList); err != nil {
 		return nil, err
 	}
 	defer s.mu.Unlock()
@@ -148,7 +148,7 @@
 
 // Swap implements storer.Store.
 func (s *Store) Swap(ctx context.Context, key string, data []byte, expect int64, _ storer.LeaseID) (int64, error) {
-	if err := s.enter(ctx, CallSwap); err != nil {
+	if err := s.beginCall(ctx, CallSwap); err != nil {
 		return 0, err
 	}
 	defer s.mu.Unlock()
@@ -157,13 +157,13 @@
 	}
 	s.revision++
 	s.values[key] = storer.NewValue(key, append([]byte(nil), data...), s.revision)
-	s.tell(s.values[key])
-	return s.revision, s.answer(CallSwap)
+	s.notify(s.values[key])
+	return s.revision, s.writeResult(CallSwap)
 }
 
 // Delete implements storer.Store.
 func (s *Store) Delete(ctx context.Context, key string, expect int64) error {
-	if err := s.enter(ctx, CallDelete); err != nil {
+	if err := s.beginCall(ctx, CallDelete); err != nil {
 		return err
 	}
 	defer s.mu.Unlock()
@@ -172,28 +172,29 @@
 	}
 	s.revision++
 	delete(s.values, key)
-	s.tell(storer.NewValue(key, nil, 0))
-	return s.answer(CallDelete)
+	s.notify(storer.NewValue(key, nil, 0))
+	return s.writeResult(CallDelete)
 }
 
-// answer loses the answer of a write that took effect, if one is to be lost.
-func (s *Store) answer(c Call) error {
-	if s.lose == 0 {
+// writeResult returns the error of a write that took effect: none, unless its reply is to
+// be lost.
+func (s *Store) writeResult(c Call) error {
+	if s.lostReplies == 0 {
 		return nil
 	}
-	s.lose--
-	return errors.WithStack(storer.NewUnsureError(string(c), errors.New("the answer was lost")))
+	s.lostReplies--
+	return errors.WithStack(storer.NewUnsureError(string(c), errors.New("the reply was lost")))
 }
 
-func (s *Store) tell(v storer.Value) {
+func (s *Store) notify(v storer.Value) {
 	s.history = append(s.history, v)
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Grant implements storer.Store. Leases never lapse by themselves.
+// Grant implements storer.Store. The leases never expire.
 func (s *Store) Grant(ctx context.Context, ttl tier.Millis) (storer.LeaseID, error) {
-	if err := s.enter(ctx, CallGrant); err != nil {
+	if err := s.beginCall(ctx, CallGrant); err != nil {
 		return 0, err
 	}
 	defer s.mu.Unlock()
@@ -204,31 +205,31 @@
 
 // KeepAlive implements storer.Store.
 func (s *Store) KeepAlive(ctx context.Context, id storer.LeaseID) (tier.Millis, error) {
-	if err := s.enter(ctx, CallKeepAlive); err != nil {
+	if err := s.beginCall(ctx, CallKeepAlive); err != nil {
 		return 0, err
 	}
 	defer s.mu.Unlock()
 	return s.ttl[id], nil
 }
 
-// Watch implements storer.Store. The history is kept whole; from counts its
-// changes, which are the store's revisions.
+// Watch implements storer.Store. It replays the complete history: as revisions count the
+// changes, from is an index into it.
 func (s *Store) Watch(ctx context.Context, prefix string, from int64, changed func(storer.Value)) error {
 	for {
-		if err := s.enter(ctx, CallWatch); err != nil {
+		if err := s.beginCall(ctx, CallWatch); err != nil {
 			return err
 		}
-		fresh := append([]storer.Value(nil), s.history[min(from, int64(len(s.history))):]...)
-		more := s.changed
+		changes := append([]storer.Value(nil), s.history[min(from, int64(len(s.history))):]...)
+		nextChange := s.changed
 		s.mu.Unlock()
-		from += int64(len(fresh))
-		for _, v := range fresh {
+		from += int64(len(changes))
+		for _, v := range changes {
 			if strings.HasPrefix(v.Key(), prefix) {
 				changed(v)
 			}
 		}
 		select {
-		case <-more:
+		case <-nextChange:
 		case <-ctx.Done():
 			return errors.Wrap(ctx.Err(), "Store.Watch")
 		}
