--- a/tier/claimer/claimer.go
+++ b/tier/claimer/claimer.go
@@ -28,9 +28,9 @@
 	outageAfter        = 300 * tier.Millis(1) // of failing calls; from then on bookings are refused at once
 	DefaultMemory      = 65536                // minted keys that are remembered
 	maxIdlePages       = 256                  // cached pages, above which idle ones are evicted
-	// Claim numbers start at random, so that two incarnations of a VM that got the same
+	// Claim numbers start at random, so that two VM starts that got the same incarnation
 	// number by mistake still make distinct claims.
-	maxFirstCounter = 1 << 52
+	maxFirstClaim = 1 << 52
 )
 
 // LiveFunc reports whether an incarnation of a VM is believed to be alive.
@@ -62,7 +62,7 @@
 	counters  Counters
 }
 
-// Option sets one field of a claimer.
+// Option sets one option of a Claimer.
 type Option func(*Claimer)
 
 // WithPages sets the number of pages over which the claims of one shard set and date are
@@ -99,7 +99,7 @@
 	for _, o := range opts {
 		o(c)
 	}
-	c.lastClaim = c.random.Uint64N(maxFirstCounter)
+	c.lastClaim = c.random.Uint64N(maxFirstClaim)
 	c.minted.last = c.lastClaim
 	c.minted.oldest = c.lastClaim + 1
 	return c
--- a/tier/keeper/replicator.go
+++ b/tier/keeper/replicator.go
@@ -13,7 +13,7 @@
 	"cicadagrade.example/tier"
 )
 
-// Defaults and timing.
+// Defaults, timing and bounds.
 const (
 	DefaultWatchers        = 2                    // VMs of a data centre that watch the store
 	roleDecisionDelay      = 500 * tier.Millis(1) // without new members, before a VM decides whether to watch the store
