--- a/tier/claimer/booking.go
+++ b/tier/claimer/booking.go
@@ -42,10 +42,10 @@
 	booking      *booking
 }
 
-// NotRun returns the outcome of a submission that is known not to run. Unless the caller
+// NotRunOutcome returns the outcome of a submission that is known not to run. Unless the caller
 // states that it is the first one of its key, the outcome is Unknown, because an earlier
 // submission may have run.
-func NotRun(first bool, reason tier.RefuseReason) tier.Outcome {
+func NotRunOutcome(first bool, reason tier.RefuseReason) tier.Outcome {
 	r := tier.NewRefused(reason, 0)
 	if reason == tier.RefuseNoStore {
 		r = tier.NewRefused(reason, StoreRetryAfter)
@@ -68,19 +68,19 @@
 		c.finishWithError(w, invalidKey(e.key.text, allowedDates))
 		return
 	case e.key.expired(e.wall):
-		c.finish(w, NotRun(w.first, tier.RefuseKeyExpired))
+		c.finish(w, NotRunOutcome(w.first, tier.RefuseKeyExpired))
 		return
 	case c.fenced:
-		c.finish(w, NotRun(w.first, tier.RefuseLeaving))
+		c.finish(w, NotRunOutcome(w.first, tier.RefuseLeaving))
 		return
 	case now >= e.deadline:
-		c.finish(w, NotRun(w.first, tier.RefuseDeadline))
+		c.finish(w, NotRunOutcome(w.first, tier.RefuseDeadline))
 		return
 	}
 	p := c.pageOf(e)
 	b, ok := p.bookings[e.key.text]
 	if !ok && p.storeDown(now) && now < p.retryAt {
-		c.finish(w, NotRun(w.first, tier.RefuseNoStore))
+		c.finish(w, NotRunOutcome(w.first, tier.RefuseNoStore))
 		return
 	}
 	if !ok {
@@ -198,7 +198,7 @@
 	b.waiters = nil
 	c.endBooking(b, nil)
 	for _, w := range waiters {
-		c.finish(w, NotRun(w.first, reason))
+		c.finish(w, NotRunOutcome(w.first, reason))
 	}
 }
 
--- a/tier/claimer/cachedpage.go
+++ b/tier/claimer/cachedpage.go
@@ -55,7 +55,7 @@
 	if !ok {
 		p = &page{key: key, entries: map[string]entry{}, bookings: map[string]*booking{}}
 		c.pages[key] = p
-		c.emit(&Drop{key: e.key.expiredPageKey(e.set, c.pageCount)})
+		c.emit(&DeletePage{key: e.key.expiredPageKey(e.set, c.pageCount)})
 	}
 	return p
 }
--- a/tier/claimer/calls.go
+++ b/tier/claimer/calls.go
@@ -190,7 +190,7 @@
 // backOff postpones the next call for a page after a failure, with exponential backoff
 // and jitter.
 func (c *Claimer) backOff(now tier.Millis, p *page) {
-	p.backoff = min(MaxBackoff, max(DefaultBackoff, 2*p.backoff))
+	p.backoff = min(MaxBackoff, max(InitialBackoff, 2*p.backoff))
 	p.retryAt = now + p.backoff/2 + tier.Millis(c.random.Int64N(int64(p.backoff/2)+1))
 }
 
--- a/tier/claimer/claimer.go
+++ b/tier/claimer/claimer.go
@@ -20,14 +20,14 @@
 
 // Defaults of a claimer's options.
 const (
-	DefaultPages       = 8                   // per shard set and date
-	DefaultRecordDelay = 20 * tier.Millis(1) // lets one write carry several outcomes
-	DefaultBackoff     = 10 * tier.Millis(1) // before the first retry of a store call
-	MaxBackoff         = 500 * tier.Millis(1)
-	StoreRetryAfter    = 1 * tier.Second      // given to callers while the store is down
-	outageAfter        = 300 * tier.Millis(1) // of failing calls; from then on bookings are refused at once
-	DefaultMemory      = 65536                // minted keys that are remembered
-	maxIdlePages       = 256                  // cached pages, above which idle ones are evicted
+	DefaultPages         = 8                   // per shard set and date
+	DefaultRecordDelay   = 20 * tier.Millis(1) // lets one write carry several outcomes
+	InitialBackoff       = 10 * tier.Millis(1) // before the first retry of a store call
+	MaxBackoff           = 500 * tier.Millis(1)
+	StoreRetryAfter      = 1 * tier.Second      // given to callers while the store is down
+	outageAfter          = 300 * tier.Millis(1) // of failing calls; from then on bookings are refused at once
+	DefaultMaxMintedKeys = 65536                // minted keys that are remembered
+	maxIdlePages         = 256                  // cached pages, above which idle ones are evicted
 	// Claim numbers start at random, so that two VM starts that got the same incarnation
 	// number by mistake still make distinct claims.
 	maxFirstClaim = 1 << 52
@@ -72,8 +72,8 @@
 // WithRecordDelay sets how long an outcome may wait to be written together with others.
 func WithRecordDelay(m tier.Millis) Option { return func(c *Claimer) { c.recordDelay = m } }
 
-// WithMemory sets how many minted keys are remembered.
-func WithMemory(n int) Option { return func(c *Claimer) { c.maxMintedKeys = n } }
+// WithMaxMintedKeys sets how many minted keys are remembered.
+func WithMaxMintedKeys(n int) Option { return func(c *Claimer) { c.maxMintedKeys = n } }
 
 // WithLive sets the function that reports which other VMs are alive. By default all are.
 func WithLive(f LiveFunc) Option { return func(c *Claimer) { c.live = f } }
@@ -110,7 +110,7 @@
 func (c *Claimer) Defaults() {
 	c.pageCount = DefaultPages
 	c.recordDelay = DefaultRecordDelay
-	c.maxMintedKeys = DefaultMemory
+	c.maxMintedKeys = DefaultMaxMintedKeys
 	c.live = func(string, tier.Incarnation) bool { return true }
 	c.random = rand.New(rand.NewPCG(uint64(c.incarnation), 0))
 }
--- a/tier/claimer/errors.go
+++ b/tier/claimer/errors.go
@@ -13,11 +13,11 @@
 // Key is the idempotency key.
 func (e *KeyReusedError) Key() string { return e.key }
 
-// First is the fingerprint of the request that the key was first submitted with.
-func (e *KeyReusedError) First() string { return e.firstFingerprint }
+// FirstFingerprint is the fingerprint of the request that the key was first submitted with.
+func (e *KeyReusedError) FirstFingerprint() string { return e.firstFingerprint }
 
-// Now is the fingerprint of the request submitted now.
-func (e *KeyReusedError) Now() string { return e.currentFingerprint }
+// CurrentFingerprint is the fingerprint of the request submitted now.
+func (e *KeyReusedError) CurrentFingerprint() string { return e.currentFingerprint }
 
 // Error names the key.
 func (e *KeyReusedError) Error() string {
--- a/tier/claimer/events.go
+++ b/tier/claimer/events.go
@@ -159,11 +159,11 @@
 // Expect is the expected revision; 0 means that the page must be absent.
 func (w *Write) Expect() int64 { return w.expect }
 
-// Drop asks to delete an expired page, if it exists. No event follows.
-type Drop struct{ key string }
+// DeletePage asks to delete an expired page, if it exists. No event follows.
+type DeletePage struct{ key string }
 
 // Key is the store key of the page.
-func (d *Drop) Key() string { return d.key }
+func (d *DeletePage) Key() string { return d.key }
 
 // Run asks to send a booking to a back end, once, before its deadline. Ran follows.
 type Run struct {
@@ -172,8 +172,8 @@
 	deadline     tier.Millis
 }
 
-// Ticket identifies the submission.
-func (r *Run) Ticket() uint64 { return r.submissionID }
+// SubmissionID identifies the submission.
+func (r *Run) SubmissionID() uint64 { return r.submissionID }
 
 // Key is the idempotency key of the booking.
 func (r *Run) Key() Key { return r.key }
@@ -188,8 +188,8 @@
 	err          error
 }
 
-// Ticket identifies the submission.
-func (f *Finish) Ticket() uint64 { return f.submissionID }
+// SubmissionID identifies the submission.
+func (f *Finish) SubmissionID() uint64 { return f.submissionID }
 
 // Outcome is the outcome of the submission, or nil.
 func (f *Finish) Outcome() tier.Outcome { return f.outcome }
@@ -197,8 +197,8 @@
 // Err is a *KeyReusedError or *tier.InvalidError, or nil.
 func (f *Finish) Err() error { return f.err }
 
-func (*Read) action()   {}
-func (*Write) action()  {}
-func (*Drop) action()   {}
-func (*Run) action()    {}
-func (*Finish) action() {}
+func (*Read) action()       {}
+func (*Write) action()      {}
+func (*DeletePage) action() {}
+func (*Run) action()        {}
+func (*Finish) action()     {}
--- a/tier/claimer/sim_test.go
+++ b/tier/claimer/sim_test.go
@@ -165,14 +165,14 @@
 		si.after(si.storeDelay(), func() { si.readPage(a, func(e claimer.Event) { v.reply(incarnation, e) }) })
 	case *claimer.Write:
 		si.after(si.storeDelay(), func() { si.writePage(a, func(e claimer.Event) { v.reply(incarnation, e) }) })
-	case *claimer.Drop:
+	case *claimer.DeletePage:
 		si.deletedPages = append(si.deletedPages, a.Key())
 	case *claimer.Run:
 		si.after(si.upTo(3), func() { v.send(incarnation, a) })
 	case *claimer.Finish:
-		s := v.open[a.Ticket()]
+		s := v.open[a.SubmissionID()]
 		s.endedAt, s.outcome = si.now, a.Outcome()
-		delete(v.open, a.Ticket())
+		delete(v.open, a.SubmissionID())
 	}
 }
 
@@ -190,14 +190,14 @@
 		return
 	}
 	if v.sim.now >= a.Deadline() {
-		v.handle(incarnation, claimer.NewRan(a.Ticket(), tier.NewRefused(tier.RefuseDeadline, 0)))
+		v.handle(incarnation, claimer.NewRan(a.SubmissionID(), tier.NewRefused(tier.RefuseDeadline, 0)))
 		return
 	}
 	o := v.sim.book(a.Key().String())
 	if v.sim.hedged {
 		o = v.sim.book(a.Key().String())
 	}
-	v.sim.after(v.sim.upTo(30), func() { v.handle(incarnation, claimer.NewRan(a.Ticket(), o)) })
+	v.sim.after(v.sim.upTo(30), func() { v.handle(incarnation, claimer.NewRan(a.SubmissionID(), o)) })
 }
 
 // book is the back end: it runs every request that it receives.
--- a/tier/auditor/committer.go
+++ b/tier/committer/committer.go
@@ -1,25 +1,25 @@
-// Package auditor commits one change of a configuration document to the store, together
+// Package committer commits one change of a configuration document to the store, together
 // with its audit entry. Its state machine reads the document, archives older audit
 // entries and compare-and-swaps the document. If the reply to the swap is lost, it reads
 // the document back and looks for the ID of its change, to decide whether the change was
 // accepted, rejected or has an unknown outcome.
-package auditor
+package committer
 
 import (
 	"fmt"
 	"math/rand/v2"
 
 	"cicadagrade.example/tier"
-	"cicadagrade.example/tier/keeper"
 	"cicadagrade.example/tier/parser"
+	"cicadagrade.example/tier/replicator"
 	"cicadagrade.example/tier/storer"
 )
 
 // Default timeout and bounds of the retry delay.
 const (
-	DefaultPatience = 10 * tier.Second
-	minRetryDelay   = 100 * tier.Millis(1)
-	maxRetryDelay   = 2 * tier.Second
+	DefaultTimeout = 10 * tier.Second
+	minRetryDelay  = 100 * tier.Millis(1)
+	maxRetryDelay  = 2 * tier.Second
 )
 
 // AnyRevision accepts the document at any revision.
@@ -28,11 +28,11 @@
 // Change is the state machine of one change. It does no I/O: Step takes events and
 // returns the action to perform. It is not safe for concurrent use.
 type Change struct {
-	author           keeper.Author
+	author           replicator.Author
 	id               string
-	document         parser.Document // the wanted content
-	fleetState       *keeper.State   // set when the change is a reconciliation
-	highestServed    keeper.Ref      // the highest version that any VM serves
+	document         parser.Document   // the wanted content
+	fleetState       *replicator.State // set when the change is a reconciliation
+	highestServed    replicator.Ref    // the highest version that any VM serves
 	expectedRevision int64
 	timeout          tier.Millis
 	random           *rand.Rand
@@ -44,7 +44,7 @@
 	delayed      Action // to be performed at delayedUntil
 
 	current    storer.Value // as last read; the swap expects its revision
-	next       *keeper.State
+	next       *replicator.State
 	auxiliary  []*Put // archive and change-list writes to be made before the swap
 	swapUnsure bool   // the reply to a swap was lost: it may have taken effect
 	done       bool
@@ -53,17 +53,19 @@
 // Option sets one option of a change.
 type Option func(*Change)
 
-// WithExpect makes the change rejected unless the document is at this revision; 0 means
+// WithExpectedRevision makes the change rejected unless the document is at this revision; 0 means
 // that the document must not exist yet.
-func WithExpect(revision int64) Option { return func(c *Change) { c.expectedRevision = revision } }
+func WithExpectedRevision(revision int64) Option {
+	return func(c *Change) { c.expectedRevision = revision }
+}
 
-// WithFloor sets the highest version of the document that any VM serves. If the store
+// WithHighestServed sets the highest version of the document that any VM serves. If the store
 // holds an older one, the change is rejected, because the store has to be reconciled
 // first.
-func WithFloor(r keeper.Ref) Option { return func(c *Change) { c.highestServed = r } }
+func WithHighestServed(r replicator.Ref) Option { return func(c *Change) { c.highestServed = r } }
 
-// WithPatience sets the time after which the change is no longer retried.
-func WithPatience(m tier.Millis) Option { return func(c *Change) { c.timeout = m } }
+// WithTimeout sets the time after which the change is no longer retried.
+func WithTimeout(m tier.Millis) Option { return func(c *Change) { c.timeout = m } }
 
 // WithSeed seeds the jitter of the retry delays.
 func WithSeed(seed uint64) Option {
@@ -73,7 +75,7 @@
 // New returns a change that replaces a document by d. The change ID has to be unique; at
 // is wall time.
 func New(d parser.Document, id, who, reason string, at tier.Millis, opts ...Option) *Change {
-	c := &Change{document: d, id: id, author: keeper.NewAuthor(who, id, reason, at)}
+	c := &Change{document: d, id: id, author: replicator.NewAuthor(who, id, reason, at)}
 	c.Defaults()
 	for _, o := range opts {
 		o(c)
@@ -83,7 +85,7 @@
 
 // NewReconciliation returns a change that replaces what the store holds by the highest
 // state that VMs serve.
-func NewReconciliation(fleet *keeper.State, id, who, reason string, at tier.Millis, opts ...Option) *Change {
+func NewReconciliation(fleet *replicator.State, id, who, reason string, at tier.Millis, opts ...Option) *Change {
 	c := New(fleet.Document(), id, who, reason, at, opts...)
 	c.fleetState = fleet
 	return c
@@ -92,12 +94,12 @@
 // Defaults sets the default timeout and seed, and accepts any revision.
 func (c *Change) Defaults() {
 	c.expectedRevision = AnyRevision
-	c.timeout = DefaultPatience
+	c.timeout = DefaultTimeout
 	WithSeed(1)(c)
 }
 
 // Key is the store key of the document.
-func (c *Change) Key() string { return keeper.KeyOf(c.document) }
+func (c *Change) Key() string { return replicator.KeyOf(c.document) }
 
 // Step handles one event and returns the action to perform, or none while it waits for a
 // retry.
@@ -202,7 +204,7 @@
 func finish(r Result) Action { return &Finish{result: r} }
 
 // describe returns the version of a state for messages.
-func describe(s *keeper.State) string {
+func describe(s *replicator.State) string {
 	if s == nil {
 		return "absent"
 	}
--- a/tier/auditor/history_test.go
+++ b/tier/committer/history_test.go
@@ -1,4 +1,4 @@
-package auditor_test
+package committer_test
 
 import (
 	"encoding/json"
@@ -10,9 +10,9 @@
 	"github.com/anishathalye/porcupine"
 
 	"cicadagrade.example/tier"
-	"cicadagrade.example/tier/auditor"
-	"cicadagrade.example/tier/keeper"
+	"cicadagrade.example/tier/committer"
 	"cicadagrade.example/tier/parser"
+	"cicadagrade.example/tier/replicator"
 	"cicadagrade.example/tier/storer"
 )
 
@@ -45,9 +45,9 @@
 	now          tier.Millis
 	history      map[string][]storer.Value // all states of each key, oldest first
 	lastRevision int64
-	delayedPuts  []*auditor.Put // their reply was lost and they take effect later
+	delayedPuts  []*committer.Put // their reply was lost and they take effect later
 	operations   []porcupine.Operation
-	results      map[string]auditor.Result
+	results      map[string]committer.Result
 	documentKey  string
 }
 
@@ -55,11 +55,11 @@
 type operator struct {
 	number      int
 	changesMade int
-	change      *auditor.Change
+	change      *committer.Change
 	changeID    string
 	calledAt    tier.Millis
-	action      auditor.Action
-	reply       auditor.Event
+	action      committer.Action
+	reply       committer.Event
 }
 
 func newSimulation(seed uint64, b breakage) *simulation {
@@ -67,8 +67,8 @@
 		random:      rand.New(rand.NewPCG(seed, 1)),
 		broken:      b,
 		history:     map[string][]storer.Value{},
-		results:     map[string]auditor.Result{},
-		documentKey: keeper.Key(parser.KindProfiles, ""),
+		results:     map[string]committer.Result{},
+		documentKey: replicator.Key(parser.KindProfiles, ""),
 	}
 }
 
@@ -80,41 +80,41 @@
 	return states[len(states)-1]
 }
 
-func (s *simulation) put(p *auditor.Put) auditor.Event {
+func (s *simulation) put(p *committer.Put) committer.Event {
 	if s.broken == noArchive && p.Key() != s.documentKey {
-		return &auditor.Written{}
+		return &committer.Written{}
 	}
 	current := s.get(p.Key())
-	if current.Revision() != p.Expect() {
-		return auditor.NewConflicted(current)
+	if current.Revision() != p.ExpectedRevision() {
+		return committer.NewConflicted(current)
 	}
 	s.lastRevision++
 	s.history[p.Key()] = append(s.history[p.Key()], storer.NewValue(p.Key(), p.Data(), s.lastRevision))
-	return &auditor.Written{}
+	return &committer.Written{}
 }
 
 var errLost = errors.New("lost")
 
 // perform performs an action, subject to faults.
-func (s *simulation) perform(a auditor.Action) auditor.Event {
+func (s *simulation) perform(a committer.Action) committer.Event {
 	roll := s.random.Float64()
 	switch a := a.(type) {
-	case *auditor.Get:
+	case *committer.Get:
 		if states := s.history[a.Key()]; roll < staleReadRate && len(states) > 0 {
-			return auditor.NewRead(states[s.random.IntN(len(states))])
+			return committer.NewRead(states[s.random.IntN(len(states))])
 		}
 		if roll < staleReadRate+refusedRate {
-			return auditor.NewFailed(a, false, errLost)
+			return committer.NewFailed(a, false, errLost)
 		}
-		return auditor.NewRead(s.get(a.Key()))
-	case *auditor.Put:
+		return committer.NewRead(s.get(a.Key()))
+	case *committer.Put:
 		return s.send(a, roll)
 	}
 	return nil
 }
 
-func (s *simulation) send(p *auditor.Put, roll float64) auditor.Event {
-	lost := auditor.NewFailed(p, true, errLost)
+func (s *simulation) send(p *committer.Put, roll float64) committer.Event {
+	lost := committer.NewFailed(p, true, errLost)
 	switch {
 	case roll < lostRequestRate:
 		return lost
@@ -125,7 +125,7 @@
 		s.delayedPuts = append(s.delayedPuts, p)
 		return lost
 	case roll < lostRequestRate+lostReplyRate+lateEffectRate+refusedRate:
-		return auditor.NewFailed(p, false, errLost)
+		return committer.NewFailed(p, false, errLost)
 	default:
 		return s.put(p)
 	}
@@ -173,7 +173,7 @@
 	default:
 		at, _ := o.change.Next()
 		s.now = max(s.now, at)
-		s.step(o, &auditor.Tick{})
+		s.step(o, &committer.Tick{})
 	}
 }
 
@@ -185,17 +185,17 @@
 		t.Fatal(err)
 	}
 	o.calledAt = s.now
-	o.change = auditor.New(parser.NewProfilesDocument(p), o.changeID, "op", "", s.now, auditor.WithSeed(s.random.Uint64()))
-	s.step(o, &auditor.Start{})
+	o.change = committer.New(parser.NewProfilesDocument(p), o.changeID, "op", "", s.now, committer.WithSeed(s.random.Uint64()))
+	s.step(o, &committer.Start{})
 }
 
-func (s *simulation) step(o *operator, e auditor.Event) {
-	if f, ok := e.(*auditor.Failed); ok && s.broken == noReadBack && f.Unsure() {
-		s.finish(o, &auditor.Unavailable{})
+func (s *simulation) step(o *operator, e committer.Event) {
+	if f, ok := e.(*committer.Failed); ok && s.broken == noReadBack && f.Unsure() {
+		s.finish(o, &committer.Unavailable{})
 		return
 	}
 	for _, a := range o.change.Step(s.now, e) {
-		if f, ok := a.(*auditor.Finish); ok {
+		if f, ok := a.(*committer.Finish); ok {
 			s.finish(o, f.Result())
 			return
 		}
@@ -224,19 +224,19 @@
 	register register
 }
 
-func (s *simulation) finish(o *operator, r auditor.Result) {
+func (s *simulation) finish(o *operator, r committer.Result) {
 	s.results[o.changeID] = r
 	out := result{outcome: hadNoEffect, register: register{change: o.changeID}}
 	returned := s.now
 	switch r := r.(type) {
-	case *auditor.Accepted:
+	case *committer.Accepted:
 		out.outcome = accepted
 		for _, e := range r.State().Tail() {
-			if e.Change() == o.changeID {
+			if e.ChangeID() == o.changeID {
 				out.register.revision = e.Revision()
 			}
 		}
-	case *auditor.Unknown:
+	case *committer.Unknown:
 		out.outcome = mayHaveEffect
 		returned = 1 << 40 // it may take effect at any later time
 	}
@@ -256,13 +256,13 @@
 	out := result{outcome: observed}
 	if v.Present() {
 		state := decode(t, v)
-		out.register = register{revision: state.Ref().Revision(), change: state.Last().Change()}
+		out.register = register{revision: state.Ref().Revision(), change: state.LastEntry().ChangeID()}
 	}
 	s.record(operators, s.now, s.now, out)
 }
 
-func decode(t *testing.T, v storer.Value) *keeper.State {
-	s, err := keeper.Decode(v.Key(), v.Data())
+func decode(t *testing.T, v storer.Value) *replicator.State {
+	s, err := replicator.Decode(v.Key(), v.Data())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -296,28 +296,28 @@
 // checkAuditTrail compares the audit trail with the results that the operators got.
 func (s *simulation) checkAuditTrail(t *testing.T) error {
 	final := decode(t, s.get(s.documentKey))
-	var archived []keeper.Entry
+	var archived []replicator.Entry
 	for key := range s.history {
 		if key == s.documentKey {
 			continue
 		}
-		var e keeper.Entry
+		var e replicator.Entry
 		if err := json.Unmarshal(s.get(key).Data(), &e); err != nil {
 			t.Fatal(err)
 		}
 		archived = append(archived, e)
 	}
-	trail := keeper.Merge(archived, final.Tail())
+	trail := replicator.MergeEntries(archived, final.Tail())
 	inTrail := map[string]bool{}
 	for i, e := range trail {
-		inTrail[e.Change()] = true
+		inTrail[e.ChangeID()] = true
 		if e.Revision() != uint64(i+1) {
 			return fmt.Errorf("entry %d is of revision %d", i, e.Revision())
 		}
 	}
 	for id, r := range s.results {
-		_, wasAccepted := r.(*auditor.Accepted)
-		_, unknown := r.(*auditor.Unknown)
+		_, wasAccepted := r.(*committer.Accepted)
+		_, unknown := r.(*committer.Unknown)
 		if wasAccepted != inTrail[id] && !unknown {
 			return fmt.Errorf("change %s ended as %T, in the audit trail: %t", id, r, inTrail[id])
 		}
--- a/tier/auditor/read.go
+++ b/tier/committer/read.go
@@ -1,4 +1,4 @@
-package auditor
+package committer
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"github.com/pkg/errors"
 
 	"cicadagrade.example/tier"
-	"cicadagrade.example/tier/keeper"
 	"cicadagrade.example/tier/parser"
+	"cicadagrade.example/tier/replicator"
 	"cicadagrade.example/tier/storer"
 )
 
@@ -30,26 +30,26 @@
 	return c.buildNext(v, current) // a reconciliation may replace a document that can't be decoded
 }
 
-func decode(v storer.Value) (*keeper.State, error) {
+func decode(v storer.Value) (*replicator.State, error) {
 	if !v.Present() {
 		return nil, nil
 	}
-	return keeper.Decode(v.Key(), v.Data())
+	return replicator.Decode(v.Key(), v.Data())
 }
 
 // buildNext builds the next state from the current one and returns the first write.
-func (c *Change) buildNext(v storer.Value, current *keeper.State) Action {
+func (c *Change) buildNext(v storer.Value, current *replicator.State) Action {
 	c.current = v
 	if a := c.checkPreconditions(current); a != nil {
 		return a
 	}
 	var changes []parser.Change
 	if c.fleetState != nil {
-		c.next = keeper.Reconcile(c.fleetState, current, c.author)
+		c.next = replicator.Reconcile(c.fleetState, current, c.author)
 	} else {
-		c.next, changes = keeper.Next(current, c.document, c.author)
+		c.next, changes = replicator.NextState(current, c.document, c.author)
 	}
-	if size := len(c.next.Encode()); size > keeper.MaxStored {
+	if size := len(c.next.Encode()); size > replicator.MaxStoredBytes {
 		return finish(&Invalid{cause: tooLarge("document", size)})
 	}
 	if a := c.prepareAuxiliary(current, changes); a != nil {
@@ -59,11 +59,11 @@
 }
 
 // checkPreconditions ends a change that is rejected, invalid or already made.
-func (c *Change) checkPreconditions(current *keeper.State) Action {
+func (c *Change) checkPreconditions(current *replicator.State) Action {
 	if current == nil {
 		return c.checkAbsent()
 	}
-	if _, ok := current.Find(c.id); ok {
+	if _, ok := current.FindChange(c.id); ok {
 		return finish(&Accepted{state: current})
 	}
 	if c.fleetState != nil {
@@ -71,7 +71,7 @@
 	}
 	r := current.Ref()
 	switch {
-	case c.highestServed.Above(r):
+	case c.highestServed.NewerThan(r):
 		return finish(&Rejected{reason: ReasonStoreBehind, current: current, highestServed: c.highestServed})
 	case c.expectedRevision != AnyRevision && uint64(c.expectedRevision) != r.Revision():
 		return finish(&Rejected{reason: ReasonConflict, current: current})
@@ -137,50 +137,50 @@
 // prepareAuxiliary lists the writes that have to precede the swap: a list of changes that
 // is too long for the audit tail, and the audit entries that the swap removes from the
 // tail.
-func (c *Change) prepareAuxiliary(current *keeper.State, changes []parser.Change) Action {
+func (c *Change) prepareAuxiliary(current *replicator.State, changes []parser.Change) Action {
 	c.auxiliary = nil
-	if c.next.Last().Apart() {
+	if c.next.LastEntry().ChangesDetached() {
 		if c.fleetState != nil {
 			changes = parser.Diff(documentOf(current), c.document)
 		}
-		b, err := keeper.EncodeChanges(changes)
-		if err == nil && len(b) > keeper.MaxStored {
+		b, err := replicator.EncodeChanges(changes)
+		if err == nil && len(b) > replicator.MaxStoredBytes {
 			err = tooLarge("list of changes", len(b))
 		}
 		if err != nil {
 			return finish(&Invalid{cause: err})
 		}
-		c.auxiliary = append(c.auxiliary, &Put{key: keeper.ChangesKey(c.Key(), c.id), data: b})
+		c.auxiliary = append(c.auxiliary, &Put{key: replicator.ChangesKey(c.Key(), c.id), data: b})
 	}
 	for _, e := range c.entriesToArchive(current) {
 		b, err := e.MarshalJSON()
 		if err != nil {
 			return finish(&Invalid{cause: err})
 		}
-		c.auxiliary = append(c.auxiliary, &Put{key: keeper.ArchiveKey(c.Key(), e), data: b})
+		c.auxiliary = append(c.auxiliary, &Put{key: replicator.ArchiveKey(c.Key(), e), data: b})
 	}
 	return nil
 }
 
 // entriesToArchive lists the audit entries that are in no tail after the swap.
-func (c *Change) entriesToArchive(current *keeper.State) []keeper.Entry {
-	var entries []keeper.Entry
+func (c *Change) entriesToArchive(current *replicator.State) []replicator.Entry {
+	var entries []replicator.Entry
 	if current != nil {
 		entries = current.Tail()
 	}
 	if c.fleetState != nil {
-		entries = keeper.Merge(c.fleetState.Tail(), entries)
+		entries = replicator.MergeEntries(c.fleetState.Tail(), entries)
 	}
-	var out []keeper.Entry
+	var out []replicator.Entry
 	for _, e := range entries {
-		if _, ok := c.next.Find(e.Change()); !ok {
+		if _, ok := c.next.FindChange(e.ChangeID()); !ok {
 			out = append(out, e)
 		}
 	}
 	return out
 }
 
-func documentOf(s *keeper.State) parser.Document {
+func documentOf(s *replicator.State) parser.Document {
 	if s == nil {
 		return nil
 	}
@@ -210,7 +210,7 @@
 		return finish(&Unknown{cause: err})
 	}
 	if current != nil {
-		if _, ok := current.Find(c.id); ok {
+		if _, ok := current.FindChange(c.id); ok {
 			return finish(&Accepted{state: current})
 		}
 	}
@@ -218,11 +218,11 @@
 	switch {
 	case !c.swapUnsure:
 		return finish(&Rejected{reason: ReasonConflict, current: current})
-	case current == nil || r.Above(current.Ref()):
+	case current == nil || r.NewerThan(current.Ref()):
 		return finish(&Unknown{cause: fmt.Errorf("the store shows the document %s, below this change", describe(current))})
-	case current.Covers(r.Epoch(), r.Revision()):
+	case current.TailCovers(r.Epoch(), r.Revision()):
 		return finish(&Rejected{reason: ReasonConflict, current: current})
 	default:
-		return &Get{key: keeper.ArchiveKey(c.Key(), c.next.Last())}
+		return &Get{key: replicator.ArchiveKey(c.Key(), c.next.LastEntry())}
 	}
 }
--- a/tier/auditor/run.go
+++ b/tier/committer/run.go
@@ -1,4 +1,4 @@
-package auditor
+package committer
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 	"cicadagrade.example/tier/storer"
 )
 
-// Drive performs a change against a store until the change or ctx ends. If ctx ends
+// Run performs a change against a store until the change or ctx ends. If ctx ends
 // first, the result is Unknown or Unavailable.
-func Drive(ctx context.Context, clock *tier.Clock, store storer.Store, c *Change) Result {
+func Run(ctx context.Context, clock *tier.Clock, store storer.Store, c *Change) Result {
 	e := Event(&Start{})
 	for {
 		for _, a := range c.Step(clock.Now(), e) {
@@ -44,9 +44,9 @@
 		}
 		return NewRead(v)
 	case *Put:
-		_, err := store.Swap(ctx, a.key, a.data, a.expectedRevision, 0)
+		_, err := store.CompareAndSwap(ctx, a.key, a.data, a.expectedRevision, 0)
 		var conflict *storer.ConflictError
-		var unsure *storer.UnsureError
+		var unsure *storer.IndeterminateError
 		switch {
 		case err == nil:
 			return &Written{}
--- a/tier/keeper/entry.go
+++ b/tier/replicator/entry.go
@@ -1,4 +1,4 @@
-package keeper
+package replicator
 
 import (
 	"encoding/json"
@@ -42,8 +42,8 @@
 // At is the wall time of the change, in milliseconds since the Unix epoch.
 func (e Entry) At() tier.Millis { return e.at }
 
-// Change is the unique ID of the change.
-func (e Entry) Change() string { return e.changeID }
+// ChangeID is the unique ID of the change.
+func (e Entry) ChangeID() string { return e.changeID }
 
 // Epoch is the document's epoch after the change.
 func (e Entry) Epoch() uint64 { return e.epoch }
@@ -57,9 +57,9 @@
 // Changes lists the differences, unless they are detached.
 func (e Entry) Changes() []parser.Change { return e.changes }
 
-// Apart reports that the list of changes is too long for the audit tail and is stored
+// ChangesDetached reports that the list of changes is too long for the audit tail and is stored
 // under its own key, ChangesKey.
-func (e Entry) Apart() bool { return e.changesDetached }
+func (e Entry) ChangesDetached() bool { return e.changesDetached }
 
 // WithChanges returns the entry with the list of changes read from ChangesKey.
 func (e Entry) WithChanges(c []parser.Change) Entry {
@@ -157,9 +157,9 @@
 // ArchivePrefix is the prefix of the store keys of a document's archived entries.
 func ArchivePrefix(key string) string { return auditPrefix + documentPath(key) + "/" }
 
-// Merge combines entries of the archive and of the tail, without duplicates and in the
+// MergeEntries combines entries of the archive and of the tail, without duplicates and in the
 // order of epoch and revision.
-func Merge(lists ...[]Entry) []Entry {
+func MergeEntries(lists ...[]Entry) []Entry {
 	seen := map[string]bool{}
 	var out []Entry
 	for _, l := range lists {
--- a/tier/keeper/event.go
+++ b/tier/replicator/event.go
@@ -1,4 +1,4 @@
-package keeper
+package replicator
 
 import (
 	"fmt"
@@ -103,63 +103,63 @@
 // means that it holds none.
 func (a *Fetch) Have() []Ref { return a.have }
 
-// Took says that this VM now serves a new state of a document.
-type Took struct{ state *State }
+// Adopted says that this VM now serves a new state of a document.
+type Adopted struct{ state *State }
 
 // State is the new state of the document.
-func (a *Took) State() *State { return a.state }
+func (a *Adopted) State() *State { return a.state }
 
-// Warned says that a new alert was raised.
-type Warned struct{ alert Flag }
+// AlertRaised says that a new alert was raised.
+type AlertRaised struct{ alert Alert }
 
-// Flag is the alert.
-func (a *Warned) Flag() Flag { return a.alert }
+// Alert is the alert.
+func (a *AlertRaised) Alert() Alert { return a.alert }
 
-func (*List) action()     {}
-func (*Watch) action()    {}
-func (*EndWatch) action() {}
-func (*Fetch) action()    {}
-func (*Took) action()     {}
-func (*Warned) action()   {}
+func (*List) action()        {}
+func (*Watch) action()       {}
+func (*EndWatch) action()    {}
+func (*Fetch) action()       {}
+func (*Adopted) action()     {}
+func (*AlertRaised) action() {}
 
-// Trouble is the kind of problem with a document.
-type Trouble string
+// AlertKind is the kind of problem with a document.
+type AlertKind string
 
 // The kinds of alert.
 const (
 	// StoreBehind: the store shows an older state than this VM serves, or none. It served
 	// a stale read, was restarted empty or was restored from a backup.
-	StoreBehind Trouble = "store-behind"
+	StoreBehind AlertKind = "store-behind"
 	// Forked: a state with the same or a higher revision was offered that does not
 	// descend from the one this VM serves.
-	Forked Trouble = "forked"
+	Forked AlertKind = "forked"
 	// Damaged: a state was offered that can't be decoded.
-	Damaged Trouble = "damaged"
+	Damaged AlertKind = "damaged"
 )
 
-// Flag is a problem with one document that an operator has to look at. The VM continues
+// Alert is a problem with one document that an operator has to look at. The VM continues
 // to serve the state that it holds.
-type Flag struct {
-	kind    Trouble
+type Alert struct {
+	kind    AlertKind
 	served  Ref
 	offered Ref
 	source  string
 }
 
-// Trouble is the kind of problem.
-func (a Flag) Trouble() Trouble { return a.kind }
+// Kind is the kind of problem.
+func (a Alert) Kind() AlertKind { return a.kind }
 
 // Served is the version that this VM serves.
-func (a Flag) Served() Ref { return a.served }
+func (a Alert) Served() Ref { return a.served }
 
-// Seen is the version that was offered instead; revision 0 means none.
-func (a Flag) Seen() Ref { return a.offered }
+// Offered is the version that was offered instead; revision 0 means none.
+func (a Alert) Offered() Ref { return a.offered }
 
 // Source is "store", or the name of the VM that offered the state.
-func (a Flag) Source() string { return a.source }
+func (a Alert) Source() string { return a.source }
 
 // String describes the problem to an operator, on one line.
-func (a Flag) String() string {
+func (a Alert) String() string {
 	offered := "nothing"
 	if a.offered.revision > 0 {
 		offered = a.offered.String()
--- a/tier/keeper/fetch.go
+++ b/tier/replicator/fetch.go
@@ -1,4 +1,4 @@
-package keeper
+package replicator
 
 import (
 	"sort"
@@ -8,7 +8,7 @@
 
 // handleAnnounced stores what another VM announces, and raises an alert if it announces
 // another state at the version that this VM serves.
-func (rp *Keeper) handleAnnounced(e *Announced, out *actions) {
+func (rp *Replicator) handleAnnounced(e *Announced, out *actions) {
 	refs := make(map[string]Ref, len(e.refs))
 	for _, r := range e.refs {
 		refs[r.key] = r
@@ -18,7 +18,7 @@
 		case r.digest == served.digest:
 			rp.clearAlert(r.key, e.vm)
 		default:
-			rp.raiseAlert(Flag{kind: Forked, served: served, offered: r, source: e.vm}, out)
+			rp.raiseAlert(Alert{kind: Forked, served: served, offered: r, source: e.vm}, out)
 		}
 	}
 	rp.announced[e.vm] = refs
@@ -27,10 +27,10 @@
 // newerAt lists the documents of which a VM announces a later version than this VM
 // holds, sorted by key, each with the version held here. The revision is 0 if a delta
 // could not be applied and the whole document is needed.
-func (rp *Keeper) newerAt(vm string) []Ref {
+func (rp *Replicator) newerAt(vm string) []Ref {
 	var out []Ref
 	for key, r := range rp.announced[vm] {
-		if have := rp.refOf(key); r.Above(have) && !rp.rejected[r] {
+		if have := rp.refOf(key); r.NewerThan(have) && !rp.rejected[r] {
 			if rp.needsWhole[key] {
 				have = Ref{key: key}
 			}
@@ -43,7 +43,7 @@
 
 // planFetch starts a fetch when one is due: from one VM at a time, chosen at random,
 // preferably from this data centre.
-func (rp *Keeper) planFetch(now tier.Millis, out *actions) {
+func (rp *Replicator) planFetch(now tier.Millis, out *actions) {
 	if rp.fetchingFrom != "" {
 		return
 	}
@@ -69,7 +69,7 @@
 
 // fetchSources lists the VMs that announce later versions than this VM holds, and the
 // time of the next retry of those whose last fetch failed.
-func (rp *Keeper) fetchSources(now tier.Millis) (local, remote []string, retry tier.Millis) {
+func (rp *Replicator) fetchSources(now tier.Millis) (local, remote []string, retry tier.Millis) {
 	retry = never
 	for vm := range rp.announced {
 		if !rp.assumedLive(vm) || len(rp.newerAt(vm)) == 0 {
@@ -89,7 +89,7 @@
 	return local, remote, retry
 }
 
-func (rp *Keeper) handleFetched(now tier.Millis, e *Fetched, out *actions) {
+func (rp *Replicator) handleFetched(now tier.Millis, e *Fetched, out *actions) {
 	if rp.fetchingFrom == e.vm {
 		rp.fetchingFrom = ""
 	}
@@ -103,7 +103,7 @@
 			rp.needsWhole[u.ref.key] = true
 		default:
 			retry = damagedRetryDelay
-			rp.raiseAlert(Flag{kind: Damaged, served: rp.refOf(u.ref.key), offered: u.ref, source: e.vm}, out)
+			rp.raiseAlert(Alert{kind: Damaged, served: rp.refOf(u.ref.key), offered: u.ref, source: e.vm}, out)
 		}
 	}
 	if !rp.watcher && len(rp.documents) > 0 {
@@ -114,21 +114,21 @@
 	}
 }
 
-func (rp *Keeper) handleFetchFailed(now tier.Millis, vm string) {
+func (rp *Replicator) handleFetchFailed(now tier.Millis, vm string) {
 	if rp.fetchingFrom == vm {
 		rp.fetchingFrom = ""
 	}
 	rp.retryPeerAt[vm] = now + rp.jitter(fetchRetryDelay)
 }
 
-// Answer returns the updates for a peer that lists the versions it holds; a revision of 0
+// UpdatesFor returns the updates for a peer that lists the versions it holds; a revision of 0
 // requests the whole document. With all, the documents that it does not list are added.
-func (rp *Keeper) Answer(have []Ref, all bool) []Update {
+func (rp *Replicator) UpdatesFor(have []Ref, all bool) []Update {
 	var out []Update
 	asked := map[string]bool{}
 	for _, r := range have {
 		asked[r.key] = true
-		if sd, ok := rp.documents[r.key]; ok && sd.state.ref.Above(r) {
+		if sd, ok := rp.documents[r.key]; ok && sd.state.ref.NewerThan(r) {
 			out = append(out, sd.updateFrom(r))
 		}
 	}
@@ -143,10 +143,10 @@
 	return out
 }
 
-// Index lists the versions that this VM announces. Watchers announce all documents they
+// RefsToAnnounce lists the versions that this VM announces. Watchers announce all documents they
 // hold. The other VMs announce only those of which no live VM has announced the same or a
 // later version, so that a change causes few announcements in a data centre.
-func (rp *Keeper) Index() []Ref {
+func (rp *Replicator) RefsToAnnounce() []Ref {
 	var out []Ref
 	for _, s := range rp.Documents() {
 		if rp.watcher || !rp.announcedByOthers(s.ref) {
@@ -156,9 +156,9 @@
 	return out
 }
 
-func (rp *Keeper) announcedByOthers(r Ref) bool {
+func (rp *Replicator) announcedByOthers(r Ref) bool {
 	for vm, refs := range rp.announced {
-		if o, ok := refs[r.key]; ok && !r.Above(o) && rp.assumedLive(vm) {
+		if o, ok := refs[r.key]; ok && !r.NewerThan(o) && rp.assumedLive(vm) {
 			return true
 		}
 	}
--- a/tier/keeper/load_test.go
+++ b/tier/replicator/load_test.go
@@ -1,4 +1,4 @@
-package keeper_test
+package replicator_test
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 
 	"cicadagrade.example/tier"
-	"cicadagrade.example/tier/keeper"
 	"cicadagrade.example/tier/parser"
+	"cicadagrade.example/tier/replicator"
 	"cicadagrade.example/tier/storer"
 )
 
@@ -18,16 +18,16 @@
 // that replies at once, and counts the calls to the store.
 type simulation struct {
 	now            tier.Millis
-	replicators    []*keeper.Keeper
+	replicators    []*replicator.Replicator
 	names          []string
 	dataCentreOf   []int
 	local          [][]string // by data centre
-	announced      [][]keeper.Ref
+	announced      [][]replicator.Ref
 	values         []storer.Value
 	gossip         bool
 	callsPerSecond map[tier.Millis]int // by second
 	totalCalls     int
-	document       *keeper.State
+	document       *replicator.State
 }
 
 func newSimulation(dataCentres, vmsPerDataCentre int, gossip bool) *simulation {
@@ -40,25 +40,25 @@
 			s.names = append(s.names, name)
 			s.dataCentreOf = append(s.dataCentreOf, c)
 			s.local[c] = append(s.local[c], name)
-			s.replicators = append(s.replicators, keeper.New(name,
-				keeper.WithDataCentre(fmt.Sprint(c)), keeper.WithSeeds(3), keeper.WithSeed(1)))
+			s.replicators = append(s.replicators, replicator.New(name,
+				replicator.WithDataCentre(fmt.Sprint(c)), replicator.WithSeeds(3), replicator.WithSeed(1)))
 		}
 	}
-	s.announced = make([][]keeper.Ref, dataCentres)
+	s.announced = make([][]replicator.Ref, dataCentres)
 	return s
 }
 
-func (s *simulation) step(i int, e keeper.Event) {
+func (s *simulation) step(i int, e replicator.Event) {
 	for _, a := range s.replicators[i].Step(s.now, e) {
 		switch a := a.(type) {
-		case *keeper.List:
+		case *replicator.List:
 			s.countCall()
-			s.step(i, keeper.NewListed(s.values))
-		case *keeper.Watch:
+			s.step(i, replicator.NewListed(s.values))
+		case *replicator.Watch:
 			s.countCall()
-		case *keeper.Fetch:
+		case *replicator.Fetch:
 			peer := s.replicators[s.indexOf(a.VM())]
-			s.step(i, keeper.NewFetched(a.VM(), peer.Answer(a.Have(), false)))
+			s.step(i, replicator.NewFetched(a.VM(), peer.UpdatesFor(a.Have(), false)))
 		}
 	}
 }
@@ -83,10 +83,10 @@
 	for s.now = 0; s.now < length; s.now += stepLength {
 		for i, rp := range s.replicators {
 			if at, ok := rp.Next(); s.now == 0 || (ok && at <= s.now) {
-				s.step(i, &keeper.Tick{})
+				s.step(i, &replicator.Tick{})
 			}
 			if s.gossip && s.now == 2*tier.Second {
-				s.step(i, keeper.NewMembers(s.local[s.dataCentreOf[i]], nil))
+				s.step(i, replicator.NewMembers(s.local[s.dataCentreOf[i]], nil))
 			}
 		}
 		if s.gossip && s.now > 2*tier.Second && s.now%250 == 0 && s.now < tier.Minute {
@@ -98,11 +98,11 @@
 func (s *simulation) announce() {
 	for i, rp := range s.replicators {
 		c := s.dataCentreOf[i]
-		if refs := rp.Index(); rp.Watcher() && len(refs) > 0 && s.announced[c] == nil {
+		if refs := rp.RefsToAnnounce(); rp.Watcher() && len(refs) > 0 && s.announced[c] == nil {
 			s.announced[c] = refs
 			for j := range s.replicators {
 				if s.dataCentreOf[j] == c && j != i {
-					s.step(j, keeper.NewAnnounced(s.names[i], refs))
+					s.step(j, replicator.NewAnnounced(s.names[i], refs))
 				}
 			}
 		}
@@ -136,7 +136,7 @@
 	}
 	broken := newSimulation(30, 273, false)
 	for i := range broken.replicators {
-		broken.replicators[i] = keeper.New(broken.names[i]) // without seeds: no spread
+		broken.replicators[i] = replicator.New(broken.names[i]) // without seeds: no spread
 	}
 	if broken.run(5 * tier.Second); broken.maxCallsPerSecond() < 2000 {
 		t.Errorf("a bulk restart without a spread passes: %d calls in a second", broken.maxCallsPerSecond())
@@ -164,13 +164,13 @@
 func BenchmarkUpdateBytes(b *testing.B) {
 	for _, servers := range []int{20, 2600} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			first, _ := keeper.Next(nil, bigSet(b, servers, 2), keeper.NewAuthor("ana", "9f2d6c1b7a3e4f50", "new set", 0))
-			next, _ := keeper.Next(first, bigSet(b, servers, 4), keeper.NewAuthor("ana", "0a1b2c3d4e5f6071", "more slots", 0))
-			var delta []keeper.Update
+			first, _ := replicator.NextState(nil, bigSet(b, servers, 2), replicator.NewAuthor("ana", "9f2d6c1b7a3e4f50", "new set", 0))
+			next, _ := replicator.NextState(first, bigSet(b, servers, 4), replicator.NewAuthor("ana", "0a1b2c3d4e5f6071", "more slots", 0))
+			var delta []replicator.Update
 			for b.Loop() {
 				delta = updateFrom(next, first.Ref(), first)
 			}
-			whole := updateFrom(next, keeper.Ref{})
+			whole := updateFrom(next, replicator.Ref{})
 			b.ReportMetric(float64(len(delta[0].Delta())), "delta-bytes")
 			b.ReportMetric(float64(len(whole[0].Whole())), "whole-bytes")
 		})
@@ -182,15 +182,15 @@
 func BenchmarkTakeDelta(b *testing.B) {
 	for _, servers := range []int{20, 2600} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			state, _ := keeper.Next(nil, bigSet(b, servers, 1), keeper.NewAuthor("ana", "change-0", "new set", 0))
-			rp := keeper.New("a")
-			rp.Step(0, keeper.NewChanged(storeValue(state, 1)))
+			state, _ := replicator.NextState(nil, bigSet(b, servers, 1), replicator.NewAuthor("ana", "change-0", "new set", 0))
+			rp := replicator.New("a")
+			rp.Step(0, replicator.NewChanged(storeValue(state, 1)))
 			for i := 1; b.Loop(); i++ {
 				b.StopTimer()
-				next, _ := keeper.Next(state, bigSet(b, servers, 1+i%20), keeper.NewAuthor("ana", fmt.Sprint("change-", i), "slots", 0))
+				next, _ := replicator.NextState(state, bigSet(b, servers, 1+i%20), replicator.NewAuthor("ana", fmt.Sprint("change-", i), "slots", 0))
 				u := updateFrom(next, state.Ref(), state)
 				b.StartTimer()
-				if len(adoptedStates(rp.Step(0, keeper.NewFetched("peer", u)))) != 1 {
+				if len(adoptedStates(rp.Step(0, replicator.NewFetched("peer", u)))) != 1 {
 					b.Fatal("not adopted")
 				}
 				state = next
@@ -229,25 +229,25 @@
 // starts at most one watch per read, however the store replies and the members change.
 func TestReadsKeepMinimumGap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rp := keeper.New("a", keeper.WithDataCentre("x"))
+		rp := replicator.New("a", replicator.WithDataCentre("x"))
 		var reads []tier.Millis
 		now, listing, watching, watches := tier.Millis(0), false, false, 0
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			now += tier.Millis(rapid.IntRange(0, 3000).Draw(t, "pause"))
 			e := storeEvent(t, listing, watching)
 			switch e.(type) {
-			case *keeper.Listed, *keeper.ListFailed:
+			case *replicator.Listed, *replicator.ListFailed:
 				listing = false
-			case *keeper.WatchEnded:
+			case *replicator.WatchEnded:
 				watching = false
 			}
 			for _, a := range rp.Step(now, e) {
 				switch a.(type) {
-				case *keeper.List:
+				case *replicator.List:
 					reads, listing = append(reads, now), true
-				case *keeper.Watch:
+				case *replicator.Watch:
 					watches, watching = watches+1, true
-				case *keeper.EndWatch:
+				case *replicator.EndWatch:
 					watching = false
 				}
 			}
@@ -260,15 +260,15 @@
 
 // storeEvent draws an event. Events of the store are drawn only if they can follow from
 // what was requested.
-func storeEvent(t *rapid.T, listing, watching bool) keeper.Event {
-	events := []keeper.Event{
-		&keeper.Tick{}, keeper.NewMembers([]string{"a"}, nil), keeper.NewMembers([]string{"a", "b", "c", "d", "e"}, nil),
+func storeEvent(t *rapid.T, listing, watching bool) replicator.Event {
+	events := []replicator.Event{
+		&replicator.Tick{}, replicator.NewMembers([]string{"a"}, nil), replicator.NewMembers([]string{"a", "b", "c", "d", "e"}, nil),
 	}
 	if listing {
-		events = append(events, &keeper.ListFailed{}, keeper.NewListed(nil))
+		events = append(events, &replicator.ListFailed{}, replicator.NewListed(nil))
 	}
 	if watching {
-		events = append(events, &keeper.WatchEnded{})
+		events = append(events, &replicator.WatchEnded{})
 	}
 	return rapid.SampledFrom(events).Draw(t, "event")
 }
@@ -288,11 +288,11 @@
 func TestGapCheckDetectsCloseReads(t *testing.T) {
 	var reads []tier.Millis
 	for now := tier.Millis(0); now < 2*tier.Second; now += 100 {
-		rp := keeper.New("a")
-		rp.Step(now-tier.Second, &keeper.Tick{})
-		rp.Step(now-100, &keeper.Tick{})
-		for _, a := range rp.Step(now+100, &keeper.Tick{}) {
-			if _, ok := a.(*keeper.List); ok {
+		rp := replicator.New("a")
+		rp.Step(now-tier.Second, &replicator.Tick{})
+		rp.Step(now-100, &replicator.Tick{})
+		for _, a := range rp.Step(now+100, &replicator.Tick{}) {
+			if _, ok := a.(*replicator.List); ok {
 				reads = append(reads, now)
 			}
 		}
--- a/tier/keeper/plan.go
+++ b/tier/replicator/plan.go
@@ -1,4 +1,4 @@
-package keeper
+package replicator
 
 import (
 	"cicadagrade.example/tier"
@@ -7,7 +7,7 @@
 
 // handleMembers stores the list of live VMs. Announcements of other VMs are kept but not
 // used, in case the VMs become live again.
-func (rp *Keeper) handleMembers(now tier.Millis, e *Members) {
+func (rp *Replicator) handleMembers(now tier.Millis, e *Members) {
 	rp.localMembers = e.local
 	if known := len(e.local) + len(e.remote); known > rp.knownVMs {
 		rp.knownVMs = known
@@ -37,13 +37,13 @@
 
 // assumedLive reports whether the announcements of a VM are used. Before the first
 // Members event those of all VMs are.
-func (rp *Keeper) assumedLive(vm string) bool { return rp.liveVMs == nil || rp.liveVMs[vm] }
+func (rp *Replicator) assumedLive(vm string) bool { return rp.liveVMs == nil || rp.liveVMs[vm] }
 
 // selectedAsWatcher reports whether rendezvous hashing selects this VM as a watcher. A VM
 // that knows no others selects itself. The hash is the one by which the gossip selects
 // the contacts between data centres, so the watchers' announcements reach the other data
 // centres directly.
-func (rp *Keeper) selectedAsWatcher() bool {
+func (rp *Replicator) selectedAsWatcher() bool {
 	ownScore := rp.watcherScore(rp.name)
 	higher := 0
 	for _, vm := range rp.localMembers {
@@ -54,11 +54,13 @@
 	return higher < rp.watchers
 }
 
-func (rp *Keeper) watcherScore(vm string) uint64 { return picker.Score("contact", rp.dataCentre, vm) }
+func (rp *Replicator) watcherScore(vm string) uint64 {
+	return picker.Score("contact", rp.dataCentre, vm)
+}
 
 // planStoreCalls decides whether this VM is a watcher, ends its watch when it no longer
 // is, and reads the store when a read is due.
-func (rp *Keeper) planStoreCalls(now tier.Millis, out *actions) {
+func (rp *Replicator) planStoreCalls(now tier.Millis, out *actions) {
 	if !rp.roleDecided && rp.awaitsPeers() {
 		rp.decideRoleAt = rp.startedAt + maxRoleDecisionDelay
 	}
@@ -79,11 +81,11 @@
 }
 
 // awaitsPeers reports that this VM has seeds but has never known another VM.
-func (rp *Keeper) awaitsPeers() bool { return rp.knownVMs <= 1 && rp.seeds > 0 }
+func (rp *Replicator) awaitsPeers() bool { return rp.knownVMs <= 1 && rp.seeds > 0 }
 
 // changeRole schedules the next read for the new role. A watcher reads soon and then
 // watches; the other VMs first give peers the time to announce what they hold.
-func (rp *Keeper) changeRole(now tier.Millis, out *actions) {
+func (rp *Replicator) changeRole(now tier.Millis, out *actions) {
 	if rp.watching && !rp.watcher {
 		rp.watching = false
 		out.add(&EndWatch{})
@@ -103,13 +105,13 @@
 }
 
 // upTo returns a random duration in [0, m).
-func (rp *Keeper) upTo(m tier.Millis) tier.Millis { return tier.Millis(rp.random.Int64N(int64(m))) }
+func (rp *Replicator) upTo(m tier.Millis) tier.Millis { return tier.Millis(rp.random.Int64N(int64(m))) }
 
 // scheduleRead sets the time of the next read, at least minReadGap after the last one.
-func (rp *Keeper) scheduleRead(at tier.Millis) { rp.nextListAt = max(at, rp.lastListAt+minReadGap) }
+func (rp *Replicator) scheduleRead(at tier.Millis) { rp.nextListAt = max(at, rp.lastListAt+minReadGap) }
 
 // scheduleRetry schedules the next read after a failure, with exponential backoff.
-func (rp *Keeper) scheduleRetry(now tier.Millis) {
+func (rp *Replicator) scheduleRetry(now tier.Millis) {
 	limit := maxBackoff
 	switch {
 	case rp.awaitsPeers():
@@ -123,7 +125,7 @@
 
 // handleWatchEnded schedules a read, which starts the next watch. A watch that lasted
 // long enough resets the backoff.
-func (rp *Keeper) handleWatchEnded(now tier.Millis) {
+func (rp *Replicator) handleWatchEnded(now tier.Millis) {
 	if !rp.watching {
 		return
 	}
@@ -134,7 +136,7 @@
 	rp.scheduleRetry(now)
 }
 
-func (rp *Keeper) readPeriod() tier.Millis {
+func (rp *Replicator) readPeriod() tier.Millis {
 	switch {
 	case !rp.watcher:
 		return nonWatcherReadPeriod
@@ -145,7 +147,7 @@
 	}
 }
 
-func (rp *Keeper) storeDiffers() bool {
+func (rp *Replicator) storeDiffers() bool {
 	for _, a := range rp.alerts {
 		if a.source == storeSource {
 			return true
--- a/tier/keeper/ref.go
+++ b/tier/replicator/ref.go
@@ -1,4 +1,4 @@
-package keeper
+package replicator
 
 import (
 	"fmt"
@@ -7,12 +7,12 @@
 	"cicadagrade.example/tier/parser"
 )
 
-// Prefix is the prefix of the store keys of all configuration documents.
-const Prefix = "cicadagrade/config/"
+// KeyPrefix is the prefix of the store keys of all configuration documents.
+const KeyPrefix = "cicadagrade/config/"
 
 const (
-	profilesKey   = Prefix + "profiles"
-	setPrefix     = Prefix + "sets/"
+	profilesKey   = KeyPrefix + "profiles"
+	setPrefix     = KeyPrefix + "sets/"
 	auditPrefix   = "cicadagrade/audit/"
 	changesPrefix = "cicadagrade/audit-changes/"
 )
@@ -36,7 +36,7 @@
 	return ""
 }
 
-func documentPath(key string) string { return strings.TrimPrefix(key, Prefix) }
+func documentPath(key string) string { return strings.TrimPrefix(key, KeyPrefix) }
 
 // Ref identifies one version of a document. The epoch counts the reconciliations of the
 // store with the fleet, the revision counts the changes.
@@ -64,9 +64,9 @@
 // Digest is the checksum of the document's canonical encoding.
 func (r Ref) Digest() string { return r.digest }
 
-// Above reports whether r is a later version than o: a higher epoch, or the same epoch
+// NewerThan reports whether r is a later version than o: a higher epoch, or the same epoch
 // and a higher revision.
-func (r Ref) Above(o Ref) bool {
+func (r Ref) NewerThan(o Ref) bool {
 	if r.epoch != o.epoch {
 		return r.epoch > o.epoch
 	}
--- a/tier/keeper/replicator.go
+++ b/tier/replicator/replicator.go
@@ -1,8 +1,8 @@
-// Package keeper replicates the configuration documents to one VM. Its state machine
+// Package replicator replicates the configuration documents to one VM. Its state machine
 // reads documents from the store and from peers, replaces a document only by one with a
 // higher epoch and revision, and decides when to read and watch the store and which peer
 // to ask.
-package keeper
+package replicator
 
 import (
 	"math/rand/v2"
@@ -42,10 +42,10 @@
 // storeSource is the alert source for states read from the store.
 const storeSource = "store"
 
-// Keeper is the state machine that replicates the configuration to one VM. It does no
+// Replicator is the state machine that replicates the configuration to one VM. It does no
 // I/O: Step takes events and returns the actions to perform. It is not safe for
 // concurrent use.
-type Keeper struct {
+type Replicator struct {
 	name       string
 	dataCentre string
 	watchers   int
@@ -53,7 +53,7 @@
 	started    bool
 
 	documents map[string]*servedDocument
-	alerts    map[string]Flag
+	alerts    map[string]Alert
 	rejected  map[Ref]bool // versions that forked from the served ones; not fetched again
 
 	localMembers []string                  // live VMs of this data centre
@@ -83,30 +83,30 @@
 }
 
 // Option sets one option of a Replicator.
-type Option func(*Keeper)
+type Option func(*Replicator)
 
 // WithSeed seeds the random choices and the jitter.
 func WithSeed(seed uint64) Option {
-	return func(rp *Keeper) { rp.random = rand.New(rand.NewPCG(seed, xxhash.Sum64String(rp.name))) }
+	return func(rp *Replicator) { rp.random = rand.New(rand.NewPCG(seed, xxhash.Sum64String(rp.name))) }
 }
 
 // WithWatchers sets the number of VMs per data centre that watch the store.
-func WithWatchers(n int) Option { return func(rp *Keeper) { rp.watchers = n } }
+func WithWatchers(n int) Option { return func(rp *Replicator) { rp.watchers = n } }
 
 // WithSeeds sets the number of other VMs that the settings name. A VM that has seeds but
 // knows no other VM spreads its first read over a longer time, because many VMs may be
 // starting at once.
-func WithSeeds(n int) Option { return func(rp *Keeper) { rp.seeds = n } }
+func WithSeeds(n int) Option { return func(rp *Replicator) { rp.seeds = n } }
 
 // WithDataCentre sets the VM's data centre.
-func WithDataCentre(name string) Option { return func(rp *Keeper) { rp.dataCentre = name } }
+func WithDataCentre(name string) Option { return func(rp *Replicator) { rp.dataCentre = name } }
 
 // New returns the replicator of the VM with this name.
-func New(name string, opts ...Option) *Keeper {
-	rp := &Keeper{
+func New(name string, opts ...Option) *Replicator {
+	rp := &Replicator{
 		name:        name,
 		documents:   map[string]*servedDocument{},
-		alerts:      map[string]Flag{},
+		alerts:      map[string]Alert{},
 		rejected:    map[Ref]bool{},
 		localVMs:    map[string]bool{},
 		announced:   map[string]map[string]Ref{},
@@ -123,14 +123,14 @@
 }
 
 // Defaults sets the default number of watchers and seed.
-func (rp *Keeper) Defaults() {
+func (rp *Replicator) Defaults() {
 	rp.watchers = DefaultWatchers
 	rp.knownVMs = 1
 	WithSeed(1)(rp)
 }
 
 // Step handles one event and returns the actions to perform.
-func (rp *Keeper) Step(now tier.Millis, e Event) []Action {
+func (rp *Replicator) Step(now tier.Millis, e Event) []Action {
 	var out actions
 	if !rp.started {
 		rp.start(now)
@@ -161,7 +161,7 @@
 }
 
 // Next returns when the next Tick is due, if one is.
-func (rp *Keeper) Next() (tier.Millis, bool) {
+func (rp *Replicator) Next() (tier.Millis, bool) {
 	next := never
 	switch {
 	case !rp.roleDecided:
@@ -179,7 +179,7 @@
 
 func (a *actions) add(x Action) { *a = append(*a, x) }
 
-func (rp *Keeper) start(now tier.Millis) {
+func (rp *Replicator) start(now tier.Millis) {
 	rp.started = true
 	rp.lastListAt = now - minReadGap
 	rp.startedAt = now
@@ -187,12 +187,12 @@
 }
 
 // jitter returns a random duration between m/2 and m.
-func (rp *Keeper) jitter(m tier.Millis) tier.Millis {
+func (rp *Replicator) jitter(m tier.Millis) tier.Millis {
 	return m/2 + tier.Millis(rp.random.Int64N(int64(m/2)+1))
 }
 
 // Documents lists the states that this VM serves, sorted by key.
-func (rp *Keeper) Documents() []*State {
+func (rp *Replicator) Documents() []*State {
 	out := make([]*State, 0, len(rp.documents))
 	for _, sd := range rp.documents {
 		out = append(out, sd.state)
@@ -202,7 +202,7 @@
 }
 
 // Document returns the state that this VM serves under a key.
-func (rp *Keeper) Document(key string) (*State, bool) {
+func (rp *Replicator) Document(key string) (*State, bool) {
 	sd, ok := rp.documents[key]
 	if !ok {
 		return nil, false
@@ -210,7 +210,7 @@
 	return sd.state, true
 }
 
-func (rp *Keeper) refOf(key string) Ref {
+func (rp *Replicator) refOf(key string) Ref {
 	if sd, ok := rp.documents[key]; ok {
 		return sd.state.ref
 	}
@@ -231,21 +231,21 @@
 // Fetches is the number of fetches from peers.
 func (c Counts) Fetches() uint64 { return c.fetches }
 
-// Took is the number of states adopted from the store or from peers.
-func (c Counts) Took() uint64 { return c.adopted }
+// Adopted is the number of states adopted from the store or from peers.
+func (c Counts) Adopted() uint64 { return c.adopted }
 
-// Refused is the number of offered states that raised an alert or repeated one.
-func (c Counts) Refused() uint64 { return c.rejected }
+// Rejected is the number of offered states that raised an alert or repeated one.
+func (c Counts) Rejected() uint64 { return c.rejected }
 
 // Counts returns the totals so far.
-func (rp *Keeper) Counts() Counts { return rp.counts }
+func (rp *Replicator) Counts() Counts { return rp.counts }
 
 // Watcher reports whether this VM watches the store for its data centre.
-func (rp *Keeper) Watcher() bool { return rp.watcher }
+func (rp *Replicator) Watcher() bool { return rp.watcher }
 
-// Flags lists the present alerts, sorted by key.
-func (rp *Keeper) Flags() []Flag {
-	out := make([]Flag, 0, len(rp.alerts))
+// Alerts lists the present alerts, sorted by key.
+func (rp *Replicator) Alerts() []Alert {
+	out := make([]Alert, 0, len(rp.alerts))
 	for _, a := range rp.alerts {
 		out = append(out, a)
 	}
--- a/tier/keeper/replicator_test.go
+++ b/tier/replicator/replicator_test.go
@@ -1,4 +1,4 @@
-package keeper_test
+package replicator_test
 
 import (
 	"fmt"
@@ -7,49 +7,49 @@
 	"pgregory.net/rapid"
 
 	"cicadagrade.example/tier"
-	"cicadagrade.example/tier/keeper"
 	"cicadagrade.example/tier/parser"
+	"cicadagrade.example/tier/replicator"
 	"cicadagrade.example/tier/storer"
 )
 
 // history returns n successive states of a document, starting from base.
-func history(base *keeper.State, prefix string, n int) []*keeper.State {
-	var out []*keeper.State
+func history(base *replicator.State, prefix string, n int) []*replicator.State {
+	var out []*replicator.State
 	for i := range n {
 		id := fmt.Sprintf("%s-%d", prefix, i)
 		p, err := tier.NewProfile("gate", tier.WithQueueLimit(100*len(prefix)+i+1))
 		if err != nil {
 			panic(err)
 		}
-		base, _ = keeper.Next(base, parser.NewProfilesDocument(p), keeper.NewAuthor("op", id, "", 0))
+		base, _ = replicator.NextState(base, parser.NewProfilesDocument(p), replicator.NewAuthor("op", id, "", 0))
 		out = append(out, base)
 	}
 	return out
 }
 
-func storeValue(s *keeper.State, revision int64) storer.Value {
+func storeValue(s *replicator.State, revision int64) storer.Value {
 	return storer.NewValue(s.Ref().Key(), s.Encode(), revision)
 }
 
 // findRevert returns an error if a state in the list is not later than the one before it,
 // or does not descend from it within the same epoch.
-func findRevert(adopted []*keeper.State) error {
+func findRevert(adopted []*replicator.State) error {
 	for i := 1; i < len(adopted); i++ {
 		before, after := adopted[i-1], adopted[i]
-		if !after.Ref().Above(before.Ref()) {
+		if !after.Ref().NewerThan(before.Ref()) {
 			return fmt.Errorf("%v came after %v", after.Ref(), before.Ref())
 		}
-		if after.Ref().Epoch() == before.Ref().Epoch() && !after.Descends(before) {
+		if after.Ref().Epoch() == before.Ref().Epoch() && !after.DescendsFrom(before) {
 			return fmt.Errorf("%v does not descend from %v", after.Ref(), before.Ref())
 		}
 	}
 	return nil
 }
 
-func adoptedStates(actions []keeper.Action) []*keeper.State {
-	var out []*keeper.State
+func adoptedStates(actions []replicator.Action) []*replicator.State {
+	var out []*replicator.State
 	for _, a := range actions {
-		if t, ok := a.(*keeper.Took); ok {
+		if t, ok := a.(*replicator.Adopted); ok {
 			out = append(out, t.State())
 		}
 	}
@@ -57,28 +57,28 @@
 }
 
 // drawDelivery draws one of the ways in which a state can reach the replicator.
-func drawDelivery(t *rapid.T, s, base *keeper.State) keeper.Event {
+func drawDelivery(t *rapid.T, s, base *replicator.State) replicator.Event {
 	switch rapid.SampledFrom([]string{"list", "watch", "whole", "delta", "gone"}).Draw(t, "way") {
 	case "list":
-		return keeper.NewListed([]storer.Value{storeValue(s, 1)})
+		return replicator.NewListed([]storer.Value{storeValue(s, 1)})
 	case "watch":
-		return keeper.NewChanged(storeValue(s, 1))
+		return replicator.NewChanged(storeValue(s, 1))
 	case "whole":
-		return keeper.NewFetched("peer", updateFrom(s, keeper.Ref{}))
+		return replicator.NewFetched("peer", updateFrom(s, replicator.Ref{}))
 	case "delta":
-		return keeper.NewFetched("peer", updateFrom(s, base.Ref(), base))
+		return replicator.NewFetched("peer", updateFrom(s, base.Ref(), base))
 	default:
-		return keeper.NewListed(nil)
+		return replicator.NewListed(nil)
 	}
 }
 
 // updateFrom returns the reply of a peer that holds s and the bases before it.
-func updateFrom(s *keeper.State, have keeper.Ref, bases ...*keeper.State) []keeper.Update {
-	p := keeper.New("peer")
+func updateFrom(s *replicator.State, have replicator.Ref, bases ...*replicator.State) []replicator.Update {
+	p := replicator.New("peer")
 	for _, b := range append(bases, s) {
-		p.Step(0, keeper.NewChanged(storeValue(b, 1)))
+		p.Step(0, replicator.NewChanged(storeValue(b, 1)))
 	}
-	return p.Answer([]keeper.Ref{keeper.NewRef(s.Ref().Key(), have.Epoch(), have.Revision(), have.Digest())}, false)
+	return p.UpdatesFor([]replicator.Ref{replicator.NewRef(s.Ref().Key(), have.Epoch(), have.Revision(), have.Digest())}, false)
 }
 
 // TestNeverReverts checks that no change is reverted, in whatever order the replicator
@@ -88,16 +88,16 @@
 	rapid.Check(t, func(t *rapid.T) {
 		main := history(nil, "main", 12)
 		fork := history(main[4], "fork", 10)
-		reconciled := keeper.Reconcile(main[11], fork[9], keeper.NewAuthor("op", "reconcile", "", 0))
-		all := append(append(append([]*keeper.State(nil), main...), fork...), reconciled)
-		rp := keeper.New("a")
-		var adopted []*keeper.State
+		reconciled := replicator.Reconcile(main[11], fork[9], replicator.NewAuthor("op", "reconcile", "", 0))
+		all := append(append(append([]*replicator.State(nil), main...), fork...), reconciled)
+		rp := replicator.New("a")
+		var adopted []*replicator.State
 		for range rapid.IntRange(1, 30).Draw(t, "deliveries") {
 			s := rapid.SampledFrom(all).Draw(t, "state")
 			base := rapid.SampledFrom(all).Draw(t, "base")
 			adopted = append(adopted, adoptedStates(rp.Step(0, drawDelivery(t, s, base)))...)
 		}
-		adopted = append(adopted, adoptedStates(rp.Step(0, keeper.NewChanged(storeValue(reconciled, 1))))...)
+		adopted = append(adopted, adoptedStates(rp.Step(0, replicator.NewChanged(storeValue(reconciled, 1))))...)
 		if err := findRevert(adopted); err != nil {
 			t.Fatal(err)
 		}
@@ -111,8 +111,8 @@
 // replaced by an empty one and then adopts an older state.
 func TestRevertCheckDetectsLostState(t *testing.T) {
 	main := history(nil, "main", 3)
-	adopted := adoptedStates(keeper.New("a").Step(0, keeper.NewChanged(storeValue(main[2], 1))))
-	adopted = append(adopted, adoptedStates(keeper.New("a").Step(0, keeper.NewChanged(storeValue(main[0], 1))))...)
+	adopted := adoptedStates(replicator.New("a").Step(0, replicator.NewChanged(storeValue(main[2], 1))))
+	adopted = append(adopted, adoptedStates(replicator.New("a").Step(0, replicator.NewChanged(storeValue(main[0], 1))))...)
 	if findRevert(adopted) == nil {
 		t.Error("findRevert accepts a revert")
 	}
@@ -124,17 +124,17 @@
 func TestForkIsRejected(t *testing.T) {
 	main := history(nil, "main", 4)
 	fork := history(main[0], "fork", 9)
-	rp := keeper.New("a")
-	rp.Step(0, keeper.NewChanged(storeValue(main[3], 1)))
-	if got := adoptedStates(rp.Step(0, keeper.NewChanged(storeValue(fork[8], 1)))); len(got) != 0 {
+	rp := replicator.New("a")
+	rp.Step(0, replicator.NewChanged(storeValue(main[3], 1)))
+	if got := adoptedStates(rp.Step(0, replicator.NewChanged(storeValue(fork[8], 1)))); len(got) != 0 {
 		t.Errorf("adopted %v", got[0].Ref())
 	}
-	if a := rp.Flags(); len(a) != 1 || a[0].Trouble() != keeper.Forked {
+	if a := rp.Alerts(); len(a) != 1 || a[0].Kind() != replicator.Forked {
 		t.Errorf("alerts %v", a)
 	}
-	reconciled := keeper.Reconcile(main[3], fork[8], keeper.NewAuthor("op", "r", "", 0))
-	if got := adoptedStates(rp.Step(0, keeper.NewChanged(storeValue(reconciled, 1)))); len(got) != 1 || len(rp.Flags()) != 0 {
-		t.Errorf("adopted %d, alerts %v", len(got), rp.Flags())
+	reconciled := replicator.Reconcile(main[3], fork[8], replicator.NewAuthor("op", "r", "", 0))
+	if got := adoptedStates(rp.Step(0, replicator.NewChanged(storeValue(reconciled, 1)))); len(got) != 1 || len(rp.Alerts()) != 0 {
+		t.Errorf("adopted %d, alerts %v", len(got), rp.Alerts())
 	}
 }
 
@@ -147,18 +147,18 @@
 	if len(u) != 1 || u[0].Delta() == nil || u[0].Whole() != nil {
 		t.Fatalf("no delta in %v", u)
 	}
-	rp := keeper.New("a")
-	rp.Step(0, keeper.NewChanged(storeValue(main[2], 1)))
-	if got := adoptedStates(rp.Step(0, keeper.NewFetched("peer", u))); len(got) != 1 || got[0].Ref() != main[4].Ref() {
+	rp := replicator.New("a")
+	rp.Step(0, replicator.NewChanged(storeValue(main[2], 1)))
+	if got := adoptedStates(rp.Step(0, replicator.NewFetched("peer", u))); len(got) != 1 || got[0].Ref() != main[4].Ref() {
 		t.Errorf("adopted %v", got)
 	}
 	if whole := updateFrom(main[4], main[1].Ref(), main[2], main[3]); whole[0].Whole() == nil {
 		t.Error("no whole document for another base")
 	}
 	fork := history(main[1], "fork", 1)
-	other := keeper.New("b")
-	other.Step(0, keeper.NewChanged(storeValue(fork[0], 1)))
-	if got := adoptedStates(other.Step(0, keeper.NewFetched("peer", u))); len(got) != 0 {
+	other := replicator.New("b")
+	other.Step(0, replicator.NewChanged(storeValue(fork[0], 1)))
+	if got := adoptedStates(other.Step(0, replicator.NewFetched("peer", u))); len(got) != 0 {
 		t.Errorf("a delta on another base was adopted: %v", got[0].Ref())
 	}
 }
@@ -167,14 +167,14 @@
 // is fetched once the VM is live, without another announcement.
 func TestAnnouncementBeforeJoiningIsKept(t *testing.T) {
 	s := history(nil, "main", 1)[0]
-	rp := keeper.New("a")
-	rp.Step(0, keeper.NewMembers([]string{"a"}, nil))
-	rp.Step(0, keeper.NewAnnounced("b", []keeper.Ref{s.Ref()}))
-	rp.Step(10, keeper.NewMembers([]string{"a"}, nil))
+	rp := replicator.New("a")
+	rp.Step(0, replicator.NewMembers([]string{"a"}, nil))
+	rp.Step(0, replicator.NewAnnounced("b", []replicator.Ref{s.Ref()}))
+	rp.Step(10, replicator.NewMembers([]string{"a"}, nil))
 	if got := countFetches(rp, 200); got != 0 {
 		t.Errorf("%d fetches from a VM that is not live", got)
 	}
-	rp.Step(210, keeper.NewMembers([]string{"a", "b"}, nil))
+	rp.Step(210, replicator.NewMembers([]string{"a", "b"}, nil))
 	if got := countFetches(rp, 400); got != 1 {
 		t.Errorf("%d fetches from a VM that became live", got)
 	}
@@ -184,32 +184,32 @@
 // from another VM.
 func TestDamagedUpdateIsFetchedElsewhere(t *testing.T) {
 	main := history(nil, "main", 2)
-	rp := keeper.New("a")
-	rp.Step(0, keeper.NewChanged(storeValue(main[0], 1)))
-	rp.Step(0, keeper.NewMembers([]string{"a", "b", "c"}, nil))
-	rp.Step(0, keeper.NewAnnounced("b", []keeper.Ref{main[1].Ref()}))
+	rp := replicator.New("a")
+	rp.Step(0, replicator.NewChanged(storeValue(main[0], 1)))
+	rp.Step(0, replicator.NewMembers([]string{"a", "b", "c"}, nil))
+	rp.Step(0, replicator.NewAnnounced("b", []replicator.Ref{main[1].Ref()}))
 	if countFetches(rp, 100) != 1 {
 		t.Fatal("b was not asked")
 	}
-	damaged := keeper.NewUpdate(main[1].Ref(), []byte("{"), nil, 0)
-	rp.Step(100, keeper.NewFetched("b", []keeper.Update{damaged}))
-	if a := rp.Flags(); len(a) != 1 || a[0].Trouble() != keeper.Damaged {
+	damaged := replicator.NewUpdate(main[1].Ref(), []byte("{"), nil, 0)
+	rp.Step(100, replicator.NewFetched("b", []replicator.Update{damaged}))
+	if a := rp.Alerts(); len(a) != 1 || a[0].Kind() != replicator.Damaged {
 		t.Errorf("alerts %v", a)
 	}
-	rp.Step(200, keeper.NewAnnounced("c", []keeper.Ref{main[1].Ref()}))
+	rp.Step(200, replicator.NewAnnounced("c", []replicator.Ref{main[1].Ref()}))
 	if countFetches(rp, 300) != 1 {
 		t.Fatal("c was not asked")
 	}
-	got := adoptedStates(rp.Step(300, keeper.NewFetched("c", updateFrom(main[1], main[0].Ref(), main[0]))))
-	if len(got) != 1 || len(rp.Flags()) != 0 {
-		t.Errorf("adopted %d, alerts %v", len(got), rp.Flags())
+	got := adoptedStates(rp.Step(300, replicator.NewFetched("c", updateFrom(main[1], main[0].Ref(), main[0]))))
+	if len(got) != 1 || len(rp.Alerts()) != 0 {
+		t.Errorf("adopted %d, alerts %v", len(got), rp.Alerts())
 	}
 }
 
-func countFetches(rp *keeper.Keeper, now tier.Millis) int {
+func countFetches(rp *replicator.Replicator, now tier.Millis) int {
 	n := 0
-	for _, a := range rp.Step(now, &keeper.Tick{}) {
-		if _, ok := a.(*keeper.Fetch); ok {
+	for _, a := range rp.Step(now, &replicator.Tick{}) {
+		if _, ok := a.(*replicator.Fetch); ok {
 			n++
 		}
 	}
@@ -223,14 +223,14 @@
 	f.Add(main[1].Encode(), []byte(`{"base-change":"main-0","patches":[{}],"audit":[]}`), uint64(2))
 	f.Add([]byte(`{"kind":"profiles"}`), []byte(`{"patches":[{"profiles":null}]}`), uint64(9))
 	f.Fuzz(func(t *testing.T, whole, delta []byte, revision uint64) {
-		rp := keeper.New("a")
-		rp.Step(0, keeper.NewChanged(storeValue(main[0], 1)))
-		ref := keeper.NewRef(main[0].Ref().Key(), 1, revision, main[1].Ref().Digest())
-		rp.Step(0, keeper.NewFetched("b", []keeper.Update{
-			keeper.NewUpdate(ref, nil, delta, 1), keeper.NewUpdate(ref, whole, nil, 0),
+		rp := replicator.New("a")
+		rp.Step(0, replicator.NewChanged(storeValue(main[0], 1)))
+		ref := replicator.NewRef(main[0].Ref().Key(), 1, revision, main[1].Ref().Digest())
+		rp.Step(0, replicator.NewFetched("b", []replicator.Update{
+			replicator.NewUpdate(ref, nil, delta, 1), replicator.NewUpdate(ref, whole, nil, 0),
 		}))
 		s, _ := rp.Document(ref.Key())
-		if main[0].Ref().Above(s.Ref()) || parser.Digest(s.Document()) != s.Ref().Digest() {
+		if main[0].Ref().NewerThan(s.Ref()) || parser.Digest(s.Document()) != s.Ref().Digest() {
 			t.Errorf("serves %v", s.Ref())
 		}
 	})
--- a/tier/keeper/state.go
+++ b/tier/replicator/state.go
@@ -1,4 +1,4 @@
-package keeper
+package replicator
 
 import (
 	"encoding/json"
@@ -13,8 +13,8 @@
 const (
 	// TailLength is the number of audit entries that a document keeps.
 	TailLength = 16
-	// MaxStored is the maximum size of a stored document in bytes.
-	MaxStored = 900 << 10
+	// MaxStoredBytes is the maximum size of a stored document in bytes.
+	MaxStoredBytes = 900 << 10
 	// maxTailEntryBytes is the maximum size of an audit entry in the tail. The list of
 	// changes of a larger one is stored under its own key.
 	maxTailEntryBytes = 4 << 10
@@ -37,11 +37,11 @@
 // Tail lists the latest audit entries, oldest first.
 func (s *State) Tail() []Entry { return s.tail }
 
-// Last is the audit entry of the change that made this state.
-func (s *State) Last() Entry { return s.tail[len(s.tail)-1] }
+// LastEntry is the audit entry of the change that made this state.
+func (s *State) LastEntry() Entry { return s.tail[len(s.tail)-1] }
 
-// Find looks up a change in the tail by its ID.
-func (s *State) Find(change string) (Entry, bool) {
+// FindChange looks up a change in the tail by its ID.
+func (s *State) FindChange(change string) (Entry, bool) {
 	for _, e := range s.tail {
 		if e.changeID == change {
 			return e, true
@@ -50,26 +50,26 @@
 	return Entry{}, false
 }
 
-// Covers reports whether the tail reaches back to an epoch and revision: if it does, it
+// TailCovers reports whether the tail reaches back to an epoch and revision: if it does, it
 // contains the change that made that version, provided that this state descends from it.
-func (s *State) Covers(epoch, revision uint64) bool {
+func (s *State) TailCovers(epoch, revision uint64) bool {
 	first := s.tail[0]
 	return first.revision == 1 || !(Entry{epoch: epoch, revision: revision}).olderThan(first)
 }
 
-// Descends reports whether s descends from o: the change that made o is in the tail of s.
+// DescendsFrom reports whether s descends from o: the change that made o is in the tail of s.
 // It also reports true if the tail no longer reaches back that far.
-func (s *State) Descends(o *State) bool {
-	if !s.Covers(o.ref.epoch, o.ref.revision) {
+func (s *State) DescendsFrom(o *State) bool {
+	if !s.TailCovers(o.ref.epoch, o.ref.revision) {
 		return true
 	}
-	_, ok := s.Find(o.Last().changeID)
+	_, ok := s.FindChange(o.LastEntry().changeID)
 	return ok
 }
 
-// Next returns the state after a change of s, which is nil if the document does not exist
+// NextState returns the state after a change of s, which is nil if the document does not exist
 // yet, and the list of changes.
-func Next(s *State, d parser.Document, a Author) (*State, []parser.Change) {
+func NextState(s *State, d parser.Document, a Author) (*State, []parser.Change) {
 	var before parser.Document
 	ref := Ref{key: KeyOf(d), epoch: 1, revision: 1, digest: parser.Digest(d)}
 	var tail []Entry
@@ -179,7 +179,7 @@
 		return &CorruptError{key: s.ref.key, cause: "its digest does not match"}
 	case len(s.tail) == 0:
 		return &CorruptError{key: s.ref.key, cause: "it has no audit entry"}
-	case s.Last().epoch != s.ref.epoch || s.Last().revision != s.ref.revision:
+	case s.LastEntry().epoch != s.ref.epoch || s.LastEntry().revision != s.ref.revision:
 		return &CorruptError{key: s.ref.key, cause: "its last audit entry has another revision"}
 	default:
 		return nil
--- a/tier/keeper/update.go
+++ b/tier/replicator/update.go
@@ -1,4 +1,4 @@
-package keeper
+package replicator
 
 import (
 	"encoding/json"
@@ -75,7 +75,7 @@
 			return
 		}
 	}
-	sd.steps = append(sd.steps, deltaStep{base: sd.state.ref, baseChange: sd.state.Last().changeID, patch: patch})
+	sd.steps = append(sd.steps, deltaStep{base: sd.state.ref, baseChange: sd.state.LastEntry().changeID, patch: patch})
 }
 
 func (sd *servedDocument) stepBytes() int {
@@ -111,7 +111,7 @@
 	for _, s := range steps {
 		body.Patches = append(body.Patches, s.patch)
 	}
-	if !sd.state.Covers(base.epoch, base.revision) {
+	if !sd.state.TailCovers(base.epoch, base.revision) {
 		return nil, false
 	}
 	last := Entry{epoch: base.epoch, revision: base.revision}
@@ -142,7 +142,7 @@
 	if err := json.Unmarshal(u.delta, &body); err != nil {
 		return nil, errors.Wrap(&CorruptError{key: u.ref.key, cause: err.Error()}, "resolve")
 	}
-	if body.Base != sd.state.Last().changeID {
+	if body.Base != sd.state.LastEntry().changeID {
 		return nil, errors.WithStack(&CorruptError{key: u.ref.key, cause: "the base of the delta is another change"})
 	}
 	d := sd.state.document
--- a/tier/storer/faker/faker.go
+++ b/tier/storer/faker/faker.go
@@ -20,13 +20,13 @@
 
 // The kinds of call.
 const (
-	CallGet       Call = "get"
-	CallList      Call = "list"
-	CallSwap      Call = "swap"
-	CallDelete    Call = "delete"
-	CallGrant     Call = "grant"
-	CallKeepAlive Call = "keep-alive"
-	CallWatch     Call = "watch"
+	CallGet            Call = "get"
+	CallList           Call = "list"
+	CallCompareAndSwap Call = "swap"
+	CallDelete         Call = "delete"
+	CallGrant          Call = "grant"
+	CallKeepAlive      Call = "keep-alive"
+	CallWatch          Call = "watch"
 )
 
 // Store implements storer.Store in memory. It is safe for concurrent use.
@@ -74,8 +74,8 @@
 	}
 }
 
-// LoseAnswers makes the next n writes take effect but lose their reply.
-func (s *Store) LoseAnswers(n int) {
+// LoseReplies makes the next n writes take effect but lose their reply.
+func (s *Store) LoseReplies(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lostReplies = n
@@ -99,7 +99,7 @@
 		select {
 		case <-slow:
 		case <-ctx.Done():
-			return errors.WithStack(storer.NewUnsureError(string(c), ctx.Err()))
+			return errors.WithStack(storer.NewIndeterminateError(string(c), ctx.Err()))
 		}
 		s.mu.Lock()
 	}
@@ -146,9 +146,9 @@
 	return out, nil
 }
 
-// Swap implements storer.Store.
-func (s *Store) Swap(ctx context.Context, key string, data []byte, expect int64, _ storer.LeaseID) (int64, error) {
-	if err := s.beginCall(ctx, CallSwap); err != nil {
+// CompareAndSwap implements storer.Store.
+func (s *Store) CompareAndSwap(ctx context.Context, key string, data []byte, expect int64, _ storer.LeaseID) (int64, error) {
+	if err := s.beginCall(ctx, CallCompareAndSwap); err != nil {
 		return 0, err
 	}
 	defer s.mu.Unlock()
@@ -158,7 +158,7 @@
 	s.revision++
 	s.values[key] = storer.NewValue(key, append([]byte(nil), data...), s.revision)
 	s.notify(s.values[key])
-	return s.revision, s.writeResult(CallSwap)
+	return s.revision, s.writeResult(CallCompareAndSwap)
 }
 
 // Delete implements storer.Store.
@@ -183,7 +183,7 @@
 		return nil
 	}
 	s.lostReplies--
-	return errors.WithStack(storer.NewUnsureError(string(c), errors.New("the reply was lost")))
+	return errors.WithStack(storer.NewIndeterminateError(string(c), errors.New("the reply was lost")))
 }
 
 func (s *Store) notify(v storer.Value) {
--- a/tier/storer/storer.go
+++ b/tier/storer/storer.go
@@ -44,9 +44,9 @@
 	Get(ctx context.Context, key string) (Value, error)
 	// List reads the keys that start with prefix, at most limit of them (0: all).
 	List(ctx context.Context, prefix string, limit int) ([]Value, error)
-	// Swap writes data if the key's revision is expect, and returns the new revision.
+	// CompareAndSwap writes data if the key's revision is expect, and returns the new revision.
 	// Expect 0 means that the key must be absent. Lease 0 attaches no lease.
-	Swap(ctx context.Context, key string, data []byte, expect int64, lease LeaseID) (int64, error)
+	CompareAndSwap(ctx context.Context, key string, data []byte, expect int64, lease LeaseID) (int64, error)
 	// Delete removes the key if its revision is expect.
 	Delete(ctx context.Context, key string, expect int64) error
 	// Grant creates a lease that expires after ttl unless KeepAlive renews it.
@@ -96,25 +96,25 @@
 	return fmt.Sprintf("the store did not take %s: %v", e.call, e.cause)
 }
 
-// UnsureError says that the reply to a write was lost, so it is not known whether the
+// IndeterminateError says that the reply to a write was lost, so it is not known whether the
 // write took effect. The caller can read the key to find out.
-type UnsureError struct {
+type IndeterminateError struct {
 	call  string
 	cause error
 }
 
-// NewUnsureError returns an error for a write whose reply was lost.
-func NewUnsureError(call string, cause error) *UnsureError {
-	return &UnsureError{call: call, cause: cause}
+// NewIndeterminateError returns an error for a write whose reply was lost.
+func NewIndeterminateError(call string, cause error) *IndeterminateError {
+	return &IndeterminateError{call: call, cause: cause}
 }
 
 // Call is the name of the call.
-func (e *UnsureError) Call() string { return e.call }
+func (e *IndeterminateError) Call() string { return e.call }
 
 // Unwrap returns the cause.
-func (e *UnsureError) Unwrap() error { return e.cause }
+func (e *IndeterminateError) Unwrap() error { return e.cause }
 
 // Error names the call and the cause.
-func (e *UnsureError) Error() string {
+func (e *IndeterminateError) Error() string {
 	return fmt.Sprintf("the answer of %s was lost, it may have taken effect: %v", e.call, e.cause)
 }
