--- a/tier/balancer/balancer.go
+++ b/tier/balancer/balancer.go
@@ -1,6 +1,6 @@
-// Package balancer picks the leaf for a call: the one that is expected to
-// answer first, judged by this VM's own calls. A leaf that is slow, stalled
-// or failing is avoided and looked at again as what was seen of it ages.
+// Package balancer picks the leaf for a call by the least expected latency, as
+// measured by this VM's own calls. A leaf that is slow, stalled or failing is
+// avoided; its penalties decay, so that it is tried again.
 package balancer
 
 import (
@@ -10,296 +10,311 @@
 	"cicadagrade.example/tier/lister"
 )
 
-// Weights of what was seen.
+// Parameters of the moving averages and of their costs. A cost is latency in
+// milliseconds that is added to the expected one.
 const (
-	// baseWeight is the weight of one latency in a data centre's usual one.
-	baseWeight = 0.05
-	// excessWeight is the weight of one latency in a leaf's own excess.
+	// baseLatencyWeight is the weight of one latency in the base latency of a data
+	// centre.
+	baseLatencyWeight = 0.05
+	// excessWeight is the weight of one latency in a leaf's excess over the base
+	// latency.
 	excessWeight = 0.3
-	// failureWeight is the weight of one outcome in a leaf's failure rate.
+	// failureWeight is the weight of one outcome in a leaf's rates of failures and
+	// refusals.
 	failureWeight = 0.25
-	// excessHalfLife is how fast a leaf's excess is forgotten: a slow leaf is
-	// tried again a few times within a slowdown of several seconds.
-	excessHalfLife = 1500.0
-	// failureHalfLife is the same for failures.
-	failureHalfLife = 2000.0
-	// failureCost is what a leaf that always fails costs, in milliseconds.
-	failureCost = 400.0
-	// shedCost is what a leaf costs that has room for no call, in milliseconds;
-	// one that turns away every third call is worse than one in another region.
-	shedCost = 150.0
-	// shedHalfLife is how fast refusals are forgotten.
-	shedHalfLife = 2500.0
-	// wrongFor is how long a leaf is left out after another server answered at
-	// its address: by then the store has told what became of it.
-	wrongFor = 5 * tier.Second
-	// refusedCost is what a refusal for lack of room costs while it is fresh.
-	refusedCost = 60.0
-	// refusedFor is how long a refusal counts: the time to work off a queue.
-	refusedFor = 150 * tier.Millisecond
-	// coldFactor is how much longer a leaf works right after its start.
-	coldFactor = 0.6
-	// clipFactor bounds one latency's effect on the usual one.
-	clipFactor = 2.0
-	clipSlack  = 10.0
+	// excessHalfLifeMs is the half-life of a leaf's excess. It lets a slow leaf be
+	// tried a few times during a slowdown of several seconds.
+	excessHalfLifeMs = 1500.0
+	// failureHalfLifeMs is the half-life of a leaf's failure rate.
+	failureHalfLifeMs = 2000.0
+	// failureCostMs is the cost of a leaf whose calls all fail.
+	failureCostMs = 400.0
+	// refusalRateCostMs is the cost of a leaf that refuses all calls. A leaf that
+	// refuses a third of them costs more than one in another region.
+	refusalRateCostMs = 150.0
+	// refusalHalfLifeMs is the half-life of a leaf's refusal rate.
+	refusalHalfLifeMs = 2500.0
+	// misdirectedFor is how long a leaf is skipped after another server answered at
+	// its address. By then the store has delivered its new registration or its
+	// removal.
+	misdirectedFor = 5 * tier.Second
+	// recentRefusalCostMs is the cost of a leaf within recentRefusalWindow of a
+	// refusal.
+	recentRefusalCostMs = 60.0
+	// recentRefusalWindow is about the time in which a leaf works off its queue.
+	recentRefusalWindow = 150 * tier.Millisecond
+	// coldLatencyFactor is the cost of a cold leaf as a fraction of the base
+	// latency.
+	coldLatencyFactor = 0.6
+	// clipFactor and clipSlackMs bound the effect of one latency on the base
+	// latency, as a multiple of it and a constant.
+	clipFactor  = 2.0
+	clipSlackMs = 10.0
 )
 
-// Latencies expected before any was measured, in milliseconds: of a call
-// within the region, and to another one.
+// Latencies assumed before the first measurement, in milliseconds: of a call within
+// the region, and of one to another region.
 const (
-	priorNear = 10.0
-	priorFar  = 55.0
+	defaultNearLatencyMs = 10.0
+	defaultFarLatencyMs  = 55.0
 )
 
-// longAgo is before anything was seen.
+// longAgo is the time of an event that has not happened.
 const longAgo = tier.Millis(math.MinInt32)
 
-// Limits of this VM's calls at one leaf at a time. Each call takes a connection,
-// and a leaf takes few from all VMs together.
+// Limits of this VM's calls in flight at one leaf. Each call takes a connection, and
+// a leaf accepts few connections from all VMs together.
 const (
-	// ownerQueue is how many calls the VM that owns a leaf's service has there
-	// beyond its slots, so that no slot idles between two calls.
-	ownerQueue = 1
-	// crowdedLimit holds after a leaf has reset a new connection, which it does
-	// when it has too many.
-	crowdedLimit = 1
-	// crowdedFor is how long that holds: connections of VMs that died linger
-	// for seconds.
-	crowdedFor = 600 * tier.Millisecond
+	// ownerExtraCalls is how many calls beyond its slots a leaf gets from the VM
+	// that owns its service, so that no slot idles between two calls.
+	ownerExtraCalls = 1
+	// limitAfterReset is the limit for resetWindow after a leaf has reset a new
+	// connection, which it does when it has too many.
+	limitAfterReset = 1
+	// resetWindow is how long limitAfterReset applies. Connections of VMs that died
+	// stay open for seconds.
+	resetWindow = 600 * tier.Millisecond
 )
 
-// Room reports whether another call may be sent to a leaf. owner says that this
-// VM usually asks the leaf's service.
-func (b *Balancer) Room(now tier.Millis, f lister.Leaf, owner bool) bool {
-	s, ok := b.leafs[f.ID()]
-	if !ok || s.life != f.Life() {
+// Room reports whether a leaf may get another call. owner says that this VM owns the
+// leaf's service.
+func (b *Balancer) Room(now tier.Millis, leaf lister.Leaf, owner bool) bool {
+	s, ok := b.leafs[leaf.ID()]
+	if !ok || s.startTime != leaf.Life() {
 		return true
 	}
-	limit := f.Slots()
+	limit := leaf.Slots()
 	if owner {
-		limit += ownerQueue
+		limit += ownerExtraCalls
 	}
-	if now-s.crowded < crowdedFor {
-		limit = crowdedLimit
+	if now-s.resetAt < resetWindow {
+		limit = limitAfterReset
 	}
-	return s.inflight < limit
+	return s.inFlight < limit
 }
 
-// Place says how far a data centre is.
+// Place is how far away a data centre is.
 type Place int
 
-// The distances, nearest first.
+// Values of Distance, nearest first.
 const (
 	SameDataCentre Place = iota
 	SameRegion
 	OtherRegion
 )
 
-type baseKey struct {
+// latencyKey identifies a base latency.
+type latencyKey struct {
 	class      string
 	dataCentre string
 }
 
-type state struct {
-	life     int64
-	inflight int
-	excess   float64
-	excessAt tier.Millis
-	failure  float64
-	failedAt tier.Millis
-	waiting  tier.Millis // since when calls are out without any reply
-	refused  tier.Millis
-	crowded  tier.Millis // when it last reset a new connection or had no room
-	coldTill tier.Millis
-	wrongTil tier.Millis // another server answers at its address
-	shed     float64     // part of the calls lately that it had no room for
-	shedAt   tier.Millis
+// leafState is what this VM has observed of one leaf.
+type leafState struct {
+	startTime        int64 // of the leaf; a leaf that restarts has a new state
+	inFlight         int
+	excessMs         float64     // moving average of the latency beyond the base latency
+	excessAt         tier.Millis // when excessMs was updated
+	failureRate      float64     // moving average
+	failureRateAt    tier.Millis // when failureRate was updated
+	silentSince      tier.Millis // last reply, or the first call if none was in flight
+	refusedAt        tier.Millis // when it last refused a call
+	resetAt          tier.Millis // when it last reset a new connection
+	coldUntil        tier.Millis
+	misdirectedUntil tier.Millis // skipped because another server answered at its address
+	refusalRate      float64     // moving average
+	refusalRateAt    tier.Millis // when refusalRate was updated
 }
 
-// Balancer keeps what this VM has seen of leafs. It is not safe for
-// concurrent use.
+// Balancer holds what one VM has observed of leafs. It is not safe for concurrent
+// use.
 type Balancer struct {
-	distance func(dataCentre string) Place
-	leafs    map[string]*state
-	base     map[baseKey]float64
+	distance      func(dataCentre string) Place
+	leafs         map[string]*leafState
+	baseLatencies map[latencyKey]float64
 }
 
-// New returns a balancer that asks distance how far a data centre is.
+// New returns a balancer. distance classifies data centres by their distance from
+// this VM.
 func New(distance func(dataCentre string) Place) *Balancer {
-	return &Balancer{distance: distance, leafs: map[string]*state{}, base: map[baseKey]float64{}}
+	return &Balancer{distance: distance, leafs: map[string]*leafState{}, baseLatencies: map[latencyKey]float64{}}
 }
 
-func (b *Balancer) state(f lister.Leaf) *state {
-	s, ok := b.leafs[f.ID()]
-	if !ok || s.life != f.Life() {
-		s = &state{life: f.Life(), refused: longAgo, crowded: longAgo}
-		b.leafs[f.ID()] = s
+func (b *Balancer) stateOf(leaf lister.Leaf) *leafState {
+	s, ok := b.leafs[leaf.ID()]
+	if !ok || s.startTime != leaf.Life() {
+		s = &leafState{startTime: leaf.Life(), refusedAt: longAgo, resetAt: longAgo}
+		b.leafs[leaf.ID()] = s
 	}
 	return s
 }
 
-// Heard takes a leaf's registration, for how long it is cold.
-func (b *Balancer) Heard(now tier.Millis, f lister.Leaf) {
-	s := b.state(f)
-	s.wrongTil = 0
-	if f.Cold() > 0 {
-		s.coldTill = now + f.Cold()
+// Heard handles a leaf's registration: it ends a misdirection and starts a cold
+// period.
+func (b *Balancer) Heard(now tier.Millis, leaf lister.Leaf) {
+	s := b.stateOf(leaf)
+	s.misdirectedUntil = 0
+	if leaf.Cold() > 0 {
+		s.coldUntil = now + leaf.Cold()
 	}
 }
 
-// Forget drops what was seen of a leaf that is gone.
+// Forget drops the state of a leaf that is gone.
 func (b *Balancer) Forget(id string) { delete(b.leafs, id) }
 
 // Near reports whether a leaf is in this VM's region.
-func (b *Balancer) Near(f lister.Leaf) bool { return b.distance(f.DataCentre()) != OtherRegion }
+func (b *Balancer) Near(leaf lister.Leaf) bool { return b.distance(leaf.DataCentre()) != OtherRegion }
 
-// Usual is the latency of a sound leaf where f lies, in milliseconds.
-func (b *Balancer) Usual(class string, f lister.Leaf) float64 { return b.usual(class, f) }
+// Usual is the latency of a healthy leaf in the leaf's data centre, in milliseconds.
+func (b *Balancer) Usual(class string, leaf lister.Leaf) float64 { return b.baseLatency(class, leaf) }
 
-// usual is the latency to expect of a sound leaf for a class of requests.
-func (b *Balancer) usual(class string, f lister.Leaf) float64 {
-	if v, ok := b.base[baseKey{class, f.DataCentre()}]; ok {
-		return v
+// baseLatency is the moving average of a data centre, or a default before the first
+// measurement.
+func (b *Balancer) baseLatency(class string, leaf lister.Leaf) float64 {
+	if latency, ok := b.baseLatencies[latencyKey{class, leaf.DataCentre()}]; ok {
+		return latency
 	}
-	if b.distance(f.DataCentre()) == OtherRegion {
-		return priorFar
+	if b.distance(leaf.DataCentre()) == OtherRegion {
+		return defaultFarLatencyMs
 	}
-	return priorNear
+	return defaultNearLatencyMs
 }
 
-// Expected is the latency to expect of a call to the leaf now, in
-// milliseconds, with what its failures cost.
-func (b *Balancer) Expected(now tier.Millis, class string, f lister.Leaf) float64 {
-	usual := b.usual(class, f)
-	s, ok := b.leafs[f.ID()]
-	if !ok || s.life != f.Life() {
-		return usual
+// Expected is the expected latency of a call to the leaf now, in milliseconds, with
+// the costs of failures and refusals added.
+func (b *Balancer) Expected(now tier.Millis, class string, leaf lister.Leaf) float64 {
+	base := b.baseLatency(class, leaf)
+	s, ok := b.leafs[leaf.ID()]
+	if !ok || s.startTime != leaf.Life() {
+		return base
 	}
-	cost := usual + decayed(s.excess, now-s.excessAt, excessHalfLife)
-	cost += failureCost * decayed(s.failure, now-s.failedAt, failureHalfLife)
-	cost += shedCost * decayed(s.shed, now-s.shedAt, shedHalfLife)
-	if over := s.inflight + 1 - f.Slots(); over > 0 {
-		cost += usual * float64(over) / float64(f.Slots())
+	cost := base + decayed(s.excessMs, now-s.excessAt, excessHalfLifeMs)
+	cost += failureCostMs * decayed(s.failureRate, now-s.failureRateAt, failureHalfLifeMs)
+	cost += refusalRateCostMs * decayed(s.refusalRate, now-s.refusalRateAt, refusalHalfLifeMs)
+	if excessCalls := s.inFlight + 1 - leaf.Slots(); excessCalls > 0 {
+		cost += base * float64(excessCalls) / float64(leaf.Slots())
 	}
-	if s.inflight > 0 {
-		// A stalled leaf is known by its silence before any reply tells.
-		cost += max(0, float64(now-s.waiting)-clipFactor*usual-clipSlack)
+	if s.inFlight > 0 {
+		// Detects a stalled leaf before a call to it ends.
+		cost += max(0, float64(now-s.silentSince)-clipFactor*base-clipSlackMs)
 	}
-	if now-s.refused < refusedFor {
-		cost += refusedCost
+	if now-s.refusedAt < recentRefusalWindow {
+		cost += recentRefusalCostMs
 	}
-	if now < s.coldTill {
-		cost += usual * coldFactor
+	if now < s.coldUntil {
+		cost += base * coldLatencyFactor
 	}
 	return cost
 }
 
-// Pick returns the leaf of the list with the least expected latency among
-// those that usable lets pass.
+// Pick returns the leaf of the list with the least expected cost, among those that
+// usable accepts (nil accepts all), with its cost.
 func (b *Balancer) Pick(now tier.Millis, class string, list []lister.Leaf, usable func(lister.Leaf) bool) (lister.Leaf, float64, bool) {
-	best, least, found := lister.Leaf{}, 0.0, false
-	for _, f := range list {
-		if s, ok := b.leafs[f.ID()]; ok && s.life == f.Life() && now < s.wrongTil {
+	best, lowestCost, found := lister.Leaf{}, 0.0, false
+	for _, leaf := range list {
+		if s, ok := b.leafs[leaf.ID()]; ok && s.startTime == leaf.Life() && now < s.misdirectedUntil {
 			continue
 		}
-		if usable != nil && !usable(f) {
+		if usable != nil && !usable(leaf) {
 			continue
 		}
-		if cost := b.Expected(now, class, f); !found || cost < least {
-			best, least, found = f, cost, true
+		if cost := b.Expected(now, class, leaf); !found || cost < lowestCost {
+			best, lowestCost, found = leaf, cost, true
 		}
 	}
-	return best, least, found
+	return best, lowestCost, found
 }
 
-// Sent counts a call to a leaf.
-func (b *Balancer) Sent(now tier.Millis, f lister.Leaf) {
-	s := b.state(f)
-	if s.inflight == 0 {
-		s.waiting = now
+// Sent records the start of a call.
+func (b *Balancer) Sent(now tier.Millis, leaf lister.Leaf) {
+	s := b.stateOf(leaf)
+	if s.inFlight == 0 {
+		s.silentSince = now
 	}
-	s.inflight++
+	s.inFlight++
 }
 
-// Answered counts a whole reply after a latency.
-func (b *Balancer) Answered(now tier.Millis, class string, f lister.Leaf, latency tier.Millis) {
-	s := b.ended(now, f)
-	key := baseKey{class, f.DataCentre()}
-	base, ok := b.base[key]
+// Answered records a complete reply and its latency.
+func (b *Balancer) Answered(now tier.Millis, class string, leaf lister.Leaf, latency tier.Millis) {
+	s := b.endCall(now, leaf)
+	key := latencyKey{class, leaf.DataCentre()}
+	base, ok := b.baseLatencies[key]
 	if !ok {
-		base = min(float64(latency), clipFactor*b.usual(class, f)+clipSlack)
+		base = min(float64(latency), clipFactor*b.baseLatency(class, leaf)+clipSlackMs)
 	}
-	b.base[key] = base + baseWeight*(min(float64(latency), clipFactor*base+clipSlack)-base)
-	excess := decayed(s.excess, now-s.excessAt, excessHalfLife)
-	s.excess, s.excessAt = excess+excessWeight*(max(0, float64(latency)-base)-excess), now
-	s.failure, s.failedAt = decayed(s.failure, now-s.failedAt, failureHalfLife)*(1-failureWeight), now
-	s.shed, s.shedAt = decayed(s.shed, now-s.shedAt, shedHalfLife)*(1-failureWeight), now
+	b.baseLatencies[key] = base + baseLatencyWeight*(min(float64(latency), clipFactor*base+clipSlackMs)-base)
+	excess := decayed(s.excessMs, now-s.excessAt, excessHalfLifeMs)
+	s.excessMs, s.excessAt = excess+excessWeight*(max(0, float64(latency)-base)-excess), now
+	s.failureRate, s.failureRateAt = decayed(s.failureRate, now-s.failureRateAt, failureHalfLifeMs)*(1-failureWeight), now
+	s.refusalRate, s.refusalRateAt = decayed(s.refusalRate, now-s.refusalRateAt, refusalHalfLifeMs)*(1-failureWeight), now
 }
 
-// Failed counts a call that got no usable reply.
-func (b *Balancer) Failed(now tier.Millis, f lister.Leaf) {
-	s := b.ended(now, f)
-	rate := decayed(s.failure, now-s.failedAt, failureHalfLife)
-	s.failure, s.failedAt = rate+failureWeight*(1-rate), now
+// Failed records a call that failed or brought no usable reply.
+func (b *Balancer) Failed(now tier.Millis, leaf lister.Leaf) {
+	s := b.endCall(now, leaf)
+	rate := decayed(s.failureRate, now-s.failureRateAt, failureHalfLifeMs)
+	s.failureRate, s.failureRateAt = rate+failureWeight*(1-rate), now
 }
 
-// Unreachable counts a call for which no connection could be made.
-func (b *Balancer) Unreachable(now tier.Millis, f lister.Leaf) {
-	s := b.ended(now, f)
-	s.failure, s.failedAt = 1, now
+// Unreachable records a call for which no connection could be made.
+func (b *Balancer) Unreachable(now tier.Millis, leaf lister.Leaf) {
+	s := b.endCall(now, leaf)
+	s.failureRate, s.failureRateAt = 1, now
 }
 
-// Crowded counts a call whose new connection the leaf reset.
-func (b *Balancer) Crowded(now tier.Millis, f lister.Leaf) {
-	s := b.ended(now, f)
-	s.crowded, s.refused = now, now
+// Crowded records a call whose new connection the leaf reset.
+func (b *Balancer) Crowded(now tier.Millis, leaf lister.Leaf) {
+	s := b.endCall(now, leaf)
+	s.resetAt, s.refusedAt = now, now
 }
 
-// Refused counts a call that the leaf had no room for.
-func (b *Balancer) Refused(now tier.Millis, f lister.Leaf) {
-	s := b.ended(now, f)
-	s.refused = now
-	rate := decayed(s.shed, now-s.shedAt, shedHalfLife)
-	s.shed, s.shedAt = rate+failureWeight*(1-rate), now
+// Refused records a call that the leaf did not run, usually for lack of capacity.
+func (b *Balancer) Refused(now tier.Millis, leaf lister.Leaf) {
+	s := b.endCall(now, leaf)
+	s.refusedAt = now
+	rate := decayed(s.refusalRate, now-s.refusalRateAt, refusalHalfLifeMs)
+	s.refusalRate, s.refusalRateAt = rate+failureWeight*(1-rate), now
 }
 
-// Misdirected counts a call that another server answered at the leaf's
-// address: the leaf is gone until it registers anew.
-func (b *Balancer) Misdirected(now tier.Millis, f lister.Leaf) {
-	b.ended(now, f).wrongTil = now + wrongFor
+// Misdirected records a call that another server answered at the leaf's address. The
+// leaf is skipped until it registers again.
+func (b *Balancer) Misdirected(now tier.Millis, leaf lister.Leaf) {
+	b.endCall(now, leaf).misdirectedUntil = now + misdirectedFor
 }
 
-// Cancelled counts a call that was given up after waiting for some time.
-func (b *Balancer) Cancelled(now tier.Millis, class string, f lister.Leaf, waited tier.Millis) {
-	s := b.state(f)
-	since := s.waiting
-	b.release(s)
-	// The reply would have taken longer than that: a lower bound.
-	excess := decayed(s.excess, now-s.excessAt, excessHalfLife)
-	if over := float64(waited) - b.usual(class, f); over > excess {
-		s.excess, s.excessAt = excess+excessWeight*(over-excess), now
+// Cancelled records a call that was cancelled after some time without a reply.
+func (b *Balancer) Cancelled(now tier.Millis, class string, leaf lister.Leaf, waited tier.Millis) {
+	s := b.stateOf(leaf)
+	since := s.silentSince
+	b.decrementInFlight(s)
+	// The time waited is a lower bound of the latency.
+	excess := decayed(s.excessMs, now-s.excessAt, excessHalfLifeMs)
+	if observed := float64(waited) - b.baseLatency(class, leaf); observed > excess {
+		s.excessMs, s.excessAt = excess+excessWeight*(observed-excess), now
 	}
-	if s.inflight > 0 {
-		s.waiting = since
+	if s.inFlight > 0 {
+		s.silentSince = since
 	}
 }
 
-func (b *Balancer) ended(now tier.Millis, f lister.Leaf) *state {
-	s := b.state(f)
-	b.release(s)
-	s.waiting = now
+// endCall ends a call with a reply or failure.
+func (b *Balancer) endCall(now tier.Millis, leaf lister.Leaf) *leafState {
+	s := b.stateOf(leaf)
+	b.decrementInFlight(s)
+	s.silentSince = now
 	return s
 }
 
-func (b *Balancer) release(s *state) {
-	if s.inflight > 0 {
-		s.inflight--
+func (b *Balancer) decrementInFlight(s *leafState) {
+	if s.inFlight > 0 {
+		s.inFlight--
 	}
 }
 
-func decayed(v float64, age tier.Millis, halfLife float64) float64 {
-	if v == 0 || age <= 0 {
-		return v
+// decayed halves a value for each half-life of its age, in milliseconds.
+func decayed(value float64, age tier.Millis, halfLifeMs float64) float64 {
+	if value == 0 || age <= 0 {
+		return value
 	}
-	return v * math.Exp2(-float64(age)/halfLife)
+	return value * math.Exp2(-float64(age)/halfLifeMs)
 }
--- /dev/null
+++ b/tier/balancer/balancer_test.go
@@ -0,0 +1,157 @@
+package balancer
+
+import (
+	"testing"
+
+	"cicadagrade.example/tier"
+	"cicadagrade.example/tier/lister"
+)
+
+// simulation sends calls to a service with a near and a far leaf, one of which can
+// be impaired. It checks latency-aware balancing with decaying penalties, as in
+// peak-EWMA.
+type simulation struct {
+	b     *Balancer
+	leafs []lister.Leaf
+	now   tier.Millis
+}
+
+const (
+	nearLatency = 20
+	farLatency  = 60
+)
+
+func newSimulation() *simulation {
+	s := &simulation{b: New(func(dataCentre string) Place {
+		if dataCentre == "near" {
+			return SameDataCentre
+		}
+		return OtherRegion
+	})}
+	for _, name := range []string{"near", "far"} {
+		s.leafs = append(s.leafs, lister.NewLeaf(name, "s", name+":1", lister.In(name), lister.WithSlots(2)))
+	}
+	return s
+}
+
+// run sends a call every 30 ms and counts those to the near leaf. latency is the
+// latency of a leaf; a call for which fail returns true brings no answer.
+func (s *simulation) run(duration tier.Millis, latency func(string) tier.Millis, fail func(leaf lister.Leaf) bool) (near, all int) {
+	for until := s.now + duration; s.now < until; s.now += 30 {
+		leaf, _, ok := s.b.Pick(s.now, "class", s.leafs, nil)
+		if !ok {
+			continue
+		}
+		all++
+		if leaf.ID() == "near" {
+			near++
+		}
+		s.b.Sent(s.now, leaf)
+		at := s.now + latency(leaf.ID())
+		if fail != nil && fail(leaf) {
+			continue
+		}
+		s.b.Answered(at, "class", leaf, latency(leaf.ID()))
+	}
+	return near, all
+}
+
+func healthyLatency(id string) tier.Millis {
+	if id == "near" {
+		return nearLatency
+	}
+	return farLatency
+}
+
+func TestNearestHealthyLeafIsPicked(t *testing.T) {
+	s := newSimulation()
+	if near, all := s.run(3*tier.Second, healthyLatency, nil); near != all {
+		t.Errorf("%d of %d calls went to the near leaf", near, all)
+	}
+}
+
+func TestSlowLeafIsAvoidedThenUsedAgain(t *testing.T) {
+	s := newSimulation()
+	s.run(3*tier.Second, healthyLatency, nil)
+	slow := func(id string) tier.Millis {
+		if id == "near" {
+			return 10 * nearLatency
+		}
+		return farLatency
+	}
+	near, all := s.run(8*tier.Second, slow, nil)
+	if near > all/4 || near == 0 {
+		t.Errorf("%d of %d calls went to a leaf ten times slower", near, all)
+	}
+	s.run(3*tier.Second, healthyLatency, nil)
+	if near, all := s.run(3*tier.Second, healthyLatency, nil); near != all {
+		t.Errorf("%d of %d calls went to the near leaf after it recovered", near, all)
+	}
+}
+
+func TestSheddingLeafIsAvoided(t *testing.T) {
+	s := newSimulation()
+	s.run(3*tier.Second, healthyLatency, nil)
+	calls := 0
+	near, all := s.run(8*tier.Second, healthyLatency, func(leaf lister.Leaf) bool {
+		if calls++; leaf.ID() == "near" && calls%2 == 0 {
+			s.b.Refused(s.now, leaf)
+			return true
+		}
+		return false
+	})
+	if near > all/2 {
+		t.Errorf("%d of %d calls went to a leaf that refuses every second one", near, all)
+	}
+}
+
+func TestStalledLeafIsAvoidedBeforeItReplies(t *testing.T) {
+	s := newSimulation()
+	s.run(3*tier.Second, healthyLatency, nil)
+	s.b.Sent(s.now, s.leafs[0])
+	s.now += 5 * nearLatency
+	if leaf, _, _ := s.b.Pick(s.now, "class", s.leafs, nil); leaf.ID() != "far" {
+		t.Errorf("the call went to %s", leaf.ID())
+	}
+	s.b.Answered(s.now, "class", s.leafs[0], 5*nearLatency)
+	s.now += 3 * tier.Second
+	if leaf, _, _ := s.b.Pick(s.now, "class", s.leafs, nil); leaf.ID() != "near" {
+		t.Errorf("after the stall the call went to %s", leaf.ID())
+	}
+}
+
+func TestMisdirectedLeafIsSkippedUntilItRegistersAgain(t *testing.T) {
+	s := newSimulation()
+	s.b.Sent(0, s.leafs[0])
+	s.b.Misdirected(0, s.leafs[0])
+	if leaf, _, _ := s.b.Pick(10, "class", s.leafs, nil); leaf.ID() != "far" {
+		t.Errorf("the call went to %s", leaf.ID())
+	}
+	restarted := lister.NewLeaf("near", "s", "near:1", lister.In("near"), lister.Born(7))
+	if leaf, _, _ := s.b.Pick(20, "class", []lister.Leaf{restarted, s.leafs[1]}, nil); leaf.ID() != "near" {
+		t.Errorf("the restarted leaf is skipped for %s", leaf.ID())
+	}
+}
+
+func TestCallsInFlightAreBounded(t *testing.T) {
+	s := newSimulation()
+	leaf := s.leafs[0]
+	sent := 0
+	for s.b.Room(0, leaf, true) {
+		s.b.Sent(0, leaf)
+		sent++
+	}
+	if sent != leaf.Slots()+ownerExtraCalls {
+		t.Errorf("an owner may send %d calls to a leaf with %d slots", sent, leaf.Slots())
+	}
+	for range sent {
+		s.b.Crowded(0, leaf)
+	}
+	s.b.Sent(0, leaf)
+	if s.b.Room(1, leaf, true) {
+		t.Error("a second call is allowed to a leaf that resets connections")
+	}
+	if !s.b.Room(resetWindow, leaf, true) {
+		t.Error("the limit lasts longer than resetWindow")
+	}
+}
--- a/tier/lister/index.go
+++ b/tier/lister/index.go
@@ -5,17 +5,18 @@
 	"strings"
 )
 
-// keys are the keys of entries that share something, such as an address.
-type keys map[string][]string
+// keysByName holds the store keys of registrations with a common property, such as
+// an address.
+type keysByName map[string][]string
 
-func (k keys) add(name, key string) {
+func (k keysByName) add(name, key string) {
 	if !slices.Contains(k[name], key) {
 		k[name] = append(k[name], key)
 	}
 }
 
-func (k keys) remove(name, key string) {
-	list := slices.DeleteFunc(k[name], func(o string) bool { return o == key })
+func (k keysByName) remove(name, key string) {
+	list := slices.DeleteFunc(k[name], func(other string) bool { return other == key })
 	if len(list) == 0 {
 		delete(k, name)
 		return
@@ -23,75 +24,78 @@
 	k[name] = list
 }
 
-// hold keeps an entry under its key, or under none if h is nil, and marks the
-// services whose usable leafs that may change.
-func (l *Lister) hold(key string, h *held) {
-	if old, ok := l.entries[key]; ok {
-		f := old.entry.leaf
-		l.touch(f)
-		l.atAddress.remove(f.address, key)
-		l.ofService.remove(f.service, key)
-		delete(l.entries, key)
+// setRegistration replaces the registration of a key, or removes it if r is nil. It
+// marks the services whose usable leafs may change.
+func (l *Lister) setRegistration(key string, r *registration) {
+	if old, ok := l.registrations[key]; ok {
+		leaf := old.entry.leaf
+		l.markStale(leaf)
+		l.keysByAddress.remove(leaf.address, key)
+		l.keysByService.remove(leaf.service, key)
+		delete(l.registrations, key)
 	}
-	if h == nil {
+	if r == nil {
 		return
 	}
-	l.entries[key] = h
-	f := h.entry.leaf
-	l.atAddress.add(f.address, key)
-	l.ofService.add(f.service, key)
-	l.touch(f)
+	l.registrations[key] = r
+	leaf := r.entry.leaf
+	l.keysByAddress.add(leaf.address, key)
+	l.keysByService.add(leaf.service, key)
+	l.markStale(leaf)
 }
 
-// touch marks the services of all who are or were at a leaf's address.
-func (l *Lister) touch(f Leaf) {
-	l.touched[f.service] = true
-	for _, key := range l.atAddress[f.address] {
-		l.touched[l.entries[key].entry.leaf.service] = true
+// markStale marks the leaf's service, and those of all registrations with its
+// address.
+func (l *Lister) markStale(leaf Leaf) {
+	l.staleServices[leaf.service] = true
+	for _, key := range l.keysByAddress[leaf.address] {
+		l.staleServices[l.registrations[key].entry.leaf.service] = true
 	}
 }
 
-// refresh lists the usable leafs of the marked services anew. Of two entries
-// with one address the one that was heard last is right: addresses are used
-// again. Lists that were handed out stay as they are.
-func (l *Lister) refresh() {
-	for service := range l.touched {
+// rebuildStale rebuilds the lists of usable leafs of the marked services. An address
+// may be reused, so only its newest registration is usable. Lists that were returned
+// before are not modified.
+func (l *Lister) rebuildStale() {
+	for service := range l.staleServices {
 		var list []Leaf
-		for _, key := range l.ofService[service] {
-			h := l.entries[key]
-			if !h.departed && l.holds(h) {
-				list = append(list, h.entry.leaf)
+		for _, key := range l.keysByService[service] {
+			r := l.registrations[key]
+			if !r.leaving && l.isNewestAtAddress(r) {
+				list = append(list, r.entry.leaf)
 			}
 		}
 		if len(list) == 0 {
-			delete(l.byService, service)
+			delete(l.usableByService, service)
 			continue
 		}
 		slices.SortFunc(list, func(a, b Leaf) int { return strings.Compare(a.id, b.id) })
-		l.byService[service] = list
+		l.usableByService[service] = list
 	}
-	clear(l.touched)
+	clear(l.staleServices)
 }
 
-// holds reports whether an entry is the right one at its address.
-func (l *Lister) holds(h *held) bool {
-	for _, key := range l.atAddress[h.entry.leaf.address] {
-		if o := l.entries[key]; o != h && newer(o, h) {
+// isNewestAtAddress reports whether no newer registration has the same address.
+func (l *Lister) isNewestAtAddress(r *registration) bool {
+	for _, key := range l.keysByAddress[r.entry.leaf.address] {
+		if other := l.registrations[key]; other != r && newer(other, r) {
 			return false
 		}
 	}
 	return true
 }
 
-func newer(a, b *held) bool {
+// newer reports whether a replaces b at their common address: one that has not
+// lapsed, then one of a later start, then one received later.
+func newer(a, b *registration) bool {
 	if a.lapsed != b.lapsed {
 		return b.lapsed
 	}
-	if a.entry.leaf.born != b.entry.leaf.born {
-		return a.entry.leaf.born > b.entry.leaf.born
+	if a.entry.leaf.startTime != b.entry.leaf.startTime {
+		return a.entry.leaf.startTime > b.entry.leaf.startTime
 	}
-	if a.heard != b.heard {
-		return a.heard > b.heard
+	if a.receivedAt != b.receivedAt {
+		return a.receivedAt > b.receivedAt
 	}
 	return a.entry.key > b.entry.key
 }
--- a/tier/lister/index_test.go
+++ b/tier/lister/index_test.go
@@ -11,19 +11,19 @@
 	"cicadagrade.example/tier"
 )
 
-// fromScratch lists the usable leafs of all services by looking at every entry.
-func fromScratch(l *Lister) map[string][]Leaf {
-	at := map[string]*held{}
-	for _, h := range l.entries {
-		a := h.entry.leaf.address
-		if other, taken := at[a]; !taken || newer(h, other) {
-			at[a] = h
+// rebuildAll computes the usable leafs of all services from every registration.
+func rebuildAll(l *Lister) map[string][]Leaf {
+	newest := map[string]*registration{}
+	for _, r := range l.registrations {
+		address := r.entry.leaf.address
+		if other, taken := newest[address]; !taken || newer(r, other) {
+			newest[address] = r
 		}
 	}
 	all := map[string][]Leaf{}
-	for _, h := range at {
-		if f := h.entry.leaf; !h.departed {
-			all[f.service] = append(all[f.service], f)
+	for _, r := range newest {
+		if leaf := r.entry.leaf; !r.leaving {
+			all[leaf.service] = append(all[leaf.service], leaf)
 		}
 	}
 	for _, list := range all {
@@ -32,9 +32,10 @@
 	return all
 }
 
-// TestListsAreThoseFromScratch draws histories of registrations, with addresses
-// that are used again and outages, and compares.
-func TestListsAreThoseFromScratch(t *testing.T) {
+// TestIncrementalIndexMatchesFullRebuild applies random registrations, removals and
+// store outages, with addresses that are reused, and compares the index with a full
+// rebuild after each.
+func TestIncrementalIndexMatchesFullRebuild(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New()
 		now := tier.Millis(0)
@@ -49,8 +50,8 @@
 			if number("leaving", 4) == 0 {
 				options = append(options, Leaving())
 			}
-			f := NewLeaf(id, fmt.Sprint("s", number("service", 3)), fmt.Sprint("a", number("address", 4)), options...)
-			return NewEntry(key, f, int64(number("sequence", 4)))
+			leaf := NewLeaf(id, fmt.Sprint("s", number("service", 3)), fmt.Sprint("a", number("address", 4)), options...)
+			return NewEntry(key, leaf, int64(number("sequence", 4)))
 		}
 		for range 30 {
 			now += tier.Millis(number("wait", 1500))
@@ -70,16 +71,17 @@
 			default:
 				l.Put(now, draw())
 			}
-			want := fromScratch(l)
-			if fmt.Sprint(want) != fmt.Sprint(l.byService) {
-				t.Fatalf("usable are %v, from scratch %v", l.byService, want)
+			want := rebuildAll(l)
+			if fmt.Sprint(want) != fmt.Sprint(l.usableByService) {
+				t.Fatalf("usable leafs are %v, a full rebuild has %v", l.usableByService, want)
 			}
 		}
 	})
 }
 
-// The load: an index that is cut anew registers hundreds of leafs within a
-// second or two. Pattern: an index that is kept, not rebuilt at each change.
+// BenchmarkRegistrations registers 1200 leafs one by one. A new shard map has
+// hundreds of leafs register within a second or two, so the index is updated
+// incrementally and not rebuilt at each registration.
 func BenchmarkRegistrations(b *testing.B) {
 	for b.Loop() {
 		l := New()
--- a/tier/lister/leaf.go
+++ b/tier/lister/leaf.go
@@ -2,22 +2,22 @@
 
 import "cicadagrade.example/tier"
 
-// Leaf is what a backend server says of itself in the store.
+// Leaf is a backend server as it has registered itself in the store.
 type Leaf struct {
-	id         string
-	service    string
-	address    string
-	dataCentre string
-	slots      int
-	leaving    bool
-	cold       tier.Millis
-	born       int64
+	id            string
+	service       string
+	address       string
+	dataCentre    string
+	slots         int
+	leaving       bool
+	coldRemaining tier.Millis
+	startTime     int64
 }
 
-// Option sets a part of a leaf.
+// Option sets an optional field of a leaf.
 type Option func(*Leaf)
 
-// NewLeaf returns a leaf of a service under the id it has registered with.
+// NewLeaf returns a leaf of a service, registered under id.
 func NewLeaf(id, service, address string, options ...Option) Leaf {
 	l := Leaf{id: id, service: service, address: address, slots: 1}
 	for _, o := range options {
@@ -29,46 +29,47 @@
 // In sets the data centre.
 func In(dataCentre string) Option { return func(l *Leaf) { l.dataCentre = dataCentre } }
 
-// WithSlots sets how many requests it works on at once.
+// WithSlots sets how many requests it processes concurrently.
 func WithSlots(n int) Option { return func(l *Leaf) { l.slots = max(n, 1) } }
 
-// Leaving says that it has announced its planned end.
+// Leaving marks a leaf that has announced its shutdown.
 func Leaving() Option { return func(l *Leaf) { l.leaving = true } }
 
-// ColdFor says how much longer it works slowly after its start.
-func ColdFor(m tier.Millis) Option { return func(l *Leaf) { l.cold = m } }
+// ColdFor sets how much longer it is slow after its start.
+func ColdFor(remaining tier.Millis) Option { return func(l *Leaf) { l.coldRemaining = remaining } }
 
-// Born sets the Unix time of its start in milliseconds. The same id with
-// another start is another life of the server.
-func Born(m int64) Option { return func(l *Leaf) { l.born = m } }
+// Born sets the Unix time of its start in milliseconds. A registration of the same
+// id with another start time is of a restarted server.
+func Born(unixMillis int64) Option { return func(l *Leaf) { l.startTime = unixMillis } }
 
-// ID is the name under which it registered.
+// ID is the id under which it registered.
 func (l Leaf) ID() string { return l.id }
 
-// Service is the service it belongs to.
+// Service is the name of its service.
 func (l Leaf) Service() string { return l.service }
 
-// Address is host and port.
+// Address is its host and port.
 func (l Leaf) Address() string { return l.address }
 
-// DataCentre is where it lies.
+// DataCentre is the data centre it runs in.
 func (l Leaf) DataCentre() string { return l.dataCentre }
 
-// Slots is how many requests it works on at once.
+// Slots is how many requests it processes concurrently.
 func (l Leaf) Slots() int { return l.slots }
 
-// IsLeaving reports whether it has announced its planned end.
+// IsLeaving reports whether it has announced its shutdown.
 func (l Leaf) IsLeaving() bool { return l.leaving }
 
-// Cold is how much longer it works slowly, counted from when it said so.
-func (l Leaf) Cold() tier.Millis { return l.cold }
+// Cold is how much longer it is slow, counted from its registration.
+func (l Leaf) Cold() tier.Millis { return l.coldRemaining }
 
-// Life tells two lives under one id apart.
-func (l Leaf) Life() int64 { return l.born }
+// Life is the Unix time of its start in milliseconds. It tells a restarted server
+// from the former one with the same id.
+func (l Leaf) Life() int64 { return l.startTime }
 
-// sameBut reports whether two registrations differ in nothing but how long the
-// leaf is still cold, which passes by itself.
-func (l Leaf) sameBut(o Leaf) bool {
-	o.cold = l.cold
-	return l == o
+// equalIgnoringCold compares all fields but the remaining cold time, which runs out
+// without a registration.
+func (l Leaf) equalIgnoringCold(other Leaf) bool {
+	other.coldRemaining = l.coldRemaining
+	return l == other
 }
--- a/tier/lister/lister.go
+++ b/tier/lister/lister.go
@@ -1,15 +1,16 @@
-// Package lister keeps the list of backend servers as the store tells it:
-// which are ready, leaving or gone. Without the store the last view holds.
+// Package lister tracks the backend servers that are registered in the store, and
+// which of them may be called. While the store is unavailable the last known list
+// stays in use.
 package lister
 
 import "cicadagrade.example/tier"
 
-// ReturnWindow is how long after an outage of the store a lapsed entry may
-// still be missing although its leaf lives: leafs write their entries again
-// within about two seconds of the store's return.
+// ReturnWindow is how long after a store outage a missing entry is still used: its
+// leaf may be running and not have registered again yet. Leafs do so within about
+// two seconds of the end of the outage.
 const ReturnWindow = 2200 * tier.Millisecond
 
-// Entry is one registration as read from the store.
+// Entry is a registration as read from the store.
 type Entry struct {
 	key      string
 	leaf     Leaf
@@ -17,132 +18,135 @@
 	readable bool
 }
 
-// NewEntry returns the registration of a leaf under key. A higher sequence is
-// newer within one life of the leaf.
+// NewEntry returns the registration of a leaf under a store key. Of two entries from
+// the same start of a leaf, the one with the higher sequence is newer.
 func NewEntry(key string, leaf Leaf, sequence int64) Entry {
 	return Entry{key: key, leaf: leaf, sequence: sequence, readable: true}
 }
 
-// UnreadableEntry returns a registration that names no leaf to use.
+// UnreadableEntry returns an entry whose value could not be decoded. The key has no
+// usable leaf.
 func UnreadableEntry(key string) Entry { return Entry{key: key} }
 
-// Key is the entry's key in the store.
+// Key is its key in the store.
 func (e Entry) Key() string { return e.key }
 
 // Leaf is the leaf that registered.
 func (e Entry) Leaf() Leaf { return e.leaf }
 
-// Readable reports whether the entry names a leaf.
+// Readable reports whether the value could be decoded.
 func (e Entry) Readable() bool { return e.readable }
 
-// held is what the lister believes of one key.
-type held struct {
-	entry    Entry
-	heard    tier.Millis
-	lapsed   bool // missing since an outage, within the return window
-	departed bool // announced its end in this life
+// registration is the known state of a store key.
+type registration struct {
+	entry      Entry
+	receivedAt tier.Millis
+	lapsed     bool // missing since an outage, but within ReturnWindow of its end
+	leaving    bool // shutdown announced since the last start
 }
 
-// Lister is the list of one VM. It is not safe for concurrent use.
+// Lister is one VM's view of the registered leafs. It is not safe for concurrent
+// use.
 type Lister struct {
-	entries   map[string]*held
-	byService map[string][]Leaf // usable ones, by id
-	ofService keys
-	atAddress keys
-	touched   map[string]bool // services whose list is not up to date
-	changes   []Change
-	away      bool
-	returned  tier.Millis
-	inWindow  bool
-}
-
-// Change is a difference in what may be used, for logs and for whoever keeps
-// state of a leaf.
+	registrations   map[string]*registration // by store key
+	usableByService map[string][]Leaf        // sorted by id
+	keysByService   keysByName
+	keysByAddress   keysByName
+	staleServices   map[string]bool // services whose usable leafs have to be listed again
+	changes         []Change
+	storeDown       bool
+	storeBackAt     tier.Millis // end of the last outage
+	inReturnWindow  bool
+}
+
+// Change is a change of a leaf's state, for logs and for code that keeps state for
+// each leaf.
 type Change struct {
 	leaf  Leaf
 	state string
 }
 
-// States of a Change.
+// Values of Change.State.
 const (
 	StateReady   = "ready"
 	StateLeaving = "leaving"
 	StateGone    = "gone"
-	StateLapsed  = "lapsed"
+	StateLapsed  = "lapsed" // missing after an outage, still used
 )
 
 // Leaf is the leaf that changed.
 func (c Change) Leaf() Leaf { return c.leaf }
 
-// State is the leaf's new state.
+// State is its new state.
 func (c Change) State() string { return c.state }
 
 // New returns an empty list.
 func New() *Lister {
 	return &Lister{
-		entries: map[string]*held{}, byService: map[string][]Leaf{},
-		ofService: keys{}, atAddress: keys{}, touched: map[string]bool{},
+		registrations: map[string]*registration{}, usableByService: map[string][]Leaf{},
+		keysByService: keysByName{}, keysByAddress: keysByName{}, staleServices: map[string]bool{},
 	}
 }
 
-// Lost says that the store can't be read at the moment.
-func (l *Lister) Lost() { l.away, l.inWindow = true, false }
+// Lost records that the store cannot be read.
+func (l *Lister) Lost() { l.storeDown, l.inReturnWindow = true, false }
 
-// Replace takes the whole list as read from the store at now.
+// Replace replaces the whole list by the entries in the store.
 func (l *Lister) Replace(now tier.Millis, entries []Entry) {
-	l.regained(now)
+	l.storeReadAgain(now)
 	seen := make(map[string]bool, len(entries))
 	for _, e := range entries {
 		seen[e.key] = true
 		l.put(now, e)
 	}
-	for key := range l.entries {
+	for key := range l.registrations {
 		if !seen[key] {
 			l.remove(key)
 		}
 	}
-	l.refresh()
+	l.rebuildStale()
 }
 
-// Put takes one entry that was written, and reports whether it changes what may
-// be used: most writes only show that the leaf lives.
+// Put updates one entry. It reports whether the usable leafs may change, which most
+// writes do not cause: they only renew a registration.
 func (l *Lister) Put(now tier.Millis, e Entry) bool {
-	l.regained(now)
+	l.storeReadAgain(now)
 	changed := l.put(now, e)
-	l.refresh()
+	l.rebuildStale()
 	return changed
 }
 
-// Remove takes the removal of a key.
+// Remove handles the removal of a key from the store.
 func (l *Lister) Remove(now tier.Millis, key string) {
-	l.regained(now)
+	l.storeReadAgain(now)
 	l.remove(key)
-	l.refresh()
+	l.rebuildStale()
 }
 
-// Tick drops entries that are still missing after the return window.
+// Tick drops the lapsed entries once ReturnWindow is over.
 func (l *Lister) Tick(now tier.Millis) {
-	if !l.inWindow || l.away || now-l.returned < ReturnWindow {
+	if !l.inReturnWindow || l.storeDown || now-l.storeBackAt < ReturnWindow {
 		return
 	}
-	l.inWindow = false
-	for key, h := range l.entries {
-		if h.lapsed {
+	l.inReturnWindow = false
+	for key, r := range l.registrations {
+		if r.lapsed {
 			l.drop(key)
 		}
 	}
-	l.refresh()
+	l.rebuildStale()
 }
 
-func (l *Lister) regained(now tier.Millis) {
-	if l.away {
-		l.away, l.inWindow, l.returned = false, true, now
+// storeReadAgain ends an outage and starts ReturnWindow.
+func (l *Lister) storeReadAgain(now tier.Millis) {
+	if l.storeDown {
+		l.storeDown, l.inReturnWindow, l.storeBackAt = false, true, now
 	}
 }
 
-// put reports whether what may be used has changed.
+// put reports whether the usable leafs may change.
 func (l *Lister) put(now tier.Millis, e Entry) bool {
-	old, known := l.entries[e.key]
+	old, known := l.registrations[e.key]
 	if !e.readable {
 		if known {
 			l.drop(e.key)
@@ -150,72 +154,73 @@
 		return known
 	}
 	if !known {
-		l.hold(e.key, &held{entry: e, heard: now, departed: e.leaf.leaving})
-		l.note(e.leaf)
+		l.setRegistration(e.key, &registration{entry: e, receivedAt: now, leaving: e.leaf.leaving})
+		l.addChange(e.leaf)
 		return true
 	}
-	same := old.entry.leaf.born == e.leaf.born
-	if same && e.sequence < old.entry.sequence || e.leaf.born < old.entry.leaf.born {
-		return false // a write that came late
+	sameStart := old.entry.leaf.startTime == e.leaf.startTime
+	if sameStart && e.sequence < old.entry.sequence || e.leaf.startTime < old.entry.leaf.startTime {
+		return false // an older write that was delivered late
 	}
-	departed := e.leaf.leaving || same && old.departed
-	e.leaf.leaving = departed
-	changed := old.lapsed || !old.entry.leaf.sameBut(e.leaf)
-	report := old.lapsed || !same || old.departed != departed || old.entry.leaf.address != e.leaf.address
-	if changed || len(l.atAddress[e.leaf.address]) > 1 {
-		l.hold(e.key, &held{entry: e, heard: now, departed: departed})
+	leaving := e.leaf.leaving || sameStart && old.leaving
+	e.leaf.leaving = leaving
+	changed := old.lapsed || !old.entry.leaf.equalIgnoringCold(e.leaf)
+	report := old.lapsed || !sameStart || old.leaving != leaving || old.entry.leaf.address != e.leaf.address
+	if changed || len(l.keysByAddress[e.leaf.address]) > 1 {
+		l.setRegistration(e.key, &registration{entry: e, receivedAt: now, leaving: leaving})
 	} else {
-		*old = held{entry: e, heard: now, departed: departed}
+		*old = registration{entry: e, receivedAt: now, leaving: leaving}
 	}
 	if report {
-		l.note(e.leaf)
+		l.addChange(e.leaf)
 	}
 	return changed
 }
 
-func (l *Lister) note(f Leaf) {
+func (l *Lister) addChange(leaf Leaf) {
 	state := StateReady
-	if f.leaving {
+	if leaf.leaving {
 		state = StateLeaving
 	}
-	l.changes = append(l.changes, Change{leaf: f, state: state})
+	l.changes = append(l.changes, Change{leaf: leaf, state: state})
 }
 
 func (l *Lister) remove(key string) {
-	h, known := l.entries[key]
-	if !known || h.lapsed {
+	r, known := l.registrations[key]
+	if !known || r.lapsed {
 		return
 	}
-	if l.inWindow && !h.departed {
-		h.lapsed = true
-		l.touch(h.entry.leaf)
-		l.changes = append(l.changes, Change{leaf: h.entry.leaf, state: StateLapsed})
+	if l.inReturnWindow && !r.leaving {
+		r.lapsed = true
+		l.markStale(r.entry.leaf)
+		l.changes = append(l.changes, Change{leaf: r.entry.leaf, state: StateLapsed})
 		return
 	}
 	l.drop(key)
 }
 
 func (l *Lister) drop(key string) {
-	l.changes = append(l.changes, Change{leaf: l.entries[key].entry.leaf, state: StateGone})
-	l.hold(key, nil)
+	l.changes = append(l.changes, Change{leaf: l.registrations[key].entry.leaf, state: StateGone})
+	l.setRegistration(key, nil)
 }
 
-// Leafs are the usable leafs of a service. The slice is the lister's own.
-func (l *Lister) Leafs(service string) []Leaf { return l.byService[service] }
+// Leafs are the usable leafs of a service, by id. The caller must not modify the
+// slice.
+func (l *Lister) Leafs(service string) []Leaf { return l.usableByService[service] }
 
-// Usable is the number of leafs that may be used.
+// Usable is the number of usable leafs.
 func (l *Lister) Usable() int {
-	n := 0
-	for _, list := range l.byService {
-		n += len(list)
+	count := 0
+	for _, list := range l.usableByService {
+		count += len(list)
 	}
-	return n
+	return count
 }
 
 // Len is the number of entries, usable or not.
-func (l *Lister) Len() int { return len(l.entries) }
+func (l *Lister) Len() int { return len(l.registrations) }
 
-// Changes returns what has changed since the last call.
+// Changes returns the changes since the last call.
 func (l *Lister) Changes() []Change {
 	c := l.changes
 	l.changes = nil
--- a/tier/lister/lister_test.go
+++ b/tier/lister/lister_test.go
@@ -13,81 +13,81 @@
 
 func usable(l *Lister) string {
 	var ids []string
-	for _, f := range l.Leafs("s") {
-		ids = append(ids, f.ID())
+	for _, leaf := range l.Leafs("s") {
+		ids = append(ids, leaf.ID())
 	}
 	return strings.Join(ids, " ")
 }
 
-func expect(t *testing.T, l *Lister, want, when string) {
+func expectUsable(t *testing.T, l *Lister, want, when string) {
 	t.Helper()
 	if got := usable(l); got != want {
-		t.Errorf("%s: usable are %q, expected %q", when, got, want)
+		t.Errorf("%s: usable leafs are %q, expected %q", when, got, want)
 	}
 }
 
-func TestLeavingIsFinalWithinALife(t *testing.T) {
+func TestLeavingLastsUntilTheServerRestarts(t *testing.T) {
 	l := New()
 	l.Put(0, entry("a", 1, Born(5)))
 	l.Put(1, entry("a", 2, Born(5), Leaving()))
-	expect(t, l, "", "it leaves")
+	expectUsable(t, l, "", "leaving")
 	l.Put(2, entry("a", 1, Born(5)))
-	expect(t, l, "", "an old write comes late")
+	expectUsable(t, l, "", "an older write is delivered late")
 	l.Put(3, entry("a", 9, Born(5)))
-	expect(t, l, "", "a write that forgot")
+	expectUsable(t, l, "", "a later write does not say leaving")
 	l.Put(4, entry("a", 1, Born(6)))
-	expect(t, l, "a", "it started again, its sequence anew")
+	expectUsable(t, l, "a", "restarted, with a new sequence")
 	l.Put(5, entry("a", 50, Born(5), Leaving()))
-	expect(t, l, "a", "the former life's last write comes late")
+	expectUsable(t, l, "a", "the last write before the restart is delivered late")
 }
 
-func TestLapsedEntriesHaveTimeToComeBack(t *testing.T) {
+func TestEntriesSurviveAStoreOutageUntilTheReturnWindowEnds(t *testing.T) {
 	l := New()
 	l.Replace(0, []Entry{entry("a", 1), entry("b", 1), entry("c", 1, Leaving())})
 	l.Remove(10, "servers/b")
-	expect(t, l, "a", "one left while the store was there")
+	expectUsable(t, l, "a", "a removal while the store is available")
 	l.Put(11, entry("b", 2))
 	l.Lost()
-	expect(t, l, "a b", "the store is away")
+	expectUsable(t, l, "a b", "the store is unavailable")
 	l.Replace(1000, nil)
-	expect(t, l, "a b", "the store is back, empty")
+	expectUsable(t, l, "a b", "the store is available again, but empty")
 	l.Put(1500, entry("a", 7))
 	l.Tick(1000 + ReturnWindow - 1)
-	expect(t, l, "a b", "within the window")
+	expectUsable(t, l, "a b", "within the return window")
 	l.Tick(1000 + ReturnWindow)
-	expect(t, l, "a", "after the window")
+	expectUsable(t, l, "a", "after the return window")
 	l.Remove(5000, "servers/a")
-	expect(t, l, "", "no window any more")
+	expectUsable(t, l, "", "a removal after the return window")
 }
 
-func TestAnAddressBelongsToWhoRegisteredLast(t *testing.T) {
+func TestAddressBelongsToTheLastServerToRegister(t *testing.T) {
 	l := New()
 	l.Put(0, NewEntry("servers/old", NewLeaf("old", "s", "x:1", Born(1)), 1))
 	l.Put(1, NewEntry("servers/new", NewLeaf("new", "other", "x:1", Born(2)), 1))
-	expect(t, l, "", "another service has the address")
+	expectUsable(t, l, "", "a leaf of another service has the address")
 	if n := len(l.Leafs("other")); n != 1 {
 		t.Errorf("%d leafs of the new service, expected 1", n)
 	}
 }
 
-func TestUnreadableEntriesNameNoLeaf(t *testing.T) {
+func TestUnreadableEntryRemovesItsLeaf(t *testing.T) {
 	l := New()
 	l.Put(0, entry("a", 1))
 	l.Put(1, entry("b", 1))
 	l.Put(2, UnreadableEntry("servers/a"))
-	expect(t, l, "b", "its entry can't be read")
+	expectUsable(t, l, "b", "the entry of a is unreadable")
 }
 
-func TestChangesAreTold(t *testing.T) {
+func TestChangesAreReported(t *testing.T) {
 	l := New()
 	if !l.Put(0, entry("a", 1)) {
-		t.Error("a new leaf is no change")
+		t.Error("a new leaf is reported as no change")
 	}
 	if l.Put(1, entry("a", 2)) {
-		t.Error("a sign of life is a change")
+		t.Error("a renewed registration is reported as a change")
 	}
 	if l.Put(2, entry("a", 3, ColdFor(100*tier.Millisecond))) {
-		t.Error("the time that a leaf is cold is a change")
+		t.Error("the remaining cold time is reported as a change")
 	}
 	l.Put(3, entry("a", 4, Leaving()))
 	l.Remove(4, "servers/a")
@@ -96,6 +96,6 @@
 		states = append(states, c.State())
 	}
 	if got := strings.Join(states, " "); got != "ready leaving gone" {
-		t.Errorf("changes are %q", got)
+		t.Errorf("the changed states are %q", got)
 	}
 }
--- a/tier/searcher/searcher.go
+++ b/tier/searcher/searcher.go
@@ -28,7 +28,7 @@
 	hedgeAt      tier.Millis // when to send a hedge, or never
 	retryAt      tier.Millis // when to try again, or never
 	failureReply any
-	nextIsExtra  bool   // the first call was made, here or by another VM: the next one needs budget
+	nextIsExtra  bool   // a first call was made, here or by another VM
 	shareIndex   int    // the share that it belongs to, or noShare
 	flushed      bool   // handed on by a Flush
 	queued       bool   // it waits for a leaf with capacity
@@ -44,8 +44,8 @@
 	member         sharer.Member
 	parts          []int
 	sentAt         tier.Millis
-	acceptDeadline tier.Millis // without an acceptance by then, its VM counts as unreachable
-	reportDeadline tier.Millis // without a report by then, its VM counts as stuck
+	acceptDeadline tier.Millis // for the acceptance; then its VM counts as unreachable
+	reportDeadline tier.Millis // for the first report; then its VM counts as stuck
 	timeAllowed    tier.Millis // for its VM to reply, counted from when it gets the share
 	reported       bool
 	ended          bool
