--- a/tier/budgeter/budgeter.go
+++ b/tier/budgeter/budgeter.go
@@ -1,6 +1,7 @@
-// Package budgeter bounds the extra calls to each service: hedges and retries
-// beyond the first call of each request. Every VM keeps its own buckets; their
-// sum stays under the bound of all VMs, whichever of them live.
+// Package budgeter limits the extra calls to each service, that is, hedges and
+// retries beyond the first call of each request. Every VM has a token bucket for
+// each service; all buckets together stay within the budget of the service,
+// whichever VMs are running.
 package budgeter
 
 import (
@@ -9,124 +10,125 @@
 	"cicadagrade.example/tier"
 )
 
-// Shares of the bound that are spent.
+// Fractions of the budget that are granted.
 const (
-	// ratioShare leaves room for requests that this VM counts and the bound
-	// does not.
-	ratioShare = 0.9
-	// ownerShare is the part of the slack that the VMs share that usually ask
-	// a service, one in each of its regions.
-	ownerShare = 0.5
-	// othersShare is the part for all VMs, which ask a service when its usual
-	// VMs are gone.
-	othersShare = 0.25
+	// ratioFraction leaves a margin for requests that this VM counts but the checked
+	// budget does not.
+	ratioFraction = 0.9
+	// ownersFraction is the fraction of the slack that is divided among the owners
+	// of a service: the VMs, one in each region with a leaf, that usually query it.
+	ownersFraction = 0.5
+	// allVMsFraction is the fraction that is divided among all VMs, which query a
+	// service when its owners have failed.
+	allVMsFraction = 0.25
 )
 
-// keepFor is how long the bucket of an unused service is kept: several of the
-// windows in which extra calls are counted.
-const keepFor = tier.Minute
+// unusedBucketTTL is how long the bucket of a service without a route is kept:
+// several of the windows over which the budget is defined.
+const unusedBucketTTL = tier.Minute
 
-// Budgeter holds a bucket for each service.
+// Budgeter holds the token buckets of one VM.
 type Budgeter struct {
 	ratio   float64
 	slack   float64
-	members int
-	denied  int64
+	vms     int
+	denied  int64 // extra calls that were not granted
 	buckets map[string]*bucket
 }
 
 type bucket struct {
-	tokens float64
-	owners int         // VMs that usually ask the service, if this is one of them
-	unused tier.Millis // since when no route leads to the service, or 0
+	tokens      float64
+	owners      int         // owners of the service if this VM is one of them, or 0
+	unusedSince tier.Millis // when the last route to the service was removed, or 0
 }
 
-// New returns the budgeter of one VM. For each service and window all VMs
-// together may make ratio extra calls for each request, and slack more.
-func New(ratio, slack float64, members int) *Budgeter {
-	return &Budgeter{ratio: ratio, slack: slack, members: max(members, 1), buckets: map[string]*bucket{}}
+// New returns the budgeter of one of several VMs. In each window, all VMs together
+// may make ratio extra calls for each request of a service, plus slack.
+func New(ratio, slack float64, vms int) *Budgeter {
+	return &Budgeter{ratio: ratio, slack: slack, vms: max(vms, 1), buckets: map[string]*bucket{}}
 }
 
-// Configure changes the bounds.
+// Configure changes the budget.
 func (b *Budgeter) Configure(ratio, slack float64) { b.ratio, b.slack = ratio, slack }
 
-// SetMembers tells among how many VMs the slack is divided.
-func (b *Budgeter) SetMembers(n int) { b.members = max(n, 1) }
+// SetMembers sets the number of VMs among which the slack is divided.
+func (b *Budgeter) SetMembers(n int) { b.vms = max(n, 1) }
 
-// most is the most that a bucket saves up: a window sees at most this and the
-// ratio of its requests.
-func (b *Budgeter) most(u *bucket) float64 {
+// capacity is the number of tokens that a bucket can accumulate. The extra calls of
+// a window are at most this and the ratio of its requests.
+func (b *Budgeter) capacity(bk *bucket) float64 {
 	if b.ratio == 0 && b.slack == 0 {
 		return 0
 	}
-	most := b.slack * othersShare / float64(b.members)
-	if u.owners > 0 {
-		most += b.slack * ownerShare / float64(u.owners)
+	tokens := b.slack * allVMsFraction / float64(b.vms)
+	if bk.owners > 0 {
+		tokens += b.slack * ownersFraction / float64(bk.owners)
 	}
-	return max(1, most)
+	return max(1, tokens)
 }
 
-// bucket returns a service's bucket. A new one holds no more than any VM may:
-// the VM that asked the service before may have spent an owner's part.
+// bucket returns the bucket of a service. A new one has only the tokens of a VM that
+// is not an owner, because the former owner may have spent the owner's part in this
+// window.
 func (b *Budgeter) bucket(service string) *bucket {
-	u, ok := b.buckets[service]
+	bk, ok := b.buckets[service]
 	if !ok {
-		u = &bucket{tokens: b.slack * othersShare / float64(b.members)}
-		b.buckets[service] = u
+		bk = &bucket{tokens: b.slack * allVMsFraction / float64(b.vms)}
+		b.buckets[service] = bk
 	}
-	return u
+	return bk
 }
 
-// First counts the first call of a request to a service. owners is the number
-// of VMs that usually ask it, or 0 if this VM is none of them.
+// First counts the first call of a request to a service. owners is the number of VMs
+// that own the service, or 0 if this VM is not one of them.
 func (b *Budgeter) First(service string, owners int) {
-	u := b.bucket(service)
-	u.owners = owners
-	u.tokens = min(b.most(u), u.tokens+b.ratio*ratioShare)
+	bk := b.bucket(service)
+	bk.owners = owners
+	bk.tokens = min(b.capacity(bk), bk.tokens+b.ratio*ratioFraction)
 }
 
-// Take spends one extra call, and reports whether there was one.
+// Take spends a token for one extra call, and reports whether there was one.
 func (b *Budgeter) Take(service string) bool {
-	u := b.bucket(service)
-	u.tokens = min(u.tokens, b.most(u))
-	if u.tokens < 1 {
+	bk := b.bucket(service)
+	bk.tokens = min(bk.tokens, b.capacity(bk))
+	if bk.tokens < 1 {
 		b.denied++
 		return false
 	}
-	u.tokens--
+	bk.tokens--
 	return true
 }
 
-// Forget drops the buckets of services that have not been used for long, looked
-// at with each new configuration. One that comes back soon keeps what it has left:
-// a new bucket for each change would add up to more than the bound.
+// Forget drops buckets that have been unused for unusedBucketTTL. It is called with
+// each new configuration. A service that returns earlier keeps its bucket: a full
+// one at each change would exceed the budget.
 func (b *Budgeter) Forget(now tier.Millis, used func(service string) bool) {
-	for service, u := range b.buckets {
+	for service, bk := range b.buckets {
 		switch {
 		case used(service):
-			u.unused = 0
-		case u.unused == 0:
-			u.unused = max(now, 1)
-		case now-u.unused >= keepFor:
+			bk.unusedSince = 0
+		case bk.unusedSince == 0:
+			bk.unusedSince = max(now, 1)
+		case now-bk.unusedSince >= unusedBucketTTL:
 			delete(b.buckets, service)
 		}
 	}
 }
 
-// Denied is how many extra calls were not granted.
+// Denied is the number of extra calls that were not granted.
 func (b *Budgeter) Denied() int64 { return b.denied }
 
-// Least is how many extra calls the service has left that has the fewest.
+// Least is the number of tokens in the emptiest bucket.
 func (b *Budgeter) Least() float64 {
 	if len(b.buckets) == 0 {
 		return 0
 	}
-	least := math.Inf(1)
-	for _, u := range b.buckets {
-		least = min(least, u.tokens)
+	fewest := math.Inf(1)
+	for _, bk := range b.buckets {
+		fewest = min(fewest, bk.tokens)
 	}
-	return least
+	return fewest
 }
 
-// Left is how many extra calls a service has left.
+// Left is the number of tokens in the bucket of a service.
 func (b *Budgeter) Left(service string) float64 { return b.bucket(service).tokens }
--- a/tier/budgeter/budgeter_test.go
+++ b/tier/budgeter/budgeter_test.go
@@ -7,32 +7,33 @@
 	"cicadagrade.example/tier"
 )
 
-// The load: every VM wants to repeat every call to one service, while owners
-// change and VMs come and go. Pattern: retry budget, divided among clients.
-func TestAllVMsTogetherKeepTheBound(t *testing.T) {
+// TestAllVMsTogetherStayWithinTheBudget checks that the buckets of all VMs stay
+// within one retry budget while every VM repeats as many calls as it may, and owners
+// of the service change as VMs fail.
+func TestAllVMsTogetherStayWithinTheBudget(t *testing.T) {
 	const (
 		ratio, slack = 0.2, 54.0
 		vms, window  = 10, 900
 	)
-	draw := rand.New(rand.NewPCG(3, 4))
-	var list []*Budgeter
+	random := rand.New(rand.NewPCG(3, 4))
+	var budgeters []*Budgeter
 	for range vms {
-		list = append(list, New(ratio, slack, vms))
+		budgeters = append(budgeters, New(ratio, slack, vms))
 	}
 	owners := [2]int{0, 1}
 	for round := range 20 {
 		extra := 0
 		for n := range window {
 			if n%300 == 299 {
-				owners[n/300%2] = draw.IntN(vms) // its VM died
+				owners[n/300%2] = random.IntN(vms) // the former owner failed
 			}
-			b := list[owners[n%2]]
+			b := budgeters[owners[n%2]]
 			b.First("s", 2)
 			for b.Take("s") {
 				extra++
 			}
-			// The others find their shares unanswered now and then.
-			if other := list[draw.IntN(vms)]; draw.IntN(20) == 0 && other.Take("s") {
+			// Other VMs sometimes retry shares that were not answered.
+			if other := budgeters[random.IntN(vms)]; random.IntN(20) == 0 && other.Take("s") {
 				extra++
 			}
 		}
@@ -42,15 +43,15 @@
 	}
 }
 
-func TestNoBudgetNoExtraCall(t *testing.T) {
+func TestZeroBudgetGrantsNoExtraCall(t *testing.T) {
 	b := New(0, 0, 1)
 	b.First("s", 1)
 	if b.Take("s") {
-		t.Error("an extra call without any budget")
+		t.Error("an extra call is granted without budget")
 	}
 }
 
-func TestAnOwnerMayHedgeThroughAPause(t *testing.T) {
+func TestOwnerCanHedgeThroughALeafPause(t *testing.T) {
 	b := New(0.2, 54, 10)
 	for range 200 {
 		b.First("s", 2)
@@ -60,25 +61,26 @@
 		taken++
 	}
 	if taken < 10 {
-		t.Errorf("%d extra calls in a row, expected 10: a pause of 300 ms meets as many", taken)
+		t.Errorf("%d extra calls in a row, expected 10, as many as arrive during a pause of 300 ms", taken)
 	}
 }
 
-// Services come and go with configurations: buckets are bounded, and a service
-// that is named again and again gets no more than it had.
-func TestUnusedBucketsAreForgottenLater(t *testing.T) {
+// TestUnusedBucketsExpireWithoutRefilling guards against buckets that pile up as
+// services come and go with configurations, and against a service that gets a full
+// bucket each time it returns.
+func TestUnusedBucketsExpireWithoutRefilling(t *testing.T) {
 	b := New(0.2, 54, 10)
-	none := func(string) bool { return false }
+	noneUsed := func(string) bool { return false }
 	for b.Take("s") {
 	}
-	for now := tier.Millis(0); now < keepFor; now += tier.Second {
-		b.Forget(now, none)
+	for now := tier.Millis(0); now < unusedBucketTTL; now += tier.Second {
+		b.Forget(now, noneUsed)
 		if b.Take("s") {
-			t.Fatalf("after %d ms a service that was away got new extra calls", now)
+			t.Fatalf("after %d ms a service that was unused got new tokens", now)
 		}
 	}
-	b.Forget(keepFor+1, none)
+	b.Forget(unusedBucketTTL+1, noneUsed)
 	if n := len(b.buckets); n > 0 {
-		t.Errorf("%d buckets are kept", n)
+		t.Errorf("%d unused buckets are kept", n)
 	}
 }
--- a/tier/forecaster/forecaster.go
+++ b/tier/forecaster/forecaster.go
@@ -1,6 +1,6 @@
-// Package forecaster tells requests that can't be expected to get the shards
-// that they need, so that they are refused at once instead of failing after
-// their leafs have worked for them.
+// Package forecaster predicts requests that are likely not to get the shards they
+// need. They are refused at once, instead of failing after their leafs have worked
+// for them.
 package forecaster
 
 import (
@@ -10,88 +10,88 @@
 )
 
 const (
-	// weight is the weight of one part in a shard's miss rate: a few requests
-	// in a row tell, a single pause of a leaf does not.
-	weight = 0.12
-	// halfLife is how fast misses are forgotten without requests, in
-	// milliseconds.
-	halfLife = 2500.0
-	// noise is the miss rate below which leafs only pause now and then.
-	noise = 0.3
-	// slack is by how much the missing parts to expect must exceed what a
-	// request may miss. Misses come together, so that some requests get all
-	// parts at a time when most miss several.
-	slack = 1.5
-	// dead is the miss rate of a shard that serves nobody.
-	dead = 0.85
-	// trialShare is the part of hopeless requests that are tried all the same,
-	// to see whether the shards are back.
-	trialShare = 0.25
+	// missRateWeight is the weight of one request in a shard's miss rate: several
+	// misses in a row raise it, a single pause of a leaf does not.
+	missRateWeight = 0.12
+	// missRateHalfLifeMs is the half-life of a miss rate without requests.
+	missRateHalfLifeMs = 2500.0
+	// minMissRate is the miss rate below which misses are taken for occasional
+	// pauses of leafs.
+	minMissRate = 0.3
+	// expectedMissSlack is by how much the expected number of missing shards must
+	// exceed the number that a request may miss. Misses are correlated: some
+	// requests get all shards while most miss several.
+	expectedMissSlack = 1.5
+	// deadMissRate is the miss rate of a shard that answers no request.
+	deadMissRate = 0.85
+	// trialFraction is the fraction of requests likely to fail that are tried
+	// nevertheless, to detect that the shards have recovered.
+	trialFraction = 0.25
 )
 
-type shard struct {
-	rate float64
-	at   tier.Millis
+type shardStats struct {
+	missRate  float64
+	updatedAt tier.Millis
 }
 
-func (s *shard) now(now tier.Millis) float64 {
-	return s.rate * math.Exp2(-float64(now-s.at)/halfLife)
+func (s *shardStats) decayedMissRate(now tier.Millis) float64 {
+	return s.missRate * math.Exp2(-float64(now-s.updatedAt)/missRateHalfLifeMs)
 }
 
-// Forecaster keeps the miss rates of shards as one VM sees them. It is not safe
+// Forecaster holds the miss rates of shards as one VM observes them. It is not safe
 // for concurrent use.
 type Forecaster struct {
-	shards map[string]*shard
+	shards map[string]*shardStats
 }
 
-// New returns a forecaster that has seen nothing.
-func New() *Forecaster { return &Forecaster{shards: map[string]*shard{}} }
+// New returns a forecaster without observations.
+func New() *Forecaster { return &Forecaster{shards: map[string]*shardStats{}} }
 
-// Missed counts a part that was not in by the aim of its request.
+// Missed records that a shard did not answer by the target time of a request.
 func (f *Forecaster) Missed(now tier.Millis, name string) {
 	s, ok := f.shards[name]
 	if !ok {
-		s = &shard{}
+		s = &shardStats{}
 		f.shards[name] = s
 	}
-	rate := s.now(now)
-	s.rate, s.at = rate+weight*(1-rate), now
+	rate := s.decayedMissRate(now)
+	s.missRate, s.updatedAt = rate+missRateWeight*(1-rate), now
 }
 
-// Came counts a part that was in by the aim.
+// Came records that a shard answered by the target time of a request.
 func (f *Forecaster) Came(now tier.Millis, name string) {
 	s, ok := f.shards[name]
 	if !ok {
 		return
 	}
-	s.rate, s.at = s.now(now)*(1-weight), now
-	const forgotten = 0.01
-	if s.rate < forgotten {
+	s.missRate, s.updatedAt = s.decayedMissRate(now)*(1-missRateWeight), now
+	const negligible = 0.01
+	if s.missRate < negligible {
 		delete(f.shards, name)
 	}
 }
 
-// Hopeless reports whether a request that needs minimum of the shards can't be
-// expected to get them. Some such requests are tried all the same, and those
-// that came back after a refusal always are. draw is uniform in [0, 1).
-func (f *Forecaster) Hopeless(now tier.Millis, shards []string, minimum int, cameBack bool, draw float64) bool {
-	if len(f.shards) == 0 || cameBack {
+// Hopeless reports whether a request that needs minimum of the shards is likely not
+// to get them. Retries of callers and a fraction of the other requests are tried
+// nevertheless; random is uniform in [0, 1).
+func (f *Forecaster) Hopeless(now tier.Millis, shards []string, minimum int, isRetry bool, random float64) bool {
+	if len(f.shards) == 0 || isRetry {
 		return false
 	}
-	allowed := len(shards) - minimum
-	gone, expected := 0, 0.0
+	allowedMisses := len(shards) - minimum
+	dead, expectedMisses := 0, 0.0
 	for _, name := range shards {
 		s, ok := f.shards[name]
 		if !ok {
 			continue
 		}
-		rate := s.now(now)
-		if rate >= noise {
-			expected += rate
+		rate := s.decayedMissRate(now)
+		if rate >= minMissRate {
+			expectedMisses += rate
 		}
-		if rate >= dead {
-			gone++
+		if rate >= deadMissRate {
+			dead++
 		}
 	}
-	return (gone > allowed || expected > float64(allowed)+slack) && draw >= trialShare
+	return (dead > allowedMisses || expectedMisses > float64(allowedMisses)+expectedMissSlack) && random >= trialFraction
 }
