--- a/tier/relayer/relayer.go
+++ b/tier/relayer/relayer.go
@@ -1,5 +1,5 @@
-// Package relayer keeps what a VM has read of the store, and which keys changed
-// lately, so that other VMs can follow it instead of the store.
+// Package relayer keeps a copy of the store and a history of recently changed keys,
+// from which other VMs read changes instead of watching the store.
 package relayer
 
 import (
@@ -8,8 +8,8 @@
 	"cicadagrade.example/tier/storer"
 )
 
-// historyLength is how many changes are kept: some minutes of a fleet's planned
-// work. Who is further behind gets everything.
+// historyLength is how many changes are kept at least: some minutes of a
+// deployment's planned restarts. A VM that is further behind gets the whole copy.
 const historyLength = 4096
 
 type change struct {
@@ -17,38 +17,38 @@
 	key      string
 }
 
-// Relayer is the state of one VM. It is not safe for concurrent use.
+// Relayer is the copy that one VM keeps. It is not safe for concurrent use.
 type Relayer struct {
-	items    map[string]storer.Value
-	history  []change
-	floor    int64 // changes after this revision are all in history
-	revision int64
+	items        map[string]storer.Value // by key
+	history      []change                // by revision
+	historyStart int64                   // all later notable changes are in history
+	revision     int64                   // the store was read up to it
 }
 
-// New returns a relayer that has read nothing.
+// New returns an empty copy.
 func New() *Relayer { return &Relayer{items: map[string]storer.Value{}} }
 
-// Revision is the store's revision up to which everything has been read; 0 is
-// nothing.
+// Revision is the revision up to which the store was read, or 0.
 func (r *Relayer) Revision() int64 { return r.revision }
 
-// Replace takes everything as read at a revision.
+// Replace replaces the copy by the whole store as read at a revision.
 func (r *Relayer) Replace(list []storer.Value, revision int64) {
 	r.items = make(map[string]storer.Value, len(list))
 	for _, v := range list {
 		r.items[v.Key()] = v
 	}
-	// What changed in between is not known. Pages may hold later changes, which
-	// come again but are no news then: who has not reached them gets everything.
-	r.history, r.floor, r.revision = nil, revision, revision
+	// The changes since the previous copy are not known. The list may already have
+	// values newer than its revision; Put gets them again, but not as notable. So
+	// VMs that have not read up to the newest value get the whole copy.
+	r.history, r.historyStart, r.revision = nil, revision, revision
 	for _, v := range list {
-		r.floor = max(r.floor, v.Revision())
+		r.historyStart = max(r.historyStart, v.Revision())
 	}
 }
 
-// Put takes a change that came with a read up to a revision of the store, which
-// never goes back. notable says that others need to hear of it; what is not is
-// still kept for those who get everything.
+// Put applies a change that was read together with all changes up to a revision of
+// the store, which never decreases. A notable change is added to the history; others
+// are only seen by VMs that get the whole copy.
 func (r *Relayer) Put(v storer.Value, revision int64, notable bool) {
 	if v.Present() {
 		r.items[v.Key()] = v
@@ -56,30 +56,31 @@
 		delete(r.items, v.Key())
 	}
 	if notable {
-		r.note(v.Key(), revision)
+		r.appendHistory(v.Key(), revision)
 	}
 }
 
-func (r *Relayer) note(key string, revision int64) {
+func (r *Relayer) appendHistory(key string, revision int64) {
 	if n := len(r.history); n > 0 {
-		// Since searches the history by revision.
+		// ChangesSince needs the history sorted by revision.
 		revision = max(revision, r.history[n-1].revision)
 	}
 	r.history = append(r.history, change{revision, key})
 	if len(r.history) >= 2*historyLength {
 		cut := len(r.history) - historyLength
-		r.floor = r.history[cut-1].revision
+		r.historyStart = r.history[cut-1].revision
 		r.history = append([]change(nil), r.history[cut:]...)
 	}
 }
 
-// Reached says that everything up to a revision has been read.
+// Reached records that the store was read up to a revision.
 func (r *Relayer) Reached(revision int64) { r.revision = max(r.revision, revision) }
 
-// Since returns the present state of keys that changed after a revision, a
-// removed one with revision 0, or everything if whole is true.
+// Since returns the values of the keys that changed after a revision, with revision
+// 0 for a removed key. If whole is true, it returns the whole copy instead, because
+// the history does not reach back that far.
 func (r *Relayer) Since(after int64) (list []storer.Value, whole bool) {
-	if after < r.floor || after == 0 {
+	if after < r.historyStart || after == 0 {
 		list = make([]storer.Value, 0, len(r.items))
 		for _, v := range r.items {
 			list = append(list, v)
@@ -88,8 +89,8 @@
 		return list, true
 	}
 	seen := map[string]bool{}
-	at := sort.Search(len(r.history), func(i int) bool { return r.history[i].revision > after })
-	for _, c := range r.history[at:] {
+	first := sort.Search(len(r.history), func(i int) bool { return r.history[i].revision > after })
+	for _, c := range r.history[first:] {
 		if seen[c.key] {
 			continue
 		}
--- a/tier/relayer/relayer_test.go
+++ b/tier/relayer/relayer_test.go
@@ -9,20 +9,20 @@
 	"cicadagrade.example/tier/storer"
 )
 
-// A follower that takes what Since returns, at any times and from either of two
-// relayers that read the store in batches of their own, knows every key as the
-// relayers do. Removals come without a revision of their own; a relayer that reads
-// everything may find keys newer than the revision that it goes on from, and takes
-// their changes for old news later. What it tells is then
-// ahead of its revision, so that only the end of the history can be compared.
-func TestFollowerMissesNothing(t *testing.T) {
+// TestFollowersMissNoChange checks that a follower that reads ChangesSince at random
+// times, from either of two relayers with batches of their own, ends up with their
+// copy. Removals have no revision of their own. A whole copy may have keys newer
+// than the revision it was read at, and the relayer later takes the changes of these
+// keys for known; from then on a follower may be ahead of its revision, so that only
+// the final copies are compared.
+func TestFollowersMissNoChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := map[string]int64{}
 		var log []storer.Value
 		revision := int64(10)
 		relayers := []*Relayer{New(), New()}
 		read := []int{0, 0}
-		ahead := false // some read was ahead of its revision
+		ahead := false // a whole copy had values newer than its revision
 		for _, r := range relayers {
 			r.Replace(nil, revision)
 		}
@@ -73,13 +73,13 @@
 			fetch(r, follower, &after)
 			compare(t, follower, r)
 			if len(follower) != len(store) {
-				t.Fatalf("the follower knows %v, the store %v", follower, store)
+				t.Fatalf("the follower has %v, the store has %v", follower, store)
 			}
 		}
 	})
 }
 
-// fetch brings a follower up to date, unless the relayer is behind it.
+// fetch updates the follower, unless the relayer is behind it.
 func fetch(r *Relayer, follower map[string]int64, after *int64) bool {
 	if r.Revision() < *after {
 		return false
@@ -101,7 +101,7 @@
 
 func compare(t *rapid.T, follower map[string]int64, r *Relayer) {
 	if len(follower) != len(r.items) {
-		t.Fatalf("the follower knows %v, the relayer %v", follower, r.items)
+		t.Fatalf("the follower has %v, the relayer has %v", follower, r.items)
 	}
 	for key, v := range r.items {
 		if follower[key] != v.Revision() {
