--- a/tier/limiter/limiter.go
+++ b/tier/limiter/limiter.go
@@ -1,6 +1,6 @@
-// Package limiter adapts how many calls a backend server gets at once, below
-// its stated slots, from its replies: the limit is halved when the server
-// sheds load and grows by small steps while calls succeed.
+// Package limiter limits the concurrent calls to a backend server, up to its slots,
+// by additive increase and multiplicative decrease: the limit is halved when the
+// server sheds calls and grows slowly while calls succeed.
 package limiter
 
 import (
@@ -9,35 +9,35 @@
 	"cicadagrade.example/tier"
 )
 
-// Limits of the adaptation.
+// Parameters of the adaptation.
 const (
 	DecreaseFactor   = 0.5
-	DecreaseInterval = 100 * tier.Millis(1) // one decrease for each burst of shed replies
-	RoundsToGrow     = 8                    // successful rounds of calls before the limit grows by one
-	MaxRoundsToGrow  = 512                  // the same after repeated shed replies
-	MinPause         = 20 * tier.Millis(1)  // first pause of a server that sheds its only call
+	DecreaseInterval = 100 * tier.Millis(1) // one decrease for each burst of shed calls
+	RoundsToGrow     = 8                    // successful rounds of limit calls per slot of growth
+	MaxRoundsToGrow  = 512                  // the same after repeated bursts of shed calls
+	MinPause         = 20 * tier.Millis(1)  // first pause of a server that sheds at a limit of one
 	MaxPause         = 1 * tier.Second
 )
 
-// Limiter is the adaptive limit of one backend server.
+// Limiter is the limit of one backend server.
 type Limiter struct {
-	slots     int
-	limit     float64
-	rounds    float64
-	decreased tier.Millis
-	shed      bool
-	pause     tier.Millis
-	until     tier.Millis
-	random    *rand.Rand
+	slots        int
+	limit        float64 // fractional while it grows
+	roundsToGrow float64
+	decreasedAt  tier.Millis
+	hasShed      bool        // decreasedAt is set
+	pause        tier.Millis // length of the last pause, or 0 after a successful call
+	pausedUntil  tier.Millis
+	random       *rand.Rand
 }
 
-// New returns a limiter at its full slots. The random source jitters pauses.
+// New returns a limiter whose limit is all slots. The random source adds jitter to
+// pauses.
 func New(slots int, random *rand.Rand) *Limiter {
-	return &Limiter{slots: slots, limit: float64(slots), rounds: RoundsToGrow, random: random}
+	return &Limiter{slots: slots, limit: float64(slots), roundsToGrow: RoundsToGrow, random: random}
 }
 
-// SetSlots sets the slots that the limit never exceeds. A limit that was at
-// its top stays there.
+// SetSlots changes the slots. A limit that was all slots follows them.
 func (l *Limiter) SetSlots(n int) {
 	if l.limit >= float64(l.slots) {
 		l.limit = float64(n)
@@ -46,49 +46,49 @@
 	l.limit = min(l.limit, float64(n))
 }
 
-// Limit is how many calls may run at once, from 0 during a pause up to the
+// Limit is the number of concurrent calls allowed: 0 during a pause, and at most the
 // slots.
 func (l *Limiter) Limit(now tier.Millis) int {
-	if now < l.until {
+	if now < l.pausedUntil {
 		return 0
 	}
 	return int(l.limit)
 }
 
-// PausedUntil is the end of the present pause, or a time gone by.
-func (l *Limiter) PausedUntil() tier.Millis { return l.until }
+// PausedUntil is the end of the current or last pause.
+func (l *Limiter) PausedUntil() tier.Millis { return l.pausedUntil }
 
-// Shed halves the limit, once for each burst. A server that sheds at a limit
-// of one is paused for a jittered, growing time. Each burst above that doubles
-// the rounds of calls before the limit grows again.
+// Shed handles a shed call. It halves the limit once for each burst, and doubles the
+// rounds before the limit grows again. At a limit of one it pauses the server
+// instead, each time for longer, with jitter.
 func (l *Limiter) Shed(now tier.Millis) {
-	if l.shed && now-l.decreased < DecreaseInterval {
+	if l.hasShed && now-l.decreasedAt < DecreaseInterval {
 		return
 	}
-	l.shed, l.decreased = true, now
+	l.hasShed, l.decreasedAt = true, now
 	if l.limit < 2 {
 		l.lengthenPause(now)
 	} else {
-		l.rounds = min(MaxRoundsToGrow, 2*l.rounds)
+		l.roundsToGrow = min(MaxRoundsToGrow, 2*l.roundsToGrow)
 	}
 	l.limit = max(min(1, float64(l.slots)), l.limit*DecreaseFactor)
 }
 
 func (l *Limiter) lengthenPause(now tier.Millis) {
 	l.pause = min(MaxPause, max(MinPause, 2*l.pause))
-	l.until = now + l.pause/2 + tier.Millis(l.random.Int64N(int64(l.pause/2)+1))
+	l.pausedUntil = now + l.pause/2 + tier.Millis(l.random.Int64N(int64(l.pause/2)+1))
 }
 
-// Succeeded grows the limit by one slot in some rounds of calls, and at the
-// full slots lets it grow faster next time.
+// Succeeded handles a successful call. It grows the limit by one slot in
+// roundsToGrow rounds of calls; at all slots it lowers roundsToGrow again.
 func (l *Limiter) Succeeded() {
 	l.pause = 0
 	if l.limit < 1 {
 		return
 	}
 	if l.limit >= float64(l.slots) {
-		l.rounds = max(RoundsToGrow, l.rounds*(1-1/(RoundsToGrow*l.limit)))
+		l.roundsToGrow = max(RoundsToGrow, l.roundsToGrow*(1-1/(RoundsToGrow*l.limit)))
 		return
 	}
-	l.limit = min(float64(l.slots), l.limit+1/(l.rounds*l.limit))
+	l.limit = min(float64(l.slots), l.limit+1/(l.roundsToGrow*l.limit))
 }
--- a/tier/ranker/main_test.go
+++ b/tier/ranker/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain gives the properties one seed, so that CI gives the same verdict every
-// time; -rapid.seed plays others.
+// TestMain sets a fixed seed for the property tests, so that CI results are
+// reproducible. The flag -rapid.seed sets another one.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
--- a/tier/ranker/ranker_test.go
+++ b/tier/ranker/ranker_test.go
@@ -8,12 +8,12 @@
 	"pgregory.net/rapid"
 )
 
-// The oracle sorts all records of all parts and takes the first.
-func TestGreatestRecords(t *testing.T) {
+// TestKeepsTheTopRecords compares with sorting all records of all parts.
+func TestKeepsTheTopRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		top := rapid.IntRange(0, 12).Draw(t, "top")
+		limit := rapid.IntRange(0, 12).Draw(t, "top")
 		parts := rapid.SliceOfN(rapid.SliceOfN(rapid.ByteRange(0, 2), 0, 70), 0, 6).Draw(t, "parts")
-		r := New(top)
+		r := New(limit)
 		var all [][]byte
 		for _, p := range parts {
 			r.Add(p)
@@ -22,12 +22,12 @@
 			}
 		}
 		sort.Slice(all, func(i, j int) bool { return bytes.Compare(all[i], all[j]) > 0 })
-		want := bytes.Join(all[:min(top, len(all))], nil)
+		want := bytes.Join(all[:min(limit, len(all))], nil)
 		if got := r.Bytes(); !bytes.Equal(got, want) {
 			t.Fatalf("got %x, expected %x", got, want)
 		}
 		if again := r.Bytes(); !bytes.Equal(again, want) {
-			t.Fatalf("asked again: %x, expected %x", again, want)
+			t.Fatalf("second call: got %x, expected %x", again, want)
 		}
 	})
 }
