--- a/tier/balancer/balancer.go
+++ b/tier/balancer/balancer.go
@@ -1,6 +1,6 @@
-// Package balancer picks the leaf for a call by the least expected latency, as
-// measured by this VM's own calls. A leaf that is slow, stalled or failing is
-// avoided; its penalties decay, so that it is tried again.
+// Package balancer picks the leaf (backend server) for a call by the least expected
+// latency, as measured by this VM's own calls. A leaf that is slow, stalled or
+// failing is avoided; its penalties decay, so that it is tried again.
 package balancer
 
 import (
@@ -149,8 +149,8 @@
 	return s
 }
 
-// Heard handles a leaf's registration: it ends a misdirection and starts a cold
-// period.
+// Heard handles a leaf's registration: it makes a misdirected leaf usable again and
+// starts a cold period.
 func (b *Balancer) Heard(now tier.Millis, leaf lister.Leaf) {
 	s := b.stateOf(leaf)
 	s.misdirectedUntil = 0
--- a/tier/budgeter/budgeter.go
+++ b/tier/budgeter/budgeter.go
@@ -12,8 +12,8 @@
 
 // Fractions of the budget that are granted.
 const (
-	// ratioFraction leaves a margin for requests that this VM counts but the checked
-	// budget does not.
+	// ratioFraction leaves a margin because this VM may count requests that do not
+	// count towards the budget.
 	ratioFraction = 0.9
 	// ownersFraction is the fraction of the slack that is divided among the owners
 	// of a service: the VMs, one in each region with a leaf, that usually query it.
--- a/tier/searcher/scheduler.go
+++ b/tier/searcher/scheduler.go
@@ -1,7 +1,7 @@
-// Package searcher drives one request over the leafs of its services. It decides
-// which leaf each call goes to, when a call is hedged or retried, and when the
-// answer is sent with the parts that have arrived. A request to a single leaf is a
-// search with one part.
+// Package searcher drives one request over the leafs (backend servers) of its
+// services. It decides which leaf each call goes to, when a call is hedged or
+// retried, and when the answer is sent with the parts that have arrived. A request
+// to a single leaf is a search with one part.
 package searcher
 
 import (
@@ -74,9 +74,9 @@
 	return &Core{lister: l, balancer: b, budgeter: budget, partitioner: p, forecaster: forecaster.New(), queue: queue{}}
 }
 
-// ownerCount bounds the number of VMs that own a service, which is one in each
-// region with a leaf of it, by the number of its leafs. It is 0 if this VM is not an
-// owner.
+// ownerCount is an upper bound on the number of VMs that own a service: there is one
+// in each region with a leaf, so at most one for each leaf. It is 0 if this VM is
+// not an owner.
 func (sc *Core) ownerCount(now tier.Millis, service string) int {
 	leafs := sc.lister.Leafs(service)
 	leafInRegion := false
--- a/tier/searcher/script_test.go
+++ b/tier/searcher/script_test.go
@@ -70,7 +70,7 @@
 
 func newScript(t *testing.T) *script {
 	s := &script{t: t, lister: lister.New(), searches: map[string]*Search{}, peers: map[string]sharer.Member{}}
-	place := func(dataCentre string) balancer.Place {
+	distance := func(dataCentre string) balancer.Place {
 		switch dataCentre {
 		case "a":
 			return balancer.SameDataCentre
@@ -80,7 +80,7 @@
 		return balancer.OtherRegion
 	}
 	self := sharer.NewMember(tier.NewVM("self", "a", "self:1", tier.WithVMState(tier.VMLive)), "home", 1)
-	s.scheduler = NewCore(s.lister, balancer.New(place), budgeter.New(0.2, 20, 1), sharer.New(self))
+	s.scheduler = NewCore(s.lister, balancer.New(distance), budgeter.New(0.2, 20, 1), sharer.New(self))
 	return s
 }
 
@@ -217,13 +217,13 @@
 
 // print writes the actions of a search, and those of the searches that they woke.
 func (s *script) print(name string, actions []Action) {
-	for _, a := range actions {
-		fmt.Fprintf(&s.out, "  %4d %s> %s\n", s.now, name, describe(a))
+	for _, action := range actions {
+		fmt.Fprintf(&s.out, "  %4d %s> %s\n", s.now, name, describe(action))
 	}
-	for _, w := range s.scheduler.TakeWoken() {
+	for _, woken := range s.scheduler.TakeWoken() {
 		for _, other := range s.names {
-			if s.searches[other] == w {
-				s.print(other, w.Resume(s.now))
+			if s.searches[other] == woken {
+				s.print(other, woken.Resume(s.now))
 			}
 		}
 	}
--- a/tier/sharer/partitioner.go
+++ b/tier/sharer/partitioner.go
@@ -1,5 +1,5 @@
 // Package sharer partitions the shards of a request among the VMs near their leafs.
-// Each leaf is then queried by few VMs: one of them can count its queue, it has few
+// Each leaf is then queried by few VMs, which can track its queue and need few
 // connections, and regions exchange merged records instead of complete replies. The
 // VMs need no agreement: any VM may query any shard.
 package sharer
