--- a/tier/committer/auditor.go
+++ b/tier/committer/auditor.go
@@ -1,4 +1,4 @@
-// Package auditor carries out one change of a configuration document in the
+// Package committer carries out one change of a configuration document in the
 // store, together with its audit entry: a state machine that reads, archives
 // older entries, swaps, and after a lost answer reads back and looks for the
 // id of its change before it says accepted, rejected or unknown.
--- a/tier/replicator/keeper.go
+++ b/tier/replicator/keeper.go
@@ -1,4 +1,4 @@
-// Package keeper holds the configuration of one VM: a state machine that
+// Package replicator holds the configuration of one VM: a state machine that
 // takes documents from the store and from peers, only ever towards a higher
 // epoch and revision, and decides when to read, to watch and whom to ask.
 package replicator
