--- a/tier/dispatcher/actions.go
+++ b/tier/dispatcher/actions.go
@@ -2,11 +2,11 @@
 
 import "cicadagrade.example/tier"
 
-// Action is what a dispatcher asks of its shell: *Call, *CancelCall,
-// *PartDone, *PartRefused or *PartUnknown.
+// Action is an output of a Dispatcher that the owner VM has to carry out: *Call,
+// *CancelCall, *PartDone, *PartRefused or *PartUnknown.
 type Action interface{ action() }
 
-// Call asks for a leaf call.
+// Call starts a leaf call.
 type Call struct {
 	attempt  uint64
 	part     uint64
@@ -16,10 +16,10 @@
 	deadline tier.Millis
 }
 
-// Attempt numbers the call; no other call of this dispatcher has the number.
+// Attempt is the number of the call, unique within this Dispatcher.
 func (c *Call) Attempt() uint64 { return c.attempt }
 
-// Part is the number of the part it is made for.
+// Part is the number of the part that the call belongs to.
 func (c *Call) Part() uint64 { return c.part }
 
 // Shard is the id of the shard to search.
@@ -31,16 +31,16 @@
 // Snapshot is the pinned snapshot.
 func (c *Call) Snapshot() tier.Snapshot { return c.snapshot }
 
-// Deadline is the absolute time at which the reply is of no more use.
+// Deadline is the absolute time after which the reply is no longer used.
 func (c *Call) Deadline() tier.Millis { return c.deadline }
 
-// CancelCall says that a call's reply is of no more use.
+// CancelCall cancels a leaf call whose reply is no longer used.
 type CancelCall struct{ attempt uint64 }
 
 // Attempt is the number of the call.
 func (c *CancelCall) Attempt() uint64 { return c.attempt }
 
-// Winner names the leaf call whose reply counts for a shard.
+// Winner is the leaf call whose reply is used for a shard.
 type Winner struct {
 	shard   string
 	attempt uint64
@@ -52,13 +52,13 @@
 // Attempt is the number of the call.
 func (w Winner) Attempt() uint64 { return w.attempt }
 
-// PartDone ends a part that made leaf calls, or whose every shard is missing.
+// PartDone ends a part that made leaf calls, or whose shards are all missing.
 type PartDone struct {
-	part    uint64
-	winners []Winner
-	misses  []tier.Miss
-	calls   int
-	extra   int
+	part       uint64
+	winners    []Winner
+	misses     []tier.Miss
+	calls      int
+	extraCalls int
 }
 
 // Part is the number of the part.
@@ -67,17 +67,17 @@
 // Winners lists the shards with a usable reply, in the order of the Submit.
 func (p *PartDone) Winners() []Winner { return p.winners }
 
-// Misses lists the other shards, in the order of the Submit.
+// Misses lists the shards without a usable reply, in the order of the Submit.
 func (p *PartDone) Misses() []tier.Miss { return p.misses }
 
 // Calls is how many leaf calls the part made.
 func (p *PartDone) Calls() int { return p.calls }
 
-// ExtraCalls is how many of them were hedges or retries.
-func (p *PartDone) ExtraCalls() int { return p.extra }
+// ExtraCalls is how many of the leaf calls were hedges or retries.
+func (p *PartDone) ExtraCalls() int { return p.extraCalls }
 
-// PartRefused ends a part that did not run: no leaf call was made for it, or
-// its only one came back as not run.
+// PartRefused ends a part that did not run: either no leaf call was made for it, or
+// the server did not execute its only call.
 type PartRefused struct {
 	part       uint64
 	reason     tier.RefuseReason
@@ -87,14 +87,14 @@
 // Part is the number of the part.
 func (p *PartRefused) Part() uint64 { return p.part }
 
-// Reason says why.
+// Reason says why the part was refused.
 func (p *PartRefused) Reason() tier.RefuseReason { return p.reason }
 
-// RetryAfter is when a new try may succeed, counted from now, or 0 when no
-// time can be told.
+// RetryAfter is the time from now after which a retry may succeed, or 0 if that is
+// unknown.
 func (p *PartRefused) RetryAfter() tier.Millis { return p.retryAfter }
 
-// PartUnknown ends a non-repeatable part that may have run.
+// PartUnknown ends a non-idempotent part of which it is unknown whether it ran.
 type PartUnknown struct {
 	part   uint64
 	reason tier.UnknownReason
@@ -103,7 +103,7 @@
 // Part is the number of the part.
 func (p *PartUnknown) Part() uint64 { return p.part }
 
-// Reason says why it can't be told.
+// Reason says why the outcome is unknown.
 func (p *PartUnknown) Reason() tier.UnknownReason { return p.reason }
 
 func (*Call) action()        {}
--- a/tier/dispatcher/bench_test.go
+++ b/tier/dispatcher/bench_test.go
@@ -7,7 +7,7 @@
 	"cicadagrade.example/tier"
 )
 
-// BenchmarkQuery runs whole queries over every shard, from Submit to PartDone.
+// BenchmarkQuery measures queries over every shard, from Submit to PartDone.
 func BenchmarkQuery(b *testing.B) {
 	for _, shards := range []int{20, 110, 330, 1000} {
 		b.Run(fmt.Sprintf("shards=%d", shards), func(b *testing.B) {
@@ -47,13 +47,13 @@
 	}
 }
 
-// BenchmarkQueue is the same over 20 shards, with parts waiting in the queue.
+// BenchmarkQueue measures queries over 20 shards while a number of parts is queued.
 func BenchmarkQueue(b *testing.B) {
 	for _, waiting := range []int{16, 64, 256, 1024} {
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) {
 			set := testSet(40, 20, 2)
 			p := testProfile("bulk", tier.Daily, tier.WithQueueLimit(tier.MaxQueueLimit))
-			q := &queueBench{d: New(set, "here", WithTakeover(0)), profile: p}
+			q := &queueBenchmark{d: New(set, "here", WithTakeover(0)), profile: p}
 			for _, m := range set.Shards() {
 				q.ids = append(q.ids, m.ID())
 			}
@@ -66,8 +66,8 @@
 	}
 }
 
-// queueBench keeps a dispatcher's queue at a length.
-type queueBench struct {
+// queueBenchmark keeps the queue of a Dispatcher at a given length.
+type queueBenchmark struct {
 	d       *Dispatcher
 	profile *tier.Profile
 	ids     []string
@@ -76,7 +76,7 @@
 	running []uint64
 }
 
-func (q *queueBench) round(waiting int) {
+func (q *queueBenchmark) round(waiting int) {
 	for len(q.d.parts) < waiting {
 		q.part++
 		q.take(NewSubmit(q.part, q.profile, q.now+tier.Hour, q.ids))
@@ -89,7 +89,7 @@
 	}
 }
 
-func (q *queueBench) take(e Event) {
+func (q *queueBenchmark) take(e Event) {
 	for _, a := range q.d.Step(q.now, e) {
 		if c, ok := a.(*Call); ok {
 			q.running = append(q.running, c.attempt)
--- a/tier/dispatcher/events.go
+++ b/tier/dispatcher/events.go
@@ -2,81 +2,83 @@
 
 import "cicadagrade.example/tier"
 
-// Event is what a dispatcher is told: *Submit, *Replied, *Cancelled,
+// Event is an input of a Dispatcher: *Submit, *CallEnded, *Cancelled,
 // *BackendChanged, *HoldingChanged, *SetChanged, *ShareChanged, *Standby or
 // *Tick.
 type Event interface{ event() }
 
-// Submit asks for a part of a query. It ends in exactly one *PartDone,
-// *PartRefused or *PartUnknown.
+// Submit asks to run a part of a query: the shards of this set that the query needs.
+// It leads to exactly one *PartDone, *PartRefused or *PartUnknown.
 type Submit struct {
 	part       uint64
 	profile    *tier.Profile
 	deadline   tier.Millis
 	shards     []string
 	snapshot   tier.Snapshot
-	repeatable bool
+	idempotent bool
 }
 
 // SubmitOption sets one field of a Submit.
 type SubmitOption func(*Submit)
 
-// WithSnapshot pins the snapshot that every leaf call names.
+// WithSnapshot sets the snapshot at which every leaf call of the part reads.
 func WithSnapshot(s tier.Snapshot) SubmitOption { return func(e *Submit) { e.snapshot = s } }
 
-// NotRepeatable says that the part may run at most once: it gets one leaf
-// call, without hedge or retry.
-func NotRepeatable() SubmitOption { return func(e *Submit) { e.repeatable = false } }
+// NotRepeatable marks a part that may run at most once: it gets a single leaf call,
+// which is neither hedged nor retried.
+func NotRepeatable() SubmitOption { return func(e *Submit) { e.idempotent = false } }
 
-// NewSubmit returns a repeatable part without a pinned snapshot. The part's
-// number is the shell's, unused by any part that has not ended. The deadline
-// is absolute. The profile gives rank, imposed wait, queue limit and whether
-// to hedge.
+// NewSubmit returns the request to run an idempotent part without a pinned snapshot.
+// The owner VM chooses the part's number, which no other unfinished part may have. The
+// deadline is absolute. The profile gives the rank, the imposed wait, the queue
+// limit and whether to hedge.
 func NewSubmit(part uint64, p *tier.Profile, deadline tier.Millis, shards []string, opts ...SubmitOption) *Submit {
-	e := &Submit{part: part, profile: p, deadline: deadline, shards: shards, repeatable: true}
+	e := &Submit{part: part, profile: p, deadline: deadline, shards: shards, idempotent: true}
 	for _, o := range opts {
 		o(e)
 	}
 	return e
 }
 
-// Replied ends a leaf call. The shell sends exactly one for each *Call, also
-// after a *CancelCall, since the call holds its slot until then.
+// Replied reports the end of a leaf call. Exactly one must follow each *Call, also
+// after a *CancelCall, since the call occupies its slot until then.
 type Replied struct {
 	attempt uint64
 	result  Result
 }
 
-// NewReplied returns the end of a leaf call.
+// NewReplied returns the end of the leaf call with an attempt number.
 func NewReplied(attempt uint64, r Result) *Replied { return &Replied{attempt: attempt, result: r} }
 
-// Result is the end of a leaf call: *ReplyOK, *ReplyNotRun, *ReplyFailed or
-// *ReplyBad.
+// Result is the result of a leaf call: *ReplyOK, *ReplyNotRun, *ReplyFailed or
+// *ReplyRejected.
 type Result interface{ result() }
 
-// ReplyOK is a reply that passed correlation.
+// ReplyOK is a reply that passed the checks of package correlator.
 type ReplyOK struct{}
 
-// NotRunReason says why a server did not run a call.
+// NotRunReason says why a server did not execute a call.
 type NotRunReason int
 
-// The reasons.
+// The reasons for not executing a call.
 const (
-	NotRunShed          NotRunReason = iota // the server sheds load
-	NotRunLeaving                           // the server is leaving
-	NotRunWrongSnapshot                     // it does not hold the shard at the snapshot
+	NotRunShed          NotRunReason = iota // the server is shedding load
+	NotRunLeaving                           // the server is draining
+	NotRunWrongSnapshot                     // the server lacks the shard at the snapshot
 )
 
-// ReplyNotRun is a reply that says the server did not run the call.
+// ReplyNotRun is a reply which states that the server did not execute the call.
 type ReplyNotRun struct{ reason NotRunReason }
 
-// NewReplyNotRun returns a reply that says the call was not run.
+// NewReplyNotRun returns the reply of a server that did not execute a call.
 func NewReplyNotRun(r NotRunReason) *ReplyNotRun { return &ReplyNotRun{reason: r} }
 
-// ReplyFailed is a call without a usable reply; the server may have run it.
+// ReplyFailed is a call that failed without a usable reply. The server may have
+// executed it.
 type ReplyFailed struct{}
 
-// ReplyBad is a reply that correlation rejected; the server may have run it.
+// ReplyBad is a reply that package correlator rejected. The server may have executed
+// the call.
 type ReplyBad struct{}
 
 func (*ReplyOK) result()     {}
@@ -84,13 +86,13 @@
 func (*ReplyFailed) result() {}
 func (*ReplyBad) result()    {}
 
-// Cancelled says that nobody waits for a part any more.
+// Cancelled reports that no client waits for a part any more.
 type Cancelled struct{ part uint64 }
 
 // NewCancelled returns the cancellation of a part.
 func NewCancelled(part uint64) *Cancelled { return &Cancelled{part: part} }
 
-// BackendChanged tells the state of a backend server.
+// BackendChanged reports the state of a backend server.
 type BackendChanged struct {
 	server string
 	state  tier.BackendState
@@ -101,8 +103,8 @@
 	return &BackendChanged{server: server, state: s}
 }
 
-// HoldingChanged tells which index versions of a shard a server holds under
-// one epoch; no versions means that it holds none under it.
+// HoldingChanged reports which index versions of a shard a server holds in one epoch.
+// An empty list means that it holds none.
 type HoldingChanged struct {
 	server   string
 	shard    string
@@ -110,32 +112,32 @@
 	versions []tier.Version
 }
 
-// NewHoldingChanged returns what a server holds of a shard under an epoch.
+// NewHoldingChanged returns the versions of a shard that a server holds in an epoch.
 func NewHoldingChanged(server, shard string, e tier.Epoch, versions []tier.Version) *HoldingChanged {
 	return &HoldingChanged{server: server, shard: shard, epoch: e, versions: versions}
 }
 
-// SetChanged replaces the shard set's description. Servers that are new to it
-// have an unknown state and unknown holdings until they are told.
+// SetChanged replaces the configuration of the shard set. The state and the holdings
+// of servers that are new to it are unknown until they are reported.
 type SetChanged struct{ set *tier.ShardSet }
 
-// NewSetChanged returns a change of the set.
+// NewSetChanged returns a change to a new configuration of the set.
 func NewSetChanged(set *tier.ShardSet) *SetChanged { return &SetChanged{set: set} }
 
-// ShareChanged tells how many owners split the slots and which this one is.
+// ShareChanged reports how many owners split the slots and the index of this owner.
 type ShareChanged struct{ owners, index int }
 
-// NewShareChanged returns a change of share; index counts from 0.
+// NewShareChanged returns a change of the share; index counts from 0.
 func NewShareChanged(owners, index int) *ShareChanged {
 	return &ShareChanged{owners: owners, index: index}
 }
 
-// Standby says that another VM owns the set: parts that still come here, such
-// as those of VMs that do not know yet, run on one slot of each server. A
-// ShareChanged ends it.
+// Standby reports that another VM owns the set. Parts that still arrive, such as those
+// from VMs with an outdated view of the owners, run on one slot of each server. A
+// ShareChanged ends the standby.
 type Standby struct{}
 
-// Tick says that the time of Next has come.
+// Tick reports that the time returned by NextTick has come.
 type Tick struct{}
 
 func (*Submit) event()         {}
--- a/tier/dispatcher/handover_test.go
+++ b/tier/dispatcher/handover_test.go
@@ -6,10 +6,10 @@
 	"cicadagrade.example/tier"
 )
 
-// handedOver has an owner with a long queue hand over to another one, that
-// learns of it earlier by some time, and returns the most calls that the one
-// server of four slots holds at once. A call takes 100 ms.
-func handedOver(late tier.Millis) int {
+// maxCallsDuringHandover moves ownership from a VM with a long queue to another one. The
+// former owner learns of it some time after the new one. It returns the most calls that
+// run at once on the only server, which has four slots. A call takes 100 ms.
+func maxCallsDuringHandover(late tier.Millis) int {
 	set := testSet(1, 1, 4)
 	former, next := New(set, "here"), New(set, "here")
 	both := []*Dispatcher{former, next}
@@ -54,15 +54,15 @@
 	return most
 }
 
-// TestHandoverIsBounded: a former owner gives its share up before the new one
-// uses it whole, if it learns of the new one in time.
-func TestHandoverIsBounded(t *testing.T) {
+// TestHandoverStaysWithinSlots checks that a former owner releases its share before the
+// new one uses all of it, if it learns of the new owner in time.
+func TestHandoverStaysWithinSlots(t *testing.T) {
 	for _, late := range []tier.Millis{0, 100, 1300} {
-		if most := handedOver(late); most > 5 {
+		if most := maxCallsDuringHandover(late); most > 5 {
 			t.Errorf("told %d ms late: %d calls on 4 slots", late, most)
 		}
 	}
-	if most := handedOver(4 * tier.Second); most <= 5 {
-		t.Errorf("told after the takeover time: only %d calls on 4 slots", most)
+	if most := maxCallsDuringHandover(4 * tier.Second); most <= 5 {
+		t.Errorf("told after the takeover delay: only %d calls on 4 slots", most)
 	}
 }
--- a/tier/dispatcher/part.go
+++ b/tier/dispatcher/part.go
@@ -4,24 +4,24 @@
 	"cicadagrade.example/tier"
 )
 
-// part is an accepted Submit.
+// part is an accepted Submit: the shards of this set that one query searches.
 type part struct {
-	id         uint64
-	order      uint64
-	profile    *tier.Profile
-	arrived    tier.Millis
-	deadline   tier.Millis
-	snapshot   tier.Snapshot
-	repeatable bool
-	tasks      []*task
-	open       int // tasks not done
-	unstarted  int // tasks that never had a call and are not done
-	calls      int
-	extra      int
-	ended      bool
+	id             uint64
+	order          uint64
+	profile        *tier.Profile
+	arrived        tier.Millis
+	deadline       tier.Millis
+	snapshot       tier.Snapshot
+	idempotent     bool
+	tasks          []*task
+	openTasks      int // tasks that are not done
+	unstartedTasks int // tasks that are not done and have made no call
+	calls          int
+	extraCalls     int
+	ended          bool
 }
 
-// before orders parts of one rank: earliest deadline first.
+// before orders parts of one rank by deadline, then by arrival.
 func (p *part) before(o *part) bool {
 	if p.deadline != o.deadline {
 		return p.deadline < o.deadline
@@ -29,28 +29,28 @@
 	return p.order < o.order
 }
 
-// task is one shard of a part.
+// task is the search of one shard for a part.
 type task struct {
-	part    *part
-	shard   *shard
-	id      string // of the shard
-	lane    *lane  // while it waits for its first call
-	extra   bool   // while it waits for a hedge or a retry
-	running []*call
-	tried   []*server
-	calls   int
-	done    bool
-	winner  uint64 // 0 for a miss
-	reason  tier.MissReason
+	part          *part
+	shard         *shard
+	shardID       string
+	queue         *profileQueue // non-nil while the task waits for its first call
+	waitsForExtra bool          // set while the task waits to start a hedge or a retry
+	running       []*call
+	tried         []*server
+	calls         int
+	done          bool
+	winner        uint64 // attempt number of the reply that counts, 0 if none
+	reason        tier.MissReason
 }
 
-// call is one leaf call, from *Call to *Replied.
+// call is one leaf call, from its *Call action to its *CallEnded event.
 type call struct {
 	attempt   uint64
 	task      *task
 	server    *server
 	started   tier.Millis
-	cancelled bool // its reply is of no more use
+	cancelled bool // its reply will not be used
 	ended     bool
 }
 
@@ -72,48 +72,50 @@
 	return false
 }
 
-// takes reports whether a server could take a call of the task, slots aside.
-func (t *task) takes(s *server) bool {
-	return s.state.TakesWork() && !t.runsOn(s) && s.holds(t.id, t.part.snapshot) != holdingNo
+// servableBy reports whether a server could serve the task, whether or not it has
+// a free slot.
+func (t *task) servableBy(s *server) bool {
+	return s.state.TakesWork() && !t.runsOn(s) && s.holds(t.shardID, t.part.snapshot) != holdingNo
 }
 
-// eligible reports whether the next call of the task may go to a server: one
-// that was not tried goes first, and one that is known to hold the snapshot.
+// eligible reports whether the next call of the task may go to a server. Replicas
+// not tried yet come first, then those known to hold the snapshot.
 func (t *task) eligible(s *server) bool {
-	if !t.takes(s) {
+	if !t.servableBy(s) {
 		return false
 	}
-	rank := t.preference(s)
+	own := t.penalty(s)
 	for _, o := range t.shard.replicas {
-		if o != s && t.takes(o) && t.preference(o) < rank {
+		if o != s && t.servableBy(o) && t.penalty(o) < own {
 			return false
 		}
 	}
 	return true
 }
 
-func (t *task) preference(s *server) int {
+// penalty ranks a replica for the next call of the task; lower is better.
+func (t *task) penalty(s *server) int {
 	n := 0
 	if t.hasTried(s) {
 		n += 2
 	}
-	if s.holds(t.id, t.part.snapshot) != holdingYes {
+	if s.holds(t.shardID, t.part.snapshot) != holdingYes {
 		n++
 	}
 	return n
 }
 
-// unservable tells why no replica could take the task, or "".
-func (t *task) unservable() tier.MissReason {
+// unservableReason says why no replica can serve the task, or is empty if one can.
+func (t *task) unservableReason() tier.MissReason {
 	reason := tier.MissNoReplica
-	if t.shard == nil || t.shard.gone {
+	if t.shard == nil || t.shard.removed {
 		return tier.MissWrongSnapshot
 	}
 	for _, s := range t.shard.replicas {
 		if !s.state.TakesWork() {
 			continue
 		}
-		if s.holds(t.id, t.part.snapshot) != holdingNo {
+		if s.holds(t.shardID, t.part.snapshot) != holdingNo {
 			return ""
 		}
 		reason = tier.MissWrongSnapshot
@@ -121,48 +123,47 @@
 	return reason
 }
 
-// win ends a task with the reply of a call.
-func (d *Dispatcher) win(c *call) {
+// completeTask ends a task with the reply of a call.
+func (d *Dispatcher) completeTask(c *call) {
 	c.task.winner = c.attempt
 	d.endTask(c.task)
 }
 
-// miss ends a task without a reply.
-func (d *Dispatcher) miss(t *task, r tier.MissReason) {
+// missTask ends a task without a reply, for a reason.
+func (d *Dispatcher) missTask(t *task, r tier.MissReason) {
 	t.reason = r
 	d.endTask(t)
 }
 
 func (d *Dispatcher) endTask(t *task) {
 	d.closeTask(t)
-	if t.part.open == 0 {
+	if t.part.openTasks == 0 {
 		d.endPart(t.part)
 	}
 }
 
-// closeTask takes a task out of its queues and cancels what still runs for
-// it.
+// closeTask removes a task from its queues and cancels its running calls.
 func (d *Dispatcher) closeTask(t *task) {
 	d.unqueue(t)
 	t.done = true
-	t.part.open--
+	t.part.openTasks--
 	if t.calls == 0 {
-		d.started(t.part)
+		d.countFirstCall(t.part)
 	}
 	for _, c := range t.running {
 		if !c.cancelled {
 			c.cancelled = true
-			d.act(&CancelCall{attempt: c.attempt})
+			d.emit(&CancelCall{attempt: c.attempt})
 		}
 	}
 	t.running = nil
 }
 
-// started counts one task of the part as no longer waiting for its first
-// call.
-func (d *Dispatcher) started(p *part) {
-	p.unstarted--
-	if p.unstarted == 0 {
+// countFirstCall counts one task of the part as no longer waiting for its first
+// call, whether it made one or ended without.
+func (d *Dispatcher) countFirstCall(p *part) {
+	p.unstartedTasks--
+	if p.unstartedTasks == 0 {
 		d.queued.remove(p)
 	}
 }
@@ -170,26 +171,26 @@
 func (d *Dispatcher) endPart(p *part) {
 	p.ended = true
 	delete(d.parts, p.id)
-	if !p.repeatable {
-		d.endOnce(p)
+	if !p.idempotent {
+		d.endNonIdempotent(p)
 		return
 	}
-	if p.calls == 0 && p.missed(tier.MissDeadline) {
+	if p.calls == 0 && p.hasMiss(tier.MissDeadline) {
 		d.refuse(p.id, p.profile.Rank(), tier.RefuseDeadline, d.retryAfter(p.profile.Rank()))
 		return
 	}
-	d.act(p.done())
+	d.emit(p.partDone())
 	d.counters.done++
-	d.patience[p.profile.Rank()].answered()
+	d.abandonTimes[p.profile.Rank()].observeAnswered()
 }
 
-// endOnce ends a part that may run only once.
-func (d *Dispatcher) endOnce(p *part) {
+// endNonIdempotent ends a part that may run at most once, which has a single task.
+func (d *Dispatcher) endNonIdempotent(p *part) {
 	t := p.tasks[0]
 	rank := p.profile.Rank()
 	switch {
 	case t.winner != 0:
-		d.act(p.done())
+		d.emit(p.partDone())
 		d.counters.done++
 	case p.calls == 0 && t.reason == tier.MissDeadline:
 		d.refuse(p.id, rank, tier.RefuseDeadline, d.retryAfter(rank))
@@ -198,18 +199,18 @@
 	case t.reason == tier.MissRefused:
 		d.refuse(p.id, rank, tier.RefuseByServer, d.retryAfter(rank))
 	case t.reason == tier.MissDeadline:
-		d.unknown(p.id, tier.UnknownDeadline)
+		d.reportUnknown(p.id, tier.UnknownDeadline)
 	default:
-		d.unknown(p.id, tier.UnknownLostReply)
+		d.reportUnknown(p.id, tier.UnknownLostReply)
 	}
 }
 
-func (d *Dispatcher) unknown(id uint64, r tier.UnknownReason) {
-	d.act(&PartUnknown{part: id, reason: r})
+func (d *Dispatcher) reportUnknown(id uint64, r tier.UnknownReason) {
+	d.emit(&PartUnknown{part: id, reason: r})
 	d.counters.unknown++
 }
 
-func (p *part) missed(r tier.MissReason) bool {
+func (p *part) hasMiss(r tier.MissReason) bool {
 	for _, t := range p.tasks {
 		if t.winner == 0 && t.reason == r {
 			return true
@@ -218,20 +219,20 @@
 	return false
 }
 
-func (p *part) done() *PartDone {
-	e := &PartDone{part: p.id, calls: p.calls, extra: p.extra}
+func (p *part) partDone() *PartDone {
+	e := &PartDone{part: p.id, calls: p.calls, extraCalls: p.extraCalls}
 	for _, t := range p.tasks {
 		if t.winner != 0 {
-			e.winners = append(e.winners, Winner{shard: t.id, attempt: t.winner})
+			e.winners = append(e.winners, Winner{shard: t.shardID, attempt: t.winner})
 			continue
 		}
-		e.misses = append(e.misses, tier.NewMiss(t.id, t.reason))
+		e.misses = append(e.misses, tier.NewMiss(t.shardID, t.reason))
 	}
 	return e
 }
 
-// endOpen ends every open task of a part for one reason, and so the part.
-func (d *Dispatcher) endOpen(p *part, r tier.MissReason) {
+// missOpenTasks ends every open task of a part for the same reason, and then the part.
+func (d *Dispatcher) missOpenTasks(p *part, r tier.MissReason) {
 	for _, t := range p.tasks {
 		if !t.done {
 			t.reason = r
@@ -242,21 +243,21 @@
 }
 
 func (d *Dispatcher) deadlinePassed(p *part) {
-	d.counters.late++
-	d.endOpen(p, tier.MissDeadline)
+	d.counters.expired++
+	d.missOpenTasks(p, tier.MissDeadline)
 }
 
-// cancelled ends a part for a caller who has gone. A call that may run only
-// once is left alone, so that its outcome is known.
-func (d *Dispatcher) cancelled(e *Cancelled) {
+// handleCancelled ends a part whose client has disconnected. A running call of a
+// non-idempotent part continues, so that its outcome becomes known.
+func (d *Dispatcher) handleCancelled(e *Cancelled) {
 	p := d.parts[e.part]
-	if p == nil || (!p.repeatable && p.calls > 0) {
+	if p == nil || (!p.idempotent && p.calls > 0) {
 		return
 	}
 	d.counters.cancelled++
-	d.patience[p.profile.Rank()].departed(d.now - p.arrived)
+	d.abandonTimes[p.profile.Rank()].observeAbandoned(d.now - p.arrived)
 	if p.calls > 0 {
-		d.endOpen(p, tier.MissCancelled)
+		d.missOpenTasks(p, tier.MissCancelled)
 		return
 	}
 	for _, t := range p.tasks {
@@ -267,5 +268,5 @@
 	}
 	p.ended = true
 	delete(d.parts, p.id)
-	d.act(&PartRefused{part: p.id, reason: tier.RefuseCallerGone})
+	d.emit(&PartRefused{part: p.id, reason: tier.RefuseCallerGone})
 }
--- a/tier/dispatcher/property_test.go
+++ b/tier/dispatcher/property_test.go
@@ -56,75 +56,75 @@
 	testProfile("fees", tier.Reports, tier.WithQueueLimit(8), tier.WithImposedWait(10)),
 }
 
-// history drives a dispatcher with random events under a monitor. The tamper
-// function, when there is one, breaks the dispatcher after each Step.
-type history struct {
+// randomRun drives a Dispatcher with random events and checks it with a monitor. The
+// optional tamper function breaks the Dispatcher after each Step.
+type randomRun struct {
 	d      *Dispatcher
-	m      *monitor
+	m      *invariantMonitor
 	now    tier.Millis
 	parts  uint64
 	tamper func(*Dispatcher)
 }
 
-func newHistory(seed uint64, share shareOf, tamper func(*Dispatcher)) *history {
+func newRandomRun(seed uint64, share slotShare, tamper func(*Dispatcher)) *randomRun {
 	set := testSet(4, 6, 2+int(seed%3))
 	d := New(set, "here", WithSeed(seed), WithTakeover(0), WithShare(share.owners, share.index))
-	return &history{d: d, m: newMonitor(set, share), tamper: tamper}
+	return &randomRun{d: d, m: newInvariantMonitor(set, share), tamper: tamper}
 }
 
-func (h *history) step(e Event) {
-	h.m.before(e)
-	h.m.after(h.now, h.d.Step(h.now, e))
-	if h.tamper != nil {
-		h.tamper(h.d)
+func (r *randomRun) step(e Event) {
+	r.m.observeEvent(e)
+	r.m.observeActions(r.now, r.d.Step(r.now, e))
+	if r.tamper != nil {
+		r.tamper(r.d)
 	}
 }
 
-func (h *history) advance(span tier.Millis) {
-	end := h.now + span
+func (r *randomRun) advance(span tier.Millis) {
+	end := r.now + span
 	for {
-		at, ok := h.d.Next()
+		at, ok := r.d.Next()
 		if !ok || at > end {
 			break
 		}
-		h.now = max(h.now, at)
-		h.step(&Tick{})
+		r.now = max(r.now, at)
+		r.step(&Tick{})
 	}
-	h.now = end
+	r.now = end
 }
 
-// run takes numbers from pick, each from 0 to below its argument.
-func (h *history) run(steps int, pick func(int) int) {
+// run sends random events. A call pick(n) returns a random number from 0 to n-1.
+func (r *randomRun) run(steps int, pick func(int) int) {
 	for range steps {
 		switch k := pick(22); {
 		case k < 7:
-			h.submit(pick)
+			r.submit(pick)
 		case k < 14:
-			h.reply(pick)
+			r.reply(pick)
 		case k < 17:
-			h.advance(tier.Millis(pick(30)))
-		case k == 17 && h.parts > 0:
-			h.step(NewCancelled(uint64(pick(int(h.parts))) + 1))
+			r.advance(tier.Millis(pick(30)))
+		case k == 17 && r.parts > 0:
+			r.step(NewCancelled(uint64(pick(int(r.parts))) + 1))
 		case k == 18:
-			h.step(NewBackendChanged(h.server(pick), tier.BackendState(pick(6))))
+			r.step(NewBackendChanged(r.server(pick), tier.BackendState(pick(6))))
 		case k == 19:
 			held := []tier.Version{tier.Version(1 + pick(2)), tier.Version(1 + pick(3))}
-			h.step(NewHoldingChanged(h.server(pick), fmt.Sprintf("s%d", pick(6)), 1, held))
+			r.step(NewHoldingChanged(r.server(pick), fmt.Sprintf("s%d", pick(6)), 1, held))
 		case k == 20:
-			h.step(NewSetChanged(testSet(4-pick(2), 6-pick(3), 2+pick(2))))
+			r.step(NewSetChanged(testSet(4-pick(2), 6-pick(3), 2+pick(2))))
 		case k == 21:
-			h.step(NewShareChanged(1+pick(2), 0))
+			r.step(NewShareChanged(1+pick(2), 0))
 		}
 	}
-	h.step(&Standby{})
-	h.submit(pick)
-	h.drain()
+	r.step(&Standby{})
+	r.submit(pick)
+	r.drain()
 }
 
-func (h *history) server(pick func(int) int) string { return fmt.Sprintf("v%d", pick(4)) }
+func (r *randomRun) server(pick func(int) int) string { return fmt.Sprintf("v%d", pick(4)) }
 
-func (h *history) submit(pick func(int) int) {
-	h.parts++
+func (r *randomRun) submit(pick func(int) int) {
+	r.parts++
 	var opts []SubmitOption
 	shards := []string{"s0", "s1", "s2", "s3", "s4", "s5"}
 	if pick(4) == 0 {
@@ -133,12 +133,12 @@
 	} else if pick(2) == 0 {
 		opts = append(opts, WithSnapshot(tier.NewSnapshot(1, tier.Version(1+pick(2)))))
 	}
-	deadline := h.now + 20 + tier.Millis(pick(400))
-	h.step(NewSubmit(h.parts, testProfiles[pick(3)], deadline, shards, opts...))
+	deadline := r.now + 20 + tier.Millis(pick(400))
+	r.step(NewSubmit(r.parts, testProfiles[pick(3)], deadline, shards, opts...))
 }
 
-func (h *history) reply(pick func(int) int) {
-	attempts := h.outstanding()
+func (r *randomRun) reply(pick func(int) int) {
+	attempts := r.outstanding()
 	if len(attempts) == 0 {
 		return
 	}
@@ -146,30 +146,30 @@
 		&ReplyOK{}, &ReplyOK{}, &ReplyOK{}, &ReplyOK{}, &ReplyOK{}, &ReplyOK{}, &ReplyFailed{}, &ReplyBad{},
 		NewReplyNotRun(NotRunShed), NewReplyNotRun(NotRunWrongSnapshot), NewReplyNotRun(NotRunLeaving),
 	}
-	h.step(NewReplied(attempts[pick(len(attempts))], all[pick(len(all))]))
+	r.step(NewReplied(attempts[pick(len(attempts))], all[pick(len(all))]))
 }
 
-func (h *history) outstanding() []uint64 {
+func (r *randomRun) outstanding() []uint64 {
 	var out []uint64
-	for a := range h.m.calls {
+	for a := range r.m.calls {
 		out = append(out, a)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i] < out[j] })
 	return out
 }
 
-// drain lets every deadline pass and every call end.
-func (h *history) drain() {
+// drain advances the time past every deadline and ends every call.
+func (r *randomRun) drain() {
 	for range 3 {
-		h.advance(1000)
-		for _, a := range h.outstanding() {
-			h.step(NewReplied(a, &ReplyOK{}))
+		r.advance(1000)
+		for _, a := range r.outstanding() {
+			r.step(NewReplied(a, &ReplyOK{}))
 		}
 	}
-	h.m.finish(h.d)
+	r.m.checkIdle(r.d)
 }
 
-// TestMain fixes the seed of the property tests, unless a flag gives another.
+// TestMain sets a fixed seed for the property tests, unless -rapid.seed is given.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
@@ -180,21 +180,21 @@
 	os.Exit(m.Run())
 }
 
-func TestPromisesHoldInRandomHistories(t *testing.T) {
+func TestInvariantsHoldInRandomRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64Range(1, 1<<32).Draw(t, "seed")
 		owners := rapid.IntRange(1, 2).Draw(t, "owners")
-		h := newHistory(seed, shareOf{owners: owners, index: owners - 1}, nil)
-		h.run(300, func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") })
-		if len(h.m.problems) > 0 {
-			t.Fatalf("%s", strings.Join(h.m.problems, "\n"))
+		r := newRandomRun(seed, slotShare{owners: owners, index: owners - 1}, nil)
+		r.run(300, func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") })
+		if len(r.m.violations) > 0 {
+			t.Fatalf("%s", strings.Join(r.m.violations, "\n"))
 		}
 	})
 }
 
-// TestMonitorObjects breaks one mechanism at a time and expects the monitor
-// to name it.
-func TestMonitorObjects(t *testing.T) {
+// TestMonitorDetectsBrokenDispatcher breaks one mechanism at a time and expects the
+// monitor to report the violated invariant.
+func TestMonitorDetectsBrokenDispatcher(t *testing.T) {
 	type broken struct {
 		name   string
 		tamper func(*Dispatcher)
@@ -207,9 +207,9 @@
 				s.limiter = limiter.New(9, d.random)
 			}
 		}, "slots of"},
-		{"hedge of a booking", func(d *Dispatcher) {
+		{"hedge of a non-idempotent part", func(d *Dispatcher) {
 			for _, p := range d.parts {
-				p.repeatable = true
+				p.idempotent = true
 			}
 		}, "that may run once"},
 		{"forgotten part", func(d *Dispatcher) {
@@ -236,29 +236,29 @@
 		}, "refused after"},
 		{"reports share", func(d *Dispatcher) {
 			for _, s := range d.servers {
-				s.byRank[tier.Reports] = 0
+				s.runningByRank[tier.Reports] = 0
 			}
 		}, "reports calls on"},
-		{"two ends", func(d *Dispatcher) {
+		{"part ended twice", func(d *Dispatcher) {
 			for _, c := range d.calls {
-				c.cancelled, c.task.done, c.task.part.open = false, false, 1
+				c.cancelled, c.task.done, c.task.part.openTasks = false, false, 1
 			}
 		}, "ended 2 times"},
 	} {
 		t.Run(b.name, func(t *testing.T) {
-			if !objects(b.tamper, b.want) {
-				t.Fatalf("the monitor never said %q", b.want)
+			if !monitorReports(b.tamper, b.want) {
+				t.Fatalf("the monitor never reported %q", b.want)
 			}
 		})
 	}
 }
 
-func objects(tamper func(*Dispatcher), want string) bool {
+func monitorReports(tamper func(*Dispatcher), want string) bool {
 	for seed := uint64(1); seed <= 50; seed++ {
 		random := rand.New(rand.NewPCG(seed, seed))
-		h := newHistory(seed, shareOf{owners: 1}, tamper)
-		h.run(400, random.IntN)
-		if strings.Contains(strings.Join(h.m.problems, "\n"), want) {
+		r := newRandomRun(seed, slotShare{owners: 1}, tamper)
+		r.run(400, random.IntN)
+		if strings.Contains(strings.Join(r.m.violations, "\n"), want) {
 			return true
 		}
 	}
--- a/tier/dispatcher/queue.go
+++ b/tier/dispatcher/queue.go
@@ -6,71 +6,71 @@
 	"cicadagrade.example/tier"
 )
 
-// shard is a shard of the map with the work that waits for it.
+// shard is a shard of the set with its waiting tasks.
 type shard struct {
-	id        string
-	replicas  []*server // those in this data centre
-	elsewhere bool      // other data centres have some
-	gone      bool      // a newer map has no such shard
-	lanes     []*lane
-	extras    []*task // that wait for a hedge or a retry
-	drains    [len(tier.Ranks)]drain
-}
-
-// lane is the work of one profile that waits for its first call, earliest
-// deadline first.
-type lane struct {
-	profile string
-	rank    tier.Rank
-	tasks   []*task
-	since   tier.Millis // its work has waited without a call
-}
-
-func (h *shard) lane(p *tier.Profile) *lane {
-	for _, l := range h.lanes {
-		if l.profile == p.Name() && l.rank == p.Rank() {
-			return l
+	id                string
+	replicas          []*server // replicas in this data centre
+	hasRemoteReplicas bool      // whether other data centres have replicas
+	removed           bool      // whether the current configuration no longer has the shard
+	queues            []*profileQueue
+	extras            []*task // tasks that wait for a hedge or a retry
+	startGaps         [len(tier.Ranks)]startGap
+}
+
+// profileQueue holds the tasks of one profile and shard that wait for their first call,
+// by deadline.
+type profileQueue struct {
+	profile      string
+	rank         tier.Rank
+	tasks        []*task
+	waitingSince tier.Millis // since it became non-empty or last started a call
+}
+
+func (h *shard) profileQueue(p *tier.Profile) *profileQueue {
+	for _, q := range h.queues {
+		if q.profile == p.Name() && q.rank == p.Rank() {
+			return q
 		}
 	}
-	l := &lane{profile: p.Name(), rank: p.Rank()}
-	h.lanes = append(h.lanes, l)
-	return l
+	q := &profileQueue{profile: p.Name(), rank: p.Rank()}
+	h.queues = append(h.queues, q)
+	return q
 }
 
-// place is the index that a part has or would take in the lane.
-func (l *lane) place(p *part) int {
-	return sort.Search(len(l.tasks), func(i int) bool { return !l.tasks[i].part.before(p) })
+// position is the index that a part has, or would be inserted at, in the queue.
+func (q *profileQueue) position(p *part) int {
+	return sort.Search(len(q.tasks), func(i int) bool { return !q.tasks[i].part.before(p) })
 }
 
-// enqueue lets a task wait for its first call.
+// enqueue queues a task for its first call.
 func (d *Dispatcher) enqueue(t *task) {
-	l := t.shard.lane(t.part.profile)
-	if len(l.tasks) == 0 {
-		l.since = d.now
+	q := t.shard.profileQueue(t.part.profile)
+	if len(q.tasks) == 0 {
+		q.waitingSince = d.now
 	}
-	i := l.place(t.part)
-	l.tasks = append(l.tasks, nil)
-	copy(l.tasks[i+1:], l.tasks[i:])
-	l.tasks[i] = t
-	t.lane = l
-	t.shard.addLoad(l.rank, 1)
+	i := q.position(t.part)
+	q.tasks = append(q.tasks, nil)
+	copy(q.tasks[i+1:], q.tasks[i:])
+	q.tasks[i] = t
+	t.queue = q
+	t.shard.addLoad(q.rank, 1)
 }
 
-// unqueue takes a task out of whatever it waits in.
+// unqueue removes a task from the queues that it waits in.
 func (d *Dispatcher) unqueue(t *task) {
-	if l := t.lane; l != nil {
-		i := l.place(t.part)
-		l.tasks = append(l.tasks[:i], l.tasks[i+1:]...)
-		t.lane = nil
-		t.shard.addLoad(l.rank, -1)
+	if q := t.queue; q != nil {
+		i := q.position(t.part)
+		q.tasks = append(q.tasks[:i], q.tasks[i+1:]...)
+		t.queue = nil
+		t.shard.addLoad(q.rank, -1)
 	}
-	if t.extra {
-		t.extra = false
-		t.shard.dropExtra(t)
+	if t.waitsForExtra {
+		t.waitsForExtra = false
+		t.shard.removeExtra(t)
 	}
 }
 
-func (h *shard) dropExtra(t *task) {
+func (h *shard) removeExtra(t *task) {
 	for i, o := range h.extras {
 		if o == t {
 			h.extras = append(h.extras[:i], h.extras[i+1:]...)
@@ -81,21 +81,21 @@
 
 func (h *shard) addLoad(r tier.Rank, n float64) {
 	for _, s := range h.replicas {
-		s.load[r] = max(0, s.load[r]+n/float64(len(h.replicas)))
-		if s.load[r] < 1e-6 {
-			s.load[r] = 0
+		s.queuedLoad[r] = max(0, s.queuedLoad[r]+n/float64(len(h.replicas)))
+		if s.queuedLoad[r] < 1e-6 {
+			s.queuedLoad[r] = 0
 		}
 	}
 }
 
-// recountLoad counts the queued work of all servers again, for a new map.
+// recountLoad recomputes the queued load of all servers after a configuration change.
 func (d *Dispatcher) recountLoad() {
 	for _, s := range d.servers {
-		s.load = [len(tier.Ranks)]float64{}
+		s.queuedLoad = [len(tier.Ranks)]float64{}
 	}
 	for _, h := range d.shards {
-		for _, l := range h.lanes {
-			h.addLoad(l.rank, float64(len(l.tasks)))
+		for _, q := range h.queues {
+			h.addLoad(q.rank, float64(len(q.tasks)))
 		}
 	}
 }
@@ -119,37 +119,37 @@
 	q.byRank[p.profile.Rank()]--
 }
 
-// wantHedge lets a task whose call is slow wait for a second one.
-func (d *Dispatcher) wantHedge(c *call) {
+// queueHedge queues a second call of a task whose first call is slow.
+func (d *Dispatcher) queueHedge(c *call) {
 	t := c.task
-	if c.cancelled || t.done || t.extra || len(t.running) != 1 || !t.mayCallAgain() {
+	if c.cancelled || t.done || t.waitsForExtra || len(t.running) != 1 || !t.mayCallAgain() {
 		return
 	}
-	if !t.part.repeatable || !t.part.profile.Hedge() {
+	if !t.part.idempotent || !t.part.profile.Hedge() {
 		return
 	}
-	d.addExtra(t)
+	d.queueExtra(t)
 }
 
-// wantRetry lets a task whose calls failed wait for another one.
-func (d *Dispatcher) wantRetry(t *task) {
-	if t.done || t.extra || len(t.running) > 0 {
+// queueRetry queues another call of a task whose calls have all failed.
+func (d *Dispatcher) queueRetry(t *task) {
+	if t.done || t.waitsForExtra || len(t.running) > 0 {
 		return
 	}
-	d.addExtra(t)
-	d.fillShard(t.shard)
-	if t.extra && t.shard.elsewhere {
-		at := d.now + (t.part.deadline-d.now)/retryPatience
+	d.queueExtra(t)
+	d.scheduleShard(t.shard)
+	if t.waitsForExtra && t.shard.hasRemoteReplicas {
+		at := d.now + (t.part.deadline-d.now)/retryWaitDivisor
 		d.timers.add(timer{at: at, kind: timerGiveUp, task: t})
 	}
 }
 
-func (d *Dispatcher) addExtra(t *task) {
-	t.extra = true
+func (d *Dispatcher) queueExtra(t *task) {
+	t.waitsForExtra = true
 	t.shard.extras = append(t.shard.extras, t)
 }
 
-// dropUnservable ends the waiting tasks that no replica can take any more.
+// dropUnservable ends the waiting tasks that no replica can serve any more.
 func (d *Dispatcher) dropUnservable() {
 	for _, p := range d.sortedParts() {
 		for _, t := range p.tasks {
@@ -160,8 +160,8 @@
 
 func (d *Dispatcher) dropUnservableOf(h *shard) {
 	var waiting []*task
-	for _, l := range h.lanes {
-		waiting = append(waiting, l.tasks...)
+	for _, q := range h.queues {
+		waiting = append(waiting, q.tasks...)
 	}
 	waiting = append(waiting, h.extras...)
 	for _, t := range waiting {
@@ -173,13 +173,13 @@
 	if t.done || len(t.running) > 0 {
 		return
 	}
-	if r := t.unservable(); r != "" {
-		d.miss(t, r)
+	if r := t.unservableReason(); r != "" {
+		d.missTask(t, r)
 	}
 }
 
-// sortedParts lists the parts in the order of their arrival, so that equal
-// histories give equal actions.
+// sortedParts lists the parts in the order of arrival, so that the same events always
+// lead to the same actions.
 func (d *Dispatcher) sortedParts() []*part {
 	out := make([]*part, 0, len(d.parts))
 	for _, p := range d.parts {
@@ -189,16 +189,17 @@
 	return out
 }
 
-// fillExtras starts hedges and retries that waited for the budget.
-func (d *Dispatcher) fillExtras() {
+// scheduleExtras starts queued hedges and retries once the budget allows extra calls
+// again.
+func (d *Dispatcher) scheduleExtras() {
 	available := d.hedger.Available(tier.Urgent)
-	if available && !d.budgeted {
+	if available && !d.budgetAvailable {
 		for _, m := range d.set.Shards() {
 			if h := d.shards[m.ID()]; len(h.extras) > 0 {
-				d.fillShard(h)
+				d.scheduleShard(h)
 			}
 		}
 		available = d.hedger.Available(tier.Urgent)
 	}
-	d.budgeted = available
+	d.budgetAvailable = available
 }
--- a/tier/dispatcher/script_test.go
+++ b/tier/dispatcher/script_test.go
@@ -14,8 +14,8 @@
 	"cicadagrade.example/tier"
 )
 
-// TestScripts runs each testdata/*.script, a session of events with their
-// times, and compares it with the actions in its golden file.
+// TestScripts runs each testdata/*.script, a sequence of timed events, and compares the
+// actions with its golden file.
 func TestScripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.script")
 	if err != nil || len(files) == 0 {
@@ -28,14 +28,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			goldie.New(t).Assert(t, name, []byte(newSession(t).run(string(b))))
+			goldie.New(t).Assert(t, name, []byte(newScript(t).run(string(b))))
 		})
 	}
 }
 
-// session is a script that runs. Lines before "start" describe the set and
-// the profiles; those after it are events, each after its time.
-type session struct {
+// script runs a test script. The lines before "start" define the shard set and the
+// profiles. Those after it are events, each preceded by its time in milliseconds.
+type script struct {
 	t        *testing.T
 	servers  []tier.Backend
 	shards   []string
@@ -45,9 +45,9 @@
 	out      strings.Builder
 }
 
-func newSession(t *testing.T) *session { return &session{t: t, profiles: map[string]*tier.Profile{}} }
+func newScript(t *testing.T) *script { return &script{t: t, profiles: map[string]*tier.Profile{}} }
 
-func (s *session) run(text string) string {
+func (s *script) run(text string) string {
 	for _, line := range strings.Split(text, "\n") {
 		fmt.Fprintln(&s.out, line)
 		f := strings.Fields(line)
@@ -62,7 +62,7 @@
 	return s.out.String()
 }
 
-func (s *session) describe(f []string) {
+func (s *script) describe(f []string) {
 	switch f[0] {
 	case "server":
 		dataCentre := "here"
@@ -85,7 +85,7 @@
 	}
 }
 
-func (s *session) profile(f []string) *tier.Profile {
+func (s *script) profile(f []string) *tier.Profile {
 	rank, err := tier.ParseRank(f[2])
 	if err != nil {
 		s.t.Fatal(err)
@@ -98,7 +98,7 @@
 	return p
 }
 
-func (s *session) set(e tier.Epoch) *tier.ShardSet {
+func (s *script) set(e tier.Epoch) *tier.ShardSet {
 	var shards []tier.Shard
 	step := uint64(math.MaxUint64) / uint64(len(s.shards))
 	for i, line := range s.shards {
@@ -117,7 +117,7 @@
 	return set
 }
 
-func (s *session) event(f []string) {
+func (s *script) event(f []string) {
 	now := tier.Millis(s.number(f[0]))
 	switch f[1] {
 	case "ticks":
@@ -133,9 +133,9 @@
 	s.print(s.d.Step(now, s.parse(f[1], f[2:])))
 }
 
-// train runs a number of parts of a profile on one shard, one after the other,
-// with calls of one length.
-func (s *session) train(now tier.Millis, f []string) {
+// train runs a number of parts of a profile on one shard, one after the other, with calls
+// of the same latency.
+func (s *script) train(now tier.Millis, f []string) {
 	took := tier.Millis(s.number(f[3]))
 	for i := range s.number(f[0]) {
 		at := now + tier.Millis(i)*took
@@ -144,7 +144,7 @@
 	}
 }
 
-func (s *session) status() {
+func (s *script) status() {
 	v := s.d.Status()
 	c := v.Counters()
 	fmt.Fprintf(&s.out, "    queued %v, calls %d, extra %d, accepted %d, done %d, late %d, refused %v\n",
@@ -154,8 +154,8 @@
 	}
 }
 
-// ticks runs every Tick that is due by a time.
-func (s *session) ticks(until tier.Millis) {
+// ticks sends every Tick that is due until a time.
+func (s *script) ticks(until tier.Millis) {
 	for {
 		at, ok := s.d.Next()
 		if !ok || at > until {
@@ -168,7 +168,7 @@
 	}
 }
 
-func (s *session) parse(kind string, f []string) Event {
+func (s *script) parse(kind string, f []string) Event {
 	switch kind {
 	case "submit": // part profile deadline shards [once] [snapshot]
 		var opts []SubmitOption
@@ -209,7 +209,7 @@
 	"leaving": tier.BackendLeaving, "lost": tier.BackendLost,
 }
 
-func (s *session) print(actions []Action) {
+func (s *script) print(actions []Action) {
 	for _, a := range actions {
 		fmt.Fprintf(&s.out, "    %s\n", describe(a))
 	}
@@ -222,7 +222,7 @@
 	case *CancelCall:
 		return fmt.Sprintf("cancel-call %d", a.attempt)
 	case *PartDone:
-		return fmt.Sprintf("done %d winners=%v misses=%v calls=%d extra=%d", a.part, a.winners, a.misses, a.calls, a.extra)
+		return fmt.Sprintf("done %d winners=%v misses=%v calls=%d extra=%d", a.part, a.winners, a.misses, a.calls, a.extraCalls)
 	case *PartRefused:
 		return fmt.Sprintf("refused %d reason=%s retry-after=%d", a.part, a.reason, a.retryAfter)
 	case *PartUnknown:
@@ -231,7 +231,7 @@
 	return "?"
 }
 
-func (s *session) number(text string) int {
+func (s *script) number(text string) int {
 	n, err := strconv.Atoi(text)
 	if err != nil {
 		s.t.Fatal(err)
@@ -239,7 +239,7 @@
 	return n
 }
 
-func (s *session) fraction(text string) float64 {
+func (s *script) fraction(text string) float64 {
 	f, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		s.t.Fatal(err)
--- a/tier/dispatcher/server.go
+++ b/tier/dispatcher/server.go
@@ -7,30 +7,32 @@
 	"cicadagrade.example/tier/limiter"
 )
 
-// Limits of what is kept of a server.
+// Limits of the state that is kept of a server.
 const (
-	latencyWeight  = 0.2              // of the newest latency in the average
-	latencyHalving = 5 * tier.Second  // in which an unrenewed latency falls by half
-	maxCredit      = 1 * tier.Second  // slot time that a floor saves up
-	supposedFor    = 10 * tier.Second // a state that only a reply told
-	minLatency     = 0.5              // in milliseconds, below what the clock tells apart
+	latencyWeight    = 0.2              // weight of the newest latency in the average
+	latencyHalfLife  = 5 * tier.Second  // half-life of an average latency without new samples
+	maxFloorCredit   = 1 * tier.Second  // most slot time that a rank's floor accumulates
+	inferredStateTTL = 10 * tier.Second // validity of a state inferred from a reply
+	minLatency       = 0.5              // milliseconds, for calls below the clock's resolution
 )
 
-// Factors on the expected latency of servers that are not plainly live.
+// Factors by which a server's state and load raise its expected latency. An increase is
+// added to a factor of 1.
 const (
-	unknownCost  = 4.0
-	sheddingCost = 2.0
-	coldCost     = 2.0
-	failureCost  = 1.0 // for each failure in a row
-	loadCost     = 0.5 // at all slots in use
+	unknownCostFactor   = 4.0
+	sheddingCostFactor  = 2.0
+	coldCostIncrease    = 2.0
+	failureCostIncrease = 1.0 // for each consecutive failure
+	loadCostIncrease    = 0.5 // when all slots are in use
 )
 
-// shareOf is which part of the slots an owner has.
-type shareOf struct{ owners, index int }
+// slotShare identifies the part of each server's slots that one of several owners may use.
+type slotShare struct{ owners, index int }
 
-// slots is the share of a server's slots. Servers give their remainders to
-// different owners, so that no owner is short on all of them.
-func (s shareOf) slots(total, ordinal int) int {
+// slots is how many of a server's slots the owner may use. The ordinal is the
+// server's position in the set. It rotates which owners get the remainder of the
+// division, so that the same owners don't get fewer slots on every server.
+func (s slotShare) slots(total, ordinal int) int {
 	if s.owners <= 0 || s.index < 0 || s.index >= s.owners {
 		return 0
 	}
@@ -41,8 +43,8 @@
 	return n
 }
 
-// MaxOwners is how many owners may split the slots of a set in a data centre
-// so that each has a slot on every server. Owners beyond it get no share.
+// MaxOwners is how many owners can split the slots of a set in a data centre so that
+// each gets a slot on every server. Further owners get no share.
 func MaxOwners(set *tier.ShardSet, dataCentre string) int {
 	n := tier.MaxOwners
 	for _, b := range set.Servers() {
@@ -53,29 +55,29 @@
 	return n
 }
 
-// versions is what a server holds of a shard, by epoch. Epochs that it never
-// told of are absent.
+// versions holds the index versions of a shard that a server holds, by epoch. Epochs
+// that were never reported are absent.
 type versions map[tier.Epoch]map[tier.Version]bool
 
 type server struct {
-	backend  tier.Backend
-	ordinal  int
-	state    tier.BackendState
-	since    tier.Millis // of the state
-	supposed bool        // only a reply told the state
-	shards   []*shard
-	limiter  *limiter.Limiter
-	base     int // slots of the share before the present one
-	running  []*call
-	byRank   [len(tier.Ranks)]int
-	load     [len(tier.Ranks)]float64 // queued work, shared among its replicas
-	credit   [len(tier.Ranks)]float64 // slot milliseconds owed to the floors
-	latency  float64
-	measured tier.Millis
-	failures int
-
-	reconsidered tier.Millis // when an idle slot is looked at again
-	holdings     map[string]versions
+	backend             tier.Backend
+	ordinal             int
+	state               tier.BackendState
+	stateSince          tier.Millis // when the state began
+	inferred            bool        // whether the state was inferred from a reply
+	shards              []*shard
+	limiter             *limiter.Limiter
+	previousShare       int // slots before the current share was assigned
+	running             []*call
+	runningByRank       [len(tier.Ranks)]int
+	queuedLoad          [len(tier.Ranks)]float64 // queued tasks, each divided by its number of replicas
+	floorCredit         [len(tier.Ranks)]float64 // slot milliseconds owed to each rank's floor
+	averageLatency      float64                  // in milliseconds
+	latencyUpdated      tier.Millis
+	consecutiveFailures int
+
+	recheckAt tier.Millis // when an idle slot is next considered again
+	holdings  map[string]versions
 }
 
 func newServer(b tier.Backend, r *rand.Rand) *server {
@@ -86,35 +88,35 @@
 	for _, s := range d.servers {
 		s.limiter.SetSlots(d.share(s))
 	}
-	if until := d.shared + d.takeover; d.now < until {
+	if until := d.shareSince + d.takeoverDelay; d.now < until {
 		d.timers.add(timer{at: until, kind: timerTakeover})
 	}
 }
 
-// share is the owner's part of a server's slots. A new or larger share is
-// held at the earlier one, or at one slot, until the takeover time has passed;
-// an owner that stands by falls back to one slot before.
+// share is how many of a server's slots this owner may use. During the takeover delay
+// a new or larger share is limited to the previous one, or to one slot. An owner on
+// standby falls back to one slot before the delay is over.
 func (d *Dispatcher) share(s *server) int {
-	n := shareOf{owners: min(d.owners, d.maxOwners), index: d.index}.slots(s.backend.Slots(), s.ordinal)
-	if d.standby && d.gaveUp() {
+	n := slotShare{owners: min(d.owners, d.maxOwners), index: d.ownerIndex}.slots(s.backend.Slots(), s.ordinal)
+	if d.standby && d.shareReleased() {
 		n = min(n, 1)
 	}
-	if d.now >= d.shared+d.takeover {
+	if d.now >= d.shareSince+d.takeoverDelay {
 		return n
 	}
-	return min(n, max(1, s.base))
+	return min(n, max(1, s.previousShare))
 }
 
-// gaveUp reports whether an owner that was told to stand by no longer uses its
-// share. It has half of the takeover time for its queue: the
-// new owner may have been told up to as long before, and its takeover time
-// must not end first.
-func (d *Dispatcher) gaveUp() bool {
-	return d.now >= d.shared+min(d.takeover, d.takeover/2+1)
+// shareReleased reports whether an owner on standby no longer uses its share. It has
+// half of the takeover delay to work off its queue. The new owner may have learned of
+// the change up to half a delay earlier, and its takeover delay must not end before
+// the former owner has released the slots.
+func (d *Dispatcher) shareReleased() bool {
+	return d.now >= d.shareSince+min(d.takeoverDelay, d.takeoverDelay/2+1)
 }
 
-// limit is how many calls the server may run now.
-func (d *Dispatcher) limit(s *server) int {
+// callLimit is how many of this owner's calls the server may run at once now.
+func (d *Dispatcher) callLimit(s *server) int {
 	n := min(s.limiter.Limit(d.now), d.share(s))
 	switch s.state {
 	case tier.BackendLeaving, tier.BackendLost:
@@ -130,28 +132,28 @@
 
 func (d *Dispatcher) coldLimit(s *server, n int) int {
 	ramp := d.set.ColdRamp()
-	up := d.now - s.since
-	if up >= ramp {
+	age := d.now - s.stateSince
+	if age >= ramp {
 		return n
 	}
-	return min(n, max(1, int(tier.Millis(n)*up/ramp)))
+	return min(n, max(1, int(tier.Millis(n)*age/ramp)))
 }
 
-// reportsLimit is how many of n slots reports may hold at once.
+// reportsLimit is how many of n slots calls of rank Reports may occupy at once.
 func (d *Dispatcher) reportsLimit(n int) int {
 	return max(1, int(float64(n)*d.set.ReportsShare()))
 }
 
-// free reports whether the server can start a call of a rank now.
-func (d *Dispatcher) free(s *server, r tier.Rank) bool {
-	n := d.limit(s)
+// hasFreeSlot reports whether a call of a rank can start on the server now.
+func (d *Dispatcher) hasFreeSlot(s *server, r tier.Rank) bool {
+	n := d.callLimit(s)
 	if len(s.running) >= n {
 		return false
 	}
-	return r != tier.Reports || s.byRank[r] < d.reportsLimit(n)
+	return r != tier.Reports || s.runningByRank[r] < d.reportsLimit(n)
 }
 
-// holding says whether a server holds a shard at a snapshot.
+// holding states whether a server holds a shard at a snapshot.
 type holding int
 
 const (
@@ -160,15 +162,15 @@
 	holdingYes
 )
 
-func (s *server) holds(shard string, at tier.Snapshot) holding {
-	if at.Version() == 0 {
+func (s *server) holds(shard string, snapshot tier.Snapshot) holding {
+	if snapshot.Version() == 0 {
 		return holdingYes
 	}
 	known := s.holdings[shard]
 	if known == nil {
 		return holdingUnknown
 	}
-	if known[at.Epoch()][at.Version()] {
+	if known[snapshot.Epoch()][snapshot.Version()] {
 		return holdingYes
 	}
 	return holdingNo
@@ -190,27 +192,29 @@
 	}
 }
 
-func (s *server) dropVersion(shard string, at tier.Snapshot) {
+// dropVersion records that a server does not hold a shard at a snapshot.
+func (s *server) dropVersion(shard string, snapshot tier.Snapshot) {
 	if s.holdings[shard] == nil {
 		s.holdings[shard] = versions{}
 	}
-	delete(s.holdings[shard][at.Epoch()], at.Version())
+	delete(s.holdings[shard][snapshot.Epoch()], snapshot.Version())
 }
 
-func (s *server) observe(now, took tier.Millis) {
+func (s *server) observeLatency(now, took tier.Millis) {
 	m := max(float64(took), minLatency)
-	if s.measured == 0 && s.latency == 0 {
-		s.latency = m
+	if s.latencyUpdated == 0 && s.averageLatency == 0 {
+		s.averageLatency = m
 	}
-	s.latency += latencyWeight * (m - s.latency)
-	s.measured = now
+	s.averageLatency += latencyWeight * (m - s.averageLatency)
+	s.latencyUpdated = now
 }
 
-// expected is the latency that a new call would see: the average, forgotten
-// by and by, but at least the age of the oldest call that still runs.
-func (s *server) expected(now tier.Millis) float64 {
-	m := s.latency
-	for age := now - s.measured; age >= latencyHalving; age -= latencyHalving {
+// expectedLatency estimates the latency of a new call, in milliseconds. It is the
+// average latency, which decays without new samples, but at least the age of the oldest
+// running call.
+func (s *server) expectedLatency(now tier.Millis) float64 {
+	m := s.averageLatency
+	for age := now - s.latencyUpdated; age >= latencyHalfLife; age -= latencyHalfLife {
 		m /= 2
 		if m < minLatency {
 			break
@@ -224,88 +228,94 @@
 	return max(m, minLatency)
 }
 
-// cost is the time in which the server would end a call of a rank that is
-// given to it now, weighted by its state and the slots in use.
-func (d *Dispatcher) cost(s *server, r tier.Rank) float64 {
-	m := s.expected(d.now) * d.stateCost(s) * (1 + failureCost*float64(s.failures))
-	n := float64(max(1, d.limit(s)))
-	if d.free(s, r) {
-		return m * (1 + loadCost*float64(len(s.running))/n)
+// expectedCost estimates the milliseconds until the server would complete a call of a
+// rank that is assigned to it now, weighted by its state, failures and slots in use.
+// If the server has no free slot, queued work of the same or a more urgent rank goes
+// before the call.
+func (d *Dispatcher) expectedCost(s *server, r tier.Rank) float64 {
+	m := s.expectedLatency(d.now) * d.stateCostFactor(s) * (1 + failureCostIncrease*float64(s.consecutiveFailures))
+	n := float64(max(1, d.callLimit(s)))
+	if d.hasFreeSlot(s, r) {
+		return m * (1 + loadCostIncrease*float64(len(s.running))/n)
 	}
 	ahead := 0.0
 	for q := tier.Urgent; q <= r; q++ {
-		ahead += s.load[q]
+		ahead += s.queuedLoad[q]
 	}
 	return m * (1 + max(1, ahead)/n)
 }
 
-func (d *Dispatcher) stateCost(s *server) float64 {
+func (d *Dispatcher) stateCostFactor(s *server) float64 {
 	switch s.state {
 	case tier.BackendUnknown:
-		return unknownCost
+		return unknownCostFactor
 	case tier.BackendShedding:
-		return sheddingCost
+		return sheddingCostFactor
 	case tier.BackendCold:
-		left := max(0, d.set.ColdRamp()-(d.now-s.since))
-		return 1 + coldCost*float64(left)/float64(max(1, d.set.ColdRamp()))
+		left := max(0, d.set.ColdRamp()-(d.now-s.stateSince))
+		return 1 + coldCostIncrease*float64(left)/float64(max(1, d.set.ColdRamp()))
 	default:
 		return 1
 	}
 }
 
-// account gives the floors of ranks that wait their part of ended slot time.
-func (d *Dispatcher) account(s *server, r tier.Rank, took tier.Millis) {
+// updateFloorCredit accounts for the slot time of an ended call of rank r. Other ranks
+// with queued work gain the fraction that their floor guarantees them, and r spends what
+// it used beyond its own floor.
+func (d *Dispatcher) updateFloorCredit(s *server, r tier.Rank, took tier.Millis) {
 	for _, q := range tier.Ranks {
 		f := d.set.Floor(q)
 		switch {
 		case q == r:
-			least := -float64(took)
-			s.credit[q] = max(least, s.credit[q]-float64(took)*(1-f))
-		case s.load[q] > 0:
-			s.credit[q] = min(float64(maxCredit), s.credit[q]+float64(took)*f)
+			lowest := -float64(took)
+			s.floorCredit[q] = max(lowest, s.floorCredit[q]-float64(took)*(1-f))
+		case s.queuedLoad[q] > 0:
+			s.floorCredit[q] = min(float64(maxFloorCredit), s.floorCredit[q]+float64(took)*f)
 		default:
-			s.credit[q] = min(0, s.credit[q])
+			s.floorCredit[q] = min(0, s.floorCredit[q])
 		}
 	}
 }
 
-func (d *Dispatcher) backendChanged(e *BackendChanged) {
+func (d *Dispatcher) handleBackendChanged(e *BackendChanged) {
 	s := d.servers[e.server]
 	if s == nil {
 		return
 	}
-	s.supposed = false
+	s.inferred = false
 	if s.state == e.state {
 		return
 	}
-	s.state, s.since = e.state, d.now
+	s.state, s.stateSince = e.state, d.now
 	switch e.state {
 	case tier.BackendCold:
 		d.timers.add(timer{at: d.now + d.set.ColdRamp(), kind: timerServer, server: s})
 	case tier.BackendLost:
-		d.hedgeAll(s)
+		d.hedgeRunningCalls(s)
 	}
 	d.dropUnservable()
-	d.fillShardsOf(s)
+	d.scheduleShardsOf(s)
 }
 
-// endSupposed ends a state that only a reply told.
-func (d *Dispatcher) endSupposed(s *server) {
-	if s.supposed && d.now >= s.since+supposedFor {
-		s.supposed = false
-		s.state, s.since = tier.BackendUnknown, d.now
-		d.fillAround(s)
+// expireInferredState resets a state that was inferred from a reply and not confirmed
+// since.
+func (d *Dispatcher) expireInferredState(s *server) {
+	if s.inferred && d.now >= s.stateSince+inferredStateTTL {
+		s.inferred = false
+		s.state, s.stateSince = tier.BackendUnknown, d.now
+		d.scheduleServerAndPeers(s)
 	}
 }
 
-// hedgeAll lets the calls on a lost server be hedged at once.
-func (d *Dispatcher) hedgeAll(s *server) {
+// hedgeRunningCalls queues hedges of all calls on a lost server, without waiting for the
+// hedge delay.
+func (d *Dispatcher) hedgeRunningCalls(s *server) {
 	for _, c := range s.running {
-		d.wantHedge(c)
+		d.queueHedge(c)
 	}
 }
 
-func (d *Dispatcher) holdingChanged(e *HoldingChanged) {
+func (d *Dispatcher) handleHoldingChanged(e *HoldingChanged) {
 	s := d.servers[e.server]
 	if s == nil {
 		return
@@ -316,5 +326,5 @@
 		return
 	}
 	d.dropUnservableOf(h)
-	d.fillShard(h)
+	d.scheduleShard(h)
 }
--- a/tier/dispatcher/share_test.go
+++ b/tier/dispatcher/slots_test.go
@@ -10,14 +10,14 @@
 	"cicadagrade.example/tier"
 )
 
-func TestSharesAddUpToTheSlots(t *testing.T) {
+func TestSlotSharesSumToAllSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		owners := rapid.IntRange(1, 64).Draw(t, "owners")
 		slots := rapid.IntRange(1, 100).Draw(t, "slots")
 		ordinal := rapid.IntRange(0, 100).Draw(t, "ordinal")
 		sum := 0
 		for i := range owners {
-			n := shareOf{owners: owners, index: i}.slots(slots, ordinal)
+			n := slotShare{owners: owners, index: i}.slots(slots, ordinal)
 			if owners <= slots && n == 0 {
 				t.Fatalf("owner %d of %d has none of %d slots", i, owners, slots)
 			}
@@ -29,7 +29,7 @@
 	})
 }
 
-func TestOwnersBeyondTheSlotsRefuse(t *testing.T) {
+func TestOwnersWithoutSlotsRefuse(t *testing.T) {
 	set := testSet(2, 2, 2)
 	for index, want := range []string{"call", "call", "refused 1 reason=no-owner retry-after=0"} {
 		d := New(set, "here", WithTakeover(0), WithShare(3, index))
@@ -40,9 +40,9 @@
 	}
 }
 
-// inFlight floods owners that each believe that they own the set, and
-// returns the most calls that one server held at once by a time.
-func inFlight(until tier.Millis, owners []*Dispatcher) int {
+// maxCallsPerServer overloads owners that each act as an owner of the set. It returns
+// the most calls that ran on one server at once until a time.
+func maxCallsPerServer(until tier.Millis, owners []*Dispatcher) int {
 	held := map[string]int{}
 	most := 0
 	for now := tier.Millis(0); now < until; now += 10 {
@@ -59,32 +59,32 @@
 	return most
 }
 
-func TestDisputedOwnershipIsBounded(t *testing.T) {
+func TestTwoOwnersStayWithinSlots(t *testing.T) {
 	const slots = 6
 	for _, c := range []struct {
-		takeover tier.Millis
-		within   bool
+		takeover    tier.Millis
+		withinSlots bool
 	}{{DefaultTakeover, true}, {0, false}} {
 		t.Run(fmt.Sprintf("takeover %d", c.takeover), func(t *testing.T) {
 			set := testSet(2, 4, slots)
-			old := New(set, "here", WithTakeover(0))
-			usurper := New(set, "here", WithTakeover(c.takeover))
-			// A share that changes to and fro doesn't end the takeover time.
-			usurper.Step(0, NewShareChanged(2, 1))
-			usurper.Step(0, NewShareChanged(1, 0))
-			most := inFlight(DefaultTakeover, []*Dispatcher{old, usurper})
-			if got := most <= slots+1; got != c.within {
+			former := New(set, "here", WithTakeover(0))
+			next := New(set, "here", WithTakeover(c.takeover))
+			// A share that changes and changes back doesn't end the takeover delay.
+			next.Step(0, NewShareChanged(2, 1))
+			next.Step(0, NewShareChanged(1, 0))
+			most := maxCallsPerServer(DefaultTakeover, []*Dispatcher{former, next})
+			if got := most <= slots+1; got != c.withinSlots {
 				t.Fatalf("%d calls on %d slots", most, slots)
 			}
 		})
 	}
 }
 
-// floodFor keeps urgent and reports work waiting on one server, and returns
-// the part of slot time that reports get and their longest wait for a call.
-func floodFor(set *tier.ShardSet, imposed tier.Millis, tamper func(*Dispatcher)) (float64, tier.Millis) {
+// runFlood keeps urgent and reports parts queued on one server. It returns the fraction
+// of slot time that reports get and their longest wait for a call.
+func runFlood(set *tier.ShardSet, imposed tier.Millis, tamper func(*Dispatcher)) (float64, tier.Millis) {
 	const span = 5 * tier.Second
-	times := [2]tier.Millis{10, 25}
+	latencies := [2]tier.Millis{10, 25}
 	last, longest := tier.Millis(0), tier.Millis(0)
 	profiles := [2]*tier.Profile{
 		testProfile("gate", tier.Urgent, tier.WithImposedWait(imposed)),
@@ -93,13 +93,13 @@
 	d := New(set, "here", WithTakeover(0))
 	used := [2]tier.Millis{}
 	running := map[uint64]tier.Millis{}
-	kinds := map[uint64]int{}
+	kindOf := map[uint64]int{}
 	part := uint64(0)
 	take := func(now tier.Millis, actions []Action) {
 		for _, a := range actions {
 			if c, ok := a.(*Call); ok {
-				running[c.attempt] = now + times[c.part%2]
-				kinds[c.attempt] = int(c.part % 2)
+				running[c.attempt] = now + latencies[c.part%2]
+				kindOf[c.attempt] = int(c.part % 2)
 				if c.part%2 == 1 {
 					longest = max(longest, now-last)
 					last = now
@@ -115,7 +115,7 @@
 		for a := uint64(1); a <= d.attempts; a++ {
 			if at, ok := running[a]; ok && at <= now {
 				delete(running, a)
-				used[kinds[a]] += times[kinds[a]]
+				used[kindOf[a]] += latencies[kindOf[a]]
 				take(now, d.Step(now, NewReplied(a, &ReplyOK{})))
 			}
 		}
@@ -126,51 +126,52 @@
 	return float64(used[1]) / float64(used[0]+used[1]), max(longest, span-last)
 }
 
-func TestReportsKeepTheirFloor(t *testing.T) {
+func TestReportsGetTheirFloor(t *testing.T) {
 	set := testSet(1, 1, 2, tier.WithFloors(0, 0.2))
-	if got, _ := floodFor(set, tier.MaxImposedWait, nil); got < 0.19 || got > 0.25 {
+	if got, _ := runFlood(set, tier.MaxImposedWait, nil); got < 0.19 || got > 0.25 {
 		t.Fatalf("reports got %.3f of slot time, floor 0.2", got)
 	}
-	unfloored := func(d *Dispatcher) { d.set = testSet(1, 1, 2, tier.WithFloors(0, 0)) }
-	if got, _ := floodFor(set, tier.MaxImposedWait, unfloored); got > 0.1 {
+	removeFloors := func(d *Dispatcher) { d.set = testSet(1, 1, 2, tier.WithFloors(0, 0)) }
+	if got, _ := runFlood(set, tier.MaxImposedWait, removeFloors); got > 0.1 {
 		t.Fatalf("without a floor reports still got %.3f of slot time", got)
 	}
 }
 
-// TestImposedWaitIsKept: without floors, urgent work holds reports back for as
-// long as its profile may, and the end of one call.
-func TestImposedWaitIsKept(t *testing.T) {
+// TestImposedWaitIsBounded checks that without floors urgent work holds back reports for
+// no longer than the imposed wait of its profile and the end of one call.
+func TestImposedWaitIsBounded(t *testing.T) {
 	set := testSet(1, 1, 2, tier.WithFloors(0, 0))
-	if _, got := floodFor(set, 200, nil); got < 200 || got > 200+10 {
+	if _, got := runFlood(set, 200, nil); got < 200 || got > 200+10 {
 		t.Fatalf("reports waited %d ms, imposed 200", got)
 	}
-	forget := func(d *Dispatcher) {
-		for _, l := range d.shards["s0"].lanes {
-			l.since = d.now
+	resetWait := func(d *Dispatcher) {
+		for _, q := range d.shards["s0"].queues {
+			q.waitingSince = d.now
 		}
 	}
-	if _, got := floodFor(set, 200, forget); got < 1000 {
-		t.Fatalf("with no account of the wait reports still waited only %d ms", got)
+	if _, got := runFlood(set, 200, resetWait); got < 1000 {
+		t.Fatalf("without a record of the wait reports still waited only %d ms", got)
 	}
 }
 
-// TestStandbyKeepsOneSlot: a VM that is not the owner never uses more than one
-// slot of a server, nor does a former owner once the takeover time is over.
+// TestStandbyKeepsOneSlot checks that a VM that is not the owner never uses more than one
+// slot of a server, and that a former owner has fallen back to one slot by the end of the
+// takeover delay.
 func TestStandbyKeepsOneSlot(t *testing.T) {
 	former := New(testSet(1, 1, 4), "here", WithTakeover(100))
 	former.Step(0, &Tick{})
 	former.Step(1000, &Standby{})
-	guest := New(testSet(1, 1, 4), "here", WithTakeover(100))
-	guest.Step(0, &Standby{})
+	neverOwner := New(testSet(1, 1, 4), "here", WithTakeover(100))
+	neverOwner.Step(0, &Standby{})
 	for name, c := range map[string]struct {
 		d    *Dispatcher
 		at   tier.Millis
 		want int
 	}{
-		"former, before": {former, 1050, 4},
-		"former, after":  {former, 1100, 1},
-		"guest, before":  {guest, 50, 1},
-		"guest, after":   {guest, 5000, 1},
+		"former, before":      {former, 1050, 4},
+		"former, after":       {former, 1100, 1},
+		"never owner, before": {neverOwner, 50, 1},
+		"never owner, after":  {neverOwner, 5000, 1},
 	} {
 		c.d.now = c.at
 		for _, s := range c.d.servers {
--- a/tier/dispatcher/status.go
+++ b/tier/dispatcher/status.go
@@ -5,22 +5,22 @@
 	"cicadagrade.example/tier/admitter"
 )
 
-// Counters count since the dispatcher was made.
+// Counters counts the parts, leaf calls and replies of a Dispatcher since its creation.
 type Counters struct {
-	accepted  int
-	done      int
-	unknown   int
-	late      int
-	cancelled int
-	calls     int
-	extra     int
-	failed    int
-	bad       int
-	notRun    int
-	refused   [len(tier.Ranks)]int
+	accepted        int
+	done            int
+	unknown         int
+	expired         int
+	cancelled       int
+	calls           int
+	extraCalls      int
+	failedCalls     int
+	rejectedReplies int
+	notRunCalls     int
+	refused         [len(tier.Ranks)]int
 }
 
-// Accepted is how many parts were queued.
+// Accepted is how many parts passed admission.
 func (c Counters) Accepted() int { return c.accepted }
 
 // Done is how many parts ended with a *PartDone.
@@ -29,37 +29,37 @@
 // Unknown is how many parts ended with a *PartUnknown.
 func (c Counters) Unknown() int { return c.unknown }
 
-// Late is how many parts reached their deadline.
-func (c Counters) Late() int { return c.late }
+// Late is how many parts reached their deadline before they ended.
+func (c Counters) Late() int { return c.expired }
 
-// Cancelled is how many parts lost their caller.
+// Cancelled is how many parts were cancelled because their client disconnected.
 func (c Counters) Cancelled() int { return c.cancelled }
 
 // Calls is how many leaf calls were made.
 func (c Counters) Calls() int { return c.calls }
 
 // Extra is how many leaf calls were hedges or retries.
-func (c Counters) Extra() int { return c.extra }
+func (c Counters) Extra() int { return c.extraCalls }
 
-// Failed is how many leaf calls ended without a usable reply.
-func (c Counters) Failed() int { return c.failed }
+// Failed is how many leaf calls failed without a usable reply, cancelled ones aside.
+func (c Counters) Failed() int { return c.failedCalls }
 
-// Bad is how many replies correlation rejected.
-func (c Counters) Bad() int { return c.bad }
+// Bad is how many replies package correlator rejected.
+func (c Counters) Bad() int { return c.rejectedReplies }
 
-// NotRun is how many leaf calls a server did not run.
-func (c Counters) NotRun() int { return c.notRun }
+// NotRun is how many leaf calls a server did not execute.
+func (c Counters) NotRun() int { return c.notRunCalls }
 
 // Refused is how many parts of a rank were refused.
 func (c Counters) Refused(r tier.Rank) int { return c.refused[r] }
 
-// ServerStatus is what the dispatcher knows of one backend server.
+// ServerStatus is the state of one backend server as the Dispatcher knows it.
 type ServerStatus struct {
-	name    string
-	state   tier.BackendState
-	used    int
-	limit   int
-	latency tier.Millis
+	name      string
+	state     tier.BackendState
+	usedSlots int
+	slotLimit int
+	latency   tier.Millis
 }
 
 // Name is the server's name.
@@ -68,30 +68,30 @@
 // State is the server's state.
 func (s ServerStatus) State() tier.BackendState { return s.state }
 
-// Used is how many slots this owner's calls hold.
-func (s ServerStatus) Used() int { return s.used }
+// Used is how many slots this owner's calls occupy.
+func (s ServerStatus) Used() int { return s.usedSlots }
 
-// Limit is how many slots this owner's calls may hold now.
-func (s ServerStatus) Limit() int { return s.limit }
+// Limit is how many slots this owner's calls may occupy now.
+func (s ServerStatus) Limit() int { return s.slotLimit }
 
-// Latency is the average latency of its calls.
+// Latency is the average latency of this owner's calls to the server.
 func (s ServerStatus) Latency() tier.Millis { return s.latency }
 
-// Status is a dispatcher's state as of its last Step.
+// Status is the state of a Dispatcher after its last Step.
 type Status struct {
-	queued    [len(tier.Ranks)]int
-	wait      [len(tier.Ranks)]tier.Millis
-	servers   []ServerStatus
-	threshold admitter.Threshold
-	tokens    float64
-	counters  Counters
+	queued      [len(tier.Ranks)]int
+	drainTimes  [len(tier.Ranks)]tier.Millis
+	servers     []ServerStatus
+	threshold   admitter.Threshold
+	hedgeTokens float64
+	counters    Counters
 }
 
-// Queued is how many parts of a rank wait, whole or in part.
+// Queued is how many parts of a rank have a task that waits for its first call.
 func (s Status) Queued(r tier.Rank) int { return s.queued[r] }
 
-// Wait is how long the queue of a rank takes to drain at the measured rate.
-func (s Status) Wait(r tier.Rank) tier.Millis { return s.wait[r] }
+// Wait estimates how long the queue of a rank takes to drain at the measured rate.
+func (s Status) Wait(r tier.Rank) tier.Millis { return s.drainTimes[r] }
 
 // Servers lists the backend servers in the set's order.
 func (s Status) Servers() []ServerStatus { return s.servers }
@@ -99,32 +99,33 @@
 // Threshold is the admission threshold to publish.
 func (s Status) Threshold() admitter.Threshold { return s.threshold }
 
-// HedgeTokens is the budget left for extra calls.
-func (s Status) HedgeTokens() float64 { return s.tokens }
+// HedgeTokens is how many tokens the budget for hedges and retries holds.
+func (s Status) HedgeTokens() float64 { return s.hedgeTokens }
 
-// Counters are the counts since the dispatcher was made.
+// Counters returns the counts since the Dispatcher was created.
 func (s Status) Counters() Counters { return s.counters }
 
 // Threshold is the admission threshold to publish, as of the last Step.
-func (d *Dispatcher) Threshold() admitter.Threshold { return d.pressure.threshold(d.now) }
+func (d *Dispatcher) Threshold() admitter.Threshold { return d.overload.threshold(d.now) }
 
-// Idle reports whether nothing is queued or runs; a leaving owner may stop.
+// Idle reports whether nothing is queued or running. An owner that is leaving may stop
+// when it is idle.
 func (d *Dispatcher) Idle() bool { return len(d.parts) == 0 && len(d.calls) == 0 }
 
-// Status returns the state as of the last Step.
+// Status returns the state after the last Step.
 func (d *Dispatcher) Status() Status {
 	s := Status{
-		queued: d.queued.byRank, threshold: d.pressure.threshold(d.now),
-		tokens: d.hedger.Tokens(), counters: d.counters,
+		queued: d.queued.byRank, threshold: d.overload.threshold(d.now),
+		hedgeTokens: d.hedger.Tokens(), counters: d.counters,
 	}
 	for _, r := range tier.Ranks {
-		s.wait[r] = d.drainTime(r)
+		s.drainTimes[r] = d.drainTime(r)
 	}
 	for _, b := range d.set.Servers() {
 		if v := d.servers[b.Name()]; v != nil {
 			s.servers = append(s.servers, ServerStatus{
-				name: b.Name(), state: v.state, used: len(v.running),
-				limit: d.limit(v), latency: tier.Millis(v.latency),
+				name: b.Name(), state: v.state, usedSlots: len(v.running),
+				slotLimit: d.callLimit(v), latency: tier.Millis(v.averageLatency),
 			})
 		}
 	}
--- a/tier/dispatcher/timers.go
+++ b/tier/dispatcher/timers.go
@@ -9,13 +9,13 @@
 type timerKind int
 
 const (
-	timerDeadline timerKind = iota // of a part
-	timerHedge                     // of a call
-	timerRetry                     // of a task
-	timerGiveUp                    // of a task that waits for its retry
-	timerServer                    // a server may take more work
-	timerSupposed                  // a state told by a reply ends
-	timerTakeover                  // the full share may be used
+	timerDeadline      timerKind = iota // a part reaches its deadline
+	timerHedge                          // a call becomes slow enough to hedge
+	timerRetry                          // the backoff of a task ends
+	timerGiveUp                         // a task stops waiting for its retry to start
+	timerServer                         // a server may be able to start more calls
+	timerInferredState                  // a server state inferred from a reply expires
+	timerTakeover                       // the takeover delay ends
 )
 
 type timer struct {
@@ -28,7 +28,7 @@
 	server *server
 }
 
-// stale reports whether nothing would happen when the timer fires.
+// stale reports whether the timer no longer has any effect.
 func (t *timer) stale() bool {
 	switch t.kind {
 	case timerDeadline:
@@ -42,35 +42,36 @@
 	}
 }
 
-// timerHeap is ordered by time; equal times keep their order of adding.
+// timerHeap is a priority queue of timers. Timers with the same time fire in the order
+// in which they were added.
 type timerHeap struct {
-	list  timerList
-	order uint64
+	timers timerList
+	order  uint64
 }
 
 func (h *timerHeap) add(t timer) {
 	h.order++
 	t.order = h.order
-	heap.Push(&h.list, t)
+	heap.Push(&h.timers, t)
 }
 
-// next is the time of the first timer that still matters.
-func (h *timerHeap) next() (tier.Millis, bool) {
-	for len(h.list) > 0 {
-		if !h.list[0].stale() {
-			return h.list[0].at, true
+// nextAt is the time of the first timer that is not stale.
+func (h *timerHeap) nextAt() (tier.Millis, bool) {
+	for len(h.timers) > 0 {
+		if !h.timers[0].stale() {
+			return h.timers[0].at, true
 		}
-		heap.Pop(&h.list)
+		heap.Pop(&h.timers)
 	}
 	return 0, false
 }
 
 func (h *timerHeap) pop(now tier.Millis) (timer, bool) {
-	at, ok := h.next()
+	at, ok := h.nextAt()
 	if !ok || at > now {
 		return timer{}, false
 	}
-	return heap.Pop(&h.list).(timer), true
+	return heap.Pop(&h.timers).(timer), true
 }
 
 type timerList []timer
@@ -86,10 +87,10 @@
 
 func (l timerList) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (l *timerList) Push(x any) { *l = append(*l, x.(timer)) }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (l *timerList) Pop() any {
 	last := len(*l) - 1
 	t := (*l)[last]
@@ -98,8 +99,8 @@
 	return t
 }
 
-// expire fires the timers that are due.
-func (d *Dispatcher) expire() {
+// fireTimers handles every timer that is due.
+func (d *Dispatcher) fireTimers() {
 	for {
 		t, ok := d.timers.pop(d.now)
 		if !ok {
@@ -109,18 +110,18 @@
 		case timerDeadline:
 			d.deadlinePassed(t.part)
 		case timerHedge:
-			d.hedgeDue(t.call)
+			d.hedgeTimerFired(t.call)
 		case timerRetry:
-			d.wantRetry(t.task)
+			d.queueRetry(t.task)
 		case timerGiveUp:
-			d.giveUp(t.task)
+			d.giveUpRetry(t.task)
 		case timerServer:
-			d.fillAround(t.server)
-		case timerSupposed:
-			d.endSupposed(t.server)
+			d.scheduleServerAndPeers(t.server)
+		case timerInferredState:
+			d.expireInferredState(t.server)
 		case timerTakeover:
 			d.applyShares()
-			d.fillAll()
+			d.scheduleAll()
 		}
 	}
 }
