--- a/tier/admitter/admitter.go
+++ b/tier/admitter/admitter.go
@@ -1,36 +1,35 @@
-// Package admitter decides at the front which whole queries go on to an
-// owner, from the thresholds that owners publish. What it refuses has cost
-// neither a hop nor a leaf call.
+// Package admitter decides in an entry VM which requests are forwarded to the owners of
+// a shard set, based on the admission thresholds that owners publish. A request that it
+// refuses causes no message to an owner and no leaf call.
 package admitter
 
 import "cicadagrade.example/tier"
 
-// Ages of a threshold, counted from when it was heard.
+// Ages of a threshold, counted from its receipt.
 const (
-	FreshFor = 1 * tier.Second // applied as published
-	StaleAt  = 5 * tier.Second // no longer applied
+	FreshFor = 1 * tier.Second // up to this age a threshold applies as published
+	StaleAt  = 5 * tier.Second // from this age on it admits every request
 )
 
-// Threshold is what an owner publishes of its load.
+// Threshold is the admission threshold that an owner publishes according to its load.
 type Threshold struct {
 	fractions  [len(tier.Ranks)]float64
 	retryAfter [len(tier.Ranks)]tier.Millis
 }
 
-// NewThreshold returns a threshold from the fraction of requests, from 0 to
-// 1, that each rank may let through, and the time after which a refused one
-// may come again.
+// NewThreshold returns a threshold with, for each rank, the fraction of requests to
+// admit, from 0 to 1, and the time after which a refused request may be retried.
 func NewThreshold(fractions [len(tier.Ranks)]float64, retryAfter [len(tier.Ranks)]tier.Millis) Threshold {
 	return Threshold{fractions: fractions, retryAfter: retryAfter}
 }
 
-// Fraction is the part of a rank's requests to let through.
+// Fraction is the fraction of a rank's requests to admit.
 func (t Threshold) Fraction(r tier.Rank) float64 { return t.fractions[r] }
 
-// RetryAfter is when a refused request of a rank may come again.
+// RetryAfter is the time after which a refused request of a rank may be retried.
 func (t Threshold) RetryAfter(r tier.Rank) tier.Millis { return t.retryAfter[r] }
 
-// AllIn reports whether every request is let through.
+// AllIn reports whether the threshold admits every request.
 func (t Threshold) AllIn() bool {
 	for _, f := range t.fractions {
 		if f < 1 {
@@ -40,7 +39,7 @@
 	return true
 }
 
-// AllIn returns the threshold that lets every request through.
+// AllIn returns a threshold that admits every request.
 func AllIn() Threshold {
 	var t Threshold
 	for r := range t.fractions {
@@ -49,21 +48,22 @@
 	return t
 }
 
-// Published is a threshold with the time at which the front heard it.
+// Published is a threshold and the time at which the entry VM received it.
 type Published struct {
-	threshold Threshold
-	heard     tier.Millis
+	threshold  Threshold
+	receivedAt tier.Millis
 }
 
-// NewPublished returns a threshold heard at a time of the front's clock.
-func NewPublished(t Threshold, heard tier.Millis) Published {
-	return Published{threshold: t, heard: heard}
+// NewPublished returns a threshold that was received at a time of the entry VM's clock.
+func NewPublished(t Threshold, receivedAt tier.Millis) Published {
+	return Published{threshold: t, receivedAt: receivedAt}
 }
 
-// fraction is the published fraction, eased towards 1 as it grows stale.
-func (p Published) fraction(now tier.Millis, r tier.Rank) float64 {
+// fractionAt is the fraction of requests to admit at a time. Between FreshFor and MaxAge
+// it rises linearly from the published fraction to 1.
+func (p Published) fractionAt(now tier.Millis, r tier.Rank) float64 {
 	f := p.threshold.fractions[r]
-	age := now - p.heard
+	age := now - p.receivedAt
 	if age <= FreshFor {
 		return f
 	}
@@ -73,37 +73,38 @@
 	return f + (1-f)*float64(age-FreshFor)/float64(StaleAt-FreshFor)
 }
 
-// Admitter spreads the admitted requests of one shard set evenly.
+// Admitter admits the published fraction of one shard set's requests, evenly spread.
+// It is not safe for concurrent use.
 type Admitter struct {
-	share [len(tier.Ranks)]float64
+	credit [len(tier.Ranks)]float64 // sum of fractions, less 1 for each admitted request
 }
 
-// New returns an admitter that lets the first request of each rank through.
+// New returns an Admitter that admits the first request of each rank.
 func New() *Admitter {
 	a := &Admitter{}
-	for r := range a.share {
-		a.share[r] = 1
+	for r := range a.credit {
+		a.credit[r] = 1
 	}
 	return a
 }
 
-// Admit decides on a request that needs all the owners whose thresholds are
-// given: the strictest counts. It returns true, or false and when to retry,
-// spread over half as long again.
+// Admit decides on a request that needs all the owners whose thresholds are given: the
+// lowest fraction applies. For a refused request it returns false and the time after
+// which to retry, which is lengthened by up to 50 % to spread retries.
 func (a *Admitter) Admit(now tier.Millis, r tier.Rank, owners ...Published) (tier.Millis, bool) {
-	fraction, after := 1.0, tier.Millis(0)
+	fraction, retryAfter := 1.0, tier.Millis(0)
 	for _, p := range owners {
-		if f := p.fraction(now, r); f < fraction {
-			fraction, after = f, p.threshold.retryAfter[r]
+		if f := p.fractionAt(now, r); f < fraction {
+			fraction, retryAfter = f, p.threshold.retryAfter[r]
 		}
 	}
 	if fraction >= 1 {
 		return 0, true
 	}
-	a.share[r] += fraction
-	if a.share[r] >= 1 {
-		a.share[r]--
+	a.credit[r] += fraction
+	if a.credit[r] >= 1 {
+		a.credit[r]--
 		return 0, true
 	}
-	return 1 + after + tier.Millis(float64(after)*a.share[r]/2), false
+	return 1 + retryAfter + tier.Millis(float64(retryAfter)*a.credit[r]/2), false
 }
--- a/tier/correlator/correlator.go
+++ b/tier/correlator/correlator.go
@@ -1,6 +1,6 @@
-// Package correlator matches replies of backend servers with the leaf calls
-// that asked for them. A reply that is late, repeated, crossed with that of
-// another call, cut short or corrupted is rejected and counted.
+// Package correlator matches the replies of backend servers to leaf calls. It rejects and
+// counts replies that are late, duplicate, truncated or corrupted, or that belong to
+// another call.
 package correlator
 
 import (
@@ -11,7 +11,7 @@
 	"cicadagrade.example/tier"
 )
 
-// Expect is what the reply of one leaf call has to echo.
+// Expect holds the fields that the reply to one leaf call has to echo.
 type Expect struct {
 	attempt  tier.AttemptID
 	set      string
@@ -19,8 +19,8 @@
 	snapshot tier.Snapshot
 }
 
-// NewExpect returns what the reply of a search of one shard has to echo. For
-// a booking the snapshot is the zero one.
+// NewExpect returns the fields that the reply to a leaf call has to echo. For a booking
+// the snapshot is the zero value.
 func NewExpect(attempt tier.AttemptID, set, shard string, s tier.Snapshot) Expect {
 	return Expect{attempt: attempt, set: set, shard: shard, snapshot: s}
 }
@@ -37,7 +37,7 @@
 // Snapshot is the pinned snapshot.
 func (e Expect) Snapshot() tier.Snapshot { return e.snapshot }
 
-// Reply is the reply of a backend server to a search, as it came.
+// Reply is the reply of a backend server to a search as received, not yet checked.
 type Reply struct {
 	attempt  string
 	set      string
@@ -48,16 +48,16 @@
 	digest   string
 }
 
-// NewReply returns the reply to a search. Count and digest are those that
-// the server stated, not those of the records that arrived.
+// NewReply returns the reply to a search. Count and digest are those that the server
+// stated, which may differ from those of the records received.
 func NewReply(attempt, set, shard string, s tier.Snapshot, records []tier.Record, count int, digest string) Reply {
 	return Reply{attempt: attempt, set: set, shard: shard, snapshot: s, records: records, count: count, digest: digest}
 }
 
-// Records are the records that arrived.
+// Records are the records received.
 func (r Reply) Records() []tier.Record { return r.records }
 
-// Receipt is the reply of a backend server to a booking, as it came.
+// Receipt is the reply of a backend server to a booking as received, not yet checked.
 type Receipt struct {
 	attempt string
 	set     string
@@ -70,34 +70,35 @@
 	return Receipt{attempt: attempt, set: set, shard: shard, receipt: receipt}
 }
 
-// Text is the receipt's text.
+// Text is the receipt that the server issued for the booking.
 func (r Receipt) Text() string { return r.receipt }
 
-// Check reports whether a reply is whole and that of the call that e
+// Check checks that the reply to a search is complete and belongs to the call that e
 // describes. Its error is a *MismatchError.
 func Check(e Expect, r Reply) error {
 	if err := checkEcho(e, r.attempt, r.set, r.shard); err != nil {
-		return errors.Wrap(err, "Check")
+		return errors.Wrap(err, "CheckSearchReply")
 	}
 	if r.snapshot != e.snapshot {
-		return errors.Wrap(newMismatch(FieldSnapshot, e.snapshot.String(), r.snapshot.String()), "Check")
+		return errors.Wrap(newMismatch(FieldSnapshot, e.snapshot.String(), r.snapshot.String()), "CheckSearchReply")
 	}
-	return errors.Wrap(CheckRecords(r.records, r.count, r.digest), "Check")
+	return errors.Wrap(CheckRecords(r.records, r.count, r.digest), "CheckSearchReply")
 }
 
-// CheckReceipt is Check for the reply to a booking.
+// CheckReceipt checks that the reply to a booking has a receipt and belongs to the call
+// that e describes. Its error is a *MismatchError.
 func CheckReceipt(e Expect, r Receipt) error {
 	if err := checkEcho(e, r.attempt, r.set, r.shard); err != nil {
-		return errors.Wrap(err, "CheckReceipt")
+		return errors.Wrap(err, "CheckBookingReply")
 	}
 	if r.receipt == "" {
-		return errors.Wrap(newMismatch(FieldReceipt, "a receipt", ""), "CheckReceipt")
+		return errors.Wrap(newMismatch(FieldReceipt, "a receipt", ""), "CheckBookingReply")
 	}
 	return nil
 }
 
-// CheckRecords reports whether records are as many as stated and have the
-// stated digest. Its error is a *MismatchError.
+// CheckRecords checks the number of records and their digest against those stated. Its
+// error is a *MismatchError.
 func CheckRecords(records []tier.Record, count int, digest string) error {
 	if len(records) != count {
 		return newMismatch(FieldCount, strconv.Itoa(count), strconv.Itoa(len(records)))
--- a/tier/correlator/correlator_test.go
+++ b/tier/correlator/correlator_test.go
@@ -9,7 +9,7 @@
 	"cicadagrade.example/tier/correlator"
 )
 
-func TestTableRejects(t *testing.T) {
+func TestRejectsMismatchedReplies(t *testing.T) {
 	records := []tier.Record{tier.NewRecord("k", "v")}
 	digest := tier.Digest(records)
 	at := tier.NewSnapshot(1, 7)
@@ -26,28 +26,28 @@
 		{correlator.FieldCount, correlator.NewReply("caxias-1/5/42", "portao", "p-01", at, nil, 1, digest)},
 		{correlator.FieldDigest, correlator.NewReply("caxias-1/5/42", "portao", "p-01", at, []tier.Record{tier.NewRecord("k", "w")}, 1, digest)},
 	} {
-		table := correlator.NewTable()
-		table.Open(correlator.NewExpect(id, "portao", "p-01", at))
-		err := table.Accept(id, c.reply)
+		pending := correlator.NewTable()
+		pending.Open(correlator.NewExpect(id, "portao", "p-01", at))
+		err := pending.Accept(id, c.reply)
 		var m *correlator.MismatchError
 		if c.field == "" && err != nil {
 			t.Errorf("a good reply: %v", err)
 		}
-		if c.field != "" && (!errors.As(err, &m) || m.Field() != c.field || table.Rejected(c.field) != 1) {
-			t.Errorf("%s: %v, counted %d", c.field, err, table.Rejected(c.field))
+		if c.field != "" && (!errors.As(err, &m) || m.Field() != c.field || pending.Rejected(c.field) != 1) {
+			t.Errorf("%s: %v, counted %d", c.field, err, pending.Rejected(c.field))
 		}
 		var late *correlator.NotOpenError
-		if err := table.Accept(id, c.reply); !errors.As(err, &late) || table.NotOpen() != 1 {
-			t.Errorf("a repeated reply: %v", err)
+		if err := pending.Accept(id, c.reply); !errors.As(err, &late) || pending.NotOpen() != 1 {
+			t.Errorf("a duplicate reply: %v", err)
 		}
 	}
 }
 
-func TestTableRejectsReceipts(t *testing.T) {
+func TestRejectsEmptyReceipt(t *testing.T) {
 	id := tier.NewAttemptID("caxias-1", 5, 42)
-	table := correlator.NewTable()
-	table.Open(correlator.NewExpect(id, "portao", "p-01", tier.Snapshot{}))
-	err := table.AcceptReceipt(id, correlator.NewReceipt("caxias-1/5/42", "portao", "p-01", ""))
+	pending := correlator.NewTable()
+	pending.Open(correlator.NewExpect(id, "portao", "p-01", tier.Snapshot{}))
+	err := pending.AcceptReceipt(id, correlator.NewReceipt("caxias-1/5/42", "portao", "p-01", ""))
 	var m *correlator.MismatchError
 	if !errors.As(err, &m) || m.Field() != correlator.FieldReceipt {
 		t.Errorf("an empty receipt: %v", err)
--- a/tier/correlator/errors.go
+++ b/tier/correlator/errors.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Field names a part of a reply that is checked.
+// Field names a checked field of a reply.
 type Field string
 
-// The fields.
+// The checked fields.
 const (
 	FieldAttempt  Field = "attempt"
 	FieldSet      Field = "set"
@@ -16,7 +16,7 @@
 	FieldReceipt  Field = "receipt"
 )
 
-// MismatchError says that a field of a reply is not what it has to be.
+// MismatchError reports that a field of a reply does not have the expected value.
 type MismatchError struct {
 	field Field
 	want  string
@@ -27,28 +27,28 @@
 	return &MismatchError{field: f, want: want, got: got}
 }
 
-// Field names the field.
+// Field is the name of the field.
 func (e *MismatchError) Field() Field { return e.field }
 
-// Want is what the field had to hold.
+// Want is the expected value.
 func (e *MismatchError) Want() string { return e.want }
 
-// Got is what it held.
+// Got is the value received.
 func (e *MismatchError) Got() string { return e.got }
 
-// Error names the field, what was wanted and what came.
+// Error states the field, the value received and the expected one.
 func (e *MismatchError) Error() string {
 	return fmt.Sprintf("the reply's %s is %q, want %q", e.field, e.got, e.want)
 }
 
-// NotOpenError says that no call of this id waits for a reply: the reply is
-// late, repeated or meant for another VM.
+// NotOpenError reports that no call with an id is waiting for a reply: the reply is late,
+// a duplicate, or addressed to another VM.
 type NotOpenError struct{ attempt string }
 
-// Attempt is the id that the reply carries.
+// Attempt is the id of the call.
 func (e *NotOpenError) Attempt() string { return e.attempt }
 
-// Error names the id.
+// Error states the id.
 func (e *NotOpenError) Error() string {
-	return fmt.Sprintf("no call %q waits for a reply", e.attempt)
+	return fmt.Sprintf("no call %q is waiting for a reply", e.attempt)
 }
--- a/tier/hedger/hedger.go
+++ b/tier/hedger/hedger.go
@@ -1,59 +1,59 @@
-// Package hedger decides when a leaf call is slow enough for a second one:
-// after a quantile of the latencies measured lately, and only while a budget
-// that is a fraction of first attempts lasts. Retries draw on the same budget.
+// Package hedger decides when a leaf call is slow enough to be hedged with a second one:
+// after a quantile of recent latencies. Hedges and retries share a token bucket that
+// limits them to a fraction of first attempts.
 package hedger
 
 import "cicadagrade.example/tier"
 
-// Bounds of the estimate and the budget.
+// Parameters of the latency estimate and the budget.
 const (
-	Window      = 10 * tier.Second // latencies older than two windows are forgotten
-	MinSamples  = 50               // fewer tell no quantile
-	BudgetBurst = 10               // tokens at the start, and the most that are saved up
+	Window      = 10 * tier.Second // latencies older than two windows are discarded
+	MinSamples  = 50               // with fewer samples there is no quantile
+	BudgetBurst = 10               // initial and maximum number of tokens
 )
 
-// Hedger is the hedging state of one shard set.
+// Hedger holds the latencies and the hedge budget of one shard set. It is not safe for
+// concurrent use.
 type Hedger struct {
-	quantile float64
-	fraction float64
-	tokens   float64
-	current  *histogram
-	previous *histogram
-	started  tier.Millis
-	delay    tier.Millis
-	measured bool
-	stale    int
+	quantile    float64
+	budgetRatio float64 // tokens added per first attempt
+	tokens      float64
+	current     *histogram
+	previous    *histogram
+	windowStart tier.Millis
+	delay       tier.Millis
+	hasDelay    bool
+	newSamples  int // samples since delay was last updated
 }
 
-// New returns a hedger with a full budget. The quantile is that of latencies
-// after which to hedge; fraction is the extra calls allowed for each first
-// attempt.
-func New(quantile, fraction float64) *Hedger {
+// New returns a Hedger with a full budget. The quantile of recent latencies is the
+// hedge delay; budgetRatio is the number of extra calls allowed per first attempt.
+func New(quantile, budgetRatio float64) *Hedger {
 	h := &Hedger{current: &histogram{}, previous: &histogram{}}
-	h.Configure(quantile, fraction)
-	h.tokens = h.burst()
+	h.Configure(quantile, budgetRatio)
+	h.tokens = h.maxTokens()
 	return h
 }
 
-// Configure changes quantile and fraction.
-func (h *Hedger) Configure(quantile, fraction float64) {
-	h.quantile, h.fraction = quantile, fraction
-	h.tokens = min(h.tokens, h.burst())
-	h.measure()
+// Configure changes the quantile and the budget ratio.
+func (h *Hedger) Configure(quantile, budgetRatio float64) {
+	h.quantile, h.budgetRatio = quantile, budgetRatio
+	h.tokens = min(h.tokens, h.maxTokens())
+	h.updateDelay()
 }
 
-func (h *Hedger) burst() float64 {
-	if h.fraction <= 0 {
+func (h *Hedger) maxTokens() float64 {
+	if h.budgetRatio <= 0 {
 		return 0
 	}
 	return BudgetBurst
 }
 
-// FirstAttempt adds to the budget.
-func (h *Hedger) FirstAttempt() { h.tokens = min(h.burst(), h.tokens+h.fraction) }
+// FirstAttempt adds the tokens of a first attempt to the budget.
+func (h *Hedger) FirstAttempt() { h.tokens = min(h.maxTokens(), h.tokens+h.budgetRatio) }
 
-// Take spends one token for an extra call, and reports whether there was
-// one. Less urgent ranks leave a part of the budget to more urgent ones.
+// Take takes a token for an extra call of a rank and reports whether one was available.
+// Each less urgent rank leaves a further quarter of the maximum to more urgent ones.
 func (h *Hedger) Take(r tier.Rank) bool {
 	if !h.Available(r) {
 		return false
@@ -64,49 +64,48 @@
 
 // Available reports whether Take would succeed.
 func (h *Hedger) Available(r tier.Rank) bool {
-	reserved := h.burst() * float64(r) / 4
+	reserved := h.maxTokens() * float64(r) / 4
 	return h.tokens >= 1+reserved
 }
 
-// Tokens is the budget left.
+// Tokens is the number of tokens left.
 func (h *Hedger) Tokens() float64 { return h.tokens }
 
-// Observe counts the latency of a call, or the time it had run when it was
-// cancelled.
+// Observe records the latency of a call, or how long it had run if it was cancelled.
 func (h *Hedger) Observe(now, latency tier.Millis) {
-	if now-h.started >= Window {
+	if now-h.windowStart >= Window {
 		h.previous, h.current = h.current, &histogram{}
-		h.started = now
+		h.windowStart = now
 	}
 	h.current.add(latency)
-	h.stale++
-	if !h.measured || h.stale >= MinSamples {
-		h.measure()
+	h.newSamples++
+	if !h.hasDelay || h.newSamples >= MinSamples {
+		h.updateDelay()
 	}
 }
 
-// Delay is how long to wait for a call before hedging it; false while too
-// few calls were measured.
-func (h *Hedger) Delay() (tier.Millis, bool) { return h.delay, h.measured }
+// Delay is how long to wait for a call before hedging it; false while there are too few
+// samples.
+func (h *Hedger) Delay() (tier.Millis, bool) { return h.delay, h.hasDelay }
 
-func (h *Hedger) measure() {
-	h.stale = 0
+func (h *Hedger) updateDelay() {
+	h.newSamples = 0
 	total := h.current.total + h.previous.total
 	if total < MinSamples {
-		h.measured = false
+		h.hasDelay = false
 		return
 	}
-	h.delay, h.measured = h.rank(h.quantile*float64(total))+1, true
+	h.delay, h.hasDelay = h.latencyAtCount(h.quantile*float64(total))+1, true
 }
 
-// rank is the span below or at which the given number of samples lie.
-func (h *Hedger) rank(n float64) tier.Millis {
+// latencyAtCount is the smallest bucket bound with at least n samples at or below it.
+func (h *Hedger) latencyAtCount(n float64) tier.Millis {
 	seen := 0.0
 	for i := range h.current.counts {
 		seen += float64(h.current.counts[i] + h.previous.counts[i])
 		if seen >= n {
-			return upper(i)
+			return upperBound(i)
 		}
 	}
-	return upper(buckets - 1)
+	return upperBound(buckets - 1)
 }
--- a/tier/hedger/hedger_test.go
+++ b/tier/hedger/hedger_test.go
@@ -9,13 +9,13 @@
 	"cicadagrade.example/tier"
 )
 
-func TestDelayIsTheQuantile(t *testing.T) {
+func TestDelayMatchesQuantile(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		latencies := rapid.SliceOfN(rapid.Int64Range(0, 600000), 2*MinSamples, 2*MinSamples).Draw(t, "latencies")
 		h := New(0.9, 0.05)
 		for i, m := range latencies {
 			if _, ok := h.Delay(); ok != (i >= MinSamples) {
-				t.Fatalf("measured %v after %d samples", ok, i)
+				t.Fatalf("has a delay: %v after %d samples", ok, i)
 			}
 			h.Observe(0, tier.Millis(m))
 		}
@@ -28,7 +28,7 @@
 	})
 }
 
-func TestOldLatenciesAreForgotten(t *testing.T) {
+func TestLatenciesExpireAfterTwoWindows(t *testing.T) {
 	h := New(0.9, 0.05)
 	for i := range 3 {
 		for range MinSamples {
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestLowerRanksLeaveBudget(t *testing.T) {
+func TestBudgetIsReservedForUrgentRanks(t *testing.T) {
 	h := New(0.9, 0.05)
 	taken := [len(tier.Ranks)]int{}
 	for _, r := range []tier.Rank{tier.Reports, tier.Daily, tier.Urgent} {
--- a/tier/hedger/histogram.go
+++ b/tier/hedger/histogram.go
@@ -2,21 +2,22 @@
 
 import "cicadagrade.example/tier"
 
-// The histogram counts each millisecond below exactBuckets by itself, and
-// divides each doubling above it into exactBuckets/2 buckets.
+// A histogram has one bucket for each millisecond below exactBuckets. Above, it has
+// exactBuckets/2 buckets of equal width for each doubling of the latency.
 const (
 	exactBuckets = 64
 	doublings    = 15
 	buckets      = exactBuckets + doublings*exactBuckets/2
 )
 
-// histogram counts spans of time with a relative error of at most 1/32.
+// histogram counts latencies with a relative error of at most 1/32. Those above the last
+// doubling count in the last bucket.
 type histogram struct {
 	counts [buckets]uint32
 	total  int
 }
 
-func bucketOf(m tier.Millis) int {
+func bucketIndex(m tier.Millis) int {
 	m = max(m, 0)
 	shift := 0
 	for m>>shift >= exactBuckets {
@@ -31,8 +32,8 @@
 	return exactBuckets/2*shift + int(m>>shift)
 }
 
-// upper is the largest span that bucket i counts.
-func upper(i int) tier.Millis {
+// upperBound is the highest latency that bucket i counts.
+func upperBound(i int) tier.Millis {
 	if i < exactBuckets {
 		return tier.Millis(i)
 	}
@@ -42,6 +43,6 @@
 }
 
 func (h *histogram) add(m tier.Millis) {
-	h.counts[bucketOf(m)]++
+	h.counts[bucketIndex(m)]++
 	h.total++
 }
--- a/tier/merger/errors.go
+++ b/tier/merger/errors.go
@@ -6,7 +6,8 @@
 	"cicadagrade.example/tier"
 )
 
-// SnapshotError says that a result was served at another snapshot.
+// SnapshotError reports that a result was served at another snapshot than that of the
+// merge.
 type SnapshotError struct {
 	want tier.Snapshot
 	got  tier.Snapshot
@@ -18,39 +19,39 @@
 // Got is the snapshot of the result.
 func (e *SnapshotError) Got() tier.Snapshot { return e.got }
 
-// Error names both snapshots.
+// Error states both snapshots.
 func (e *SnapshotError) Error() string {
-	return fmt.Sprintf("a result of snapshot %s can't join a merge of %s", e.got, e.want)
+	return fmt.Sprintf("result of snapshot %s can't be merged at snapshot %s", e.got, e.want)
 }
 
-// ShardProblem says why a shard's result may not count.
+// ShardProblem says why the result of a shard can't be merged.
 type ShardProblem string
 
-// The problems.
+// The reasons why a result can't be merged.
 const (
-	ShardForeign  ShardProblem = "foreign"  // not in the shard map
-	ShardRepeated ShardProblem = "repeated" // already merged
-	ShardMissed   ShardProblem = "missed"   // the result holds no reply
+	ShardForeign  ShardProblem = "foreign"  // the shard is not in the shard map
+	ShardRepeated ShardProblem = "repeated" // a result of the shard was merged before
+	ShardMissed   ShardProblem = "missed"   // the result has no reply
 )
 
-// ShardError says that a result may not count for its shard.
+// ShardError reports that the result of a shard can't be merged.
 type ShardError struct {
 	shard   string
 	problem ShardProblem
 }
 
-// Shard is the id that the result carries.
+// Shard is the shard id in the result.
 func (e *ShardError) Shard() string { return e.shard }
 
-// Problem says why.
+// Problem says why the result can't be merged.
 func (e *ShardError) Problem() ShardProblem { return e.problem }
 
-// Error names shard and problem.
+// Error states the shard and the problem.
 func (e *ShardError) Error() string {
-	return fmt.Sprintf("the result of shard %q does not count: %s", e.shard, e.problem)
+	return fmt.Sprintf("result of shard %q can't be merged: %s", e.shard, e.problem)
 }
 
-// KeyError says that one reply holds two values of one key.
+// KeyError reports that a reply has two different values of one key.
 type KeyError struct {
 	shard string
 	key   string
@@ -59,10 +60,10 @@
 // Shard is the id of the shard.
 func (e *KeyError) Shard() string { return e.shard }
 
-// Key is the record's key.
+// Key is the key with two values.
 func (e *KeyError) Key() string { return e.key }
 
-// Error names shard and key.
+// Error states the shard and the key.
 func (e *KeyError) Error() string {
-	return fmt.Sprintf("the reply of shard %q holds two values of key %q", e.shard, e.key)
+	return fmt.Sprintf("reply of shard %q has two values of key %q", e.shard, e.key)
 }
--- a/tier/merger/merger.go
+++ b/tier/merger/merger.go
@@ -1,6 +1,6 @@
-// Package merger merges the results of the shards of one snapshot into one
-// answer. It is the only maker of coverage: a shard is covered when its
-// whole, checked reply was merged, and for no other reason.
+// Package merger merges the results of shards at one snapshot into one answer. It alone
+// determines the coverage of an answer: a shard is covered if and only if its complete
+// and checked reply was merged.
 package merger
 
 import (
@@ -12,43 +12,43 @@
 	"cicadagrade.example/tier/correlator"
 )
 
-// Merge gathers the results of one snapshot. It is not safe for concurrent
-// use.
+// Merge collects the shard results of one snapshot. It is not safe for concurrent use.
 type Merge struct {
-	set      *tier.ShardSet
-	snapshot tier.Snapshot
-	owner    map[string]bool
-	covered  map[string][]tier.Record
-	missing  map[string]tier.MissReason
-	doubled  int
+	set        *tier.ShardSet
+	snapshot   tier.Snapshot
+	inMap      map[string]bool
+	covered    map[string][]tier.Record
+	missing    map[string]tier.MissReason
+	duplicates int
 }
 
-// New returns a merge under a shard map of one of its index versions.
+// New returns an empty Merge of the shards in a set's shard map, at the map's epoch and
+// an index version.
 func New(set *tier.ShardSet, v tier.Version) *Merge {
 	m := &Merge{
 		set:      set,
 		snapshot: tier.NewSnapshot(set.Epoch(), v),
-		owner:    make(map[string]bool, len(set.Shards())),
+		inMap:    make(map[string]bool, len(set.Shards())),
 		covered:  make(map[string][]tier.Record, len(set.Shards())),
 		missing:  map[string]tier.MissReason{},
 	}
 	for _, h := range set.Shards() {
-		m.owner[h.ID()] = true
+		m.inMap[h.ID()] = true
 	}
 	return m
 }
 
-// Snapshot is the one snapshot that is merged.
+// Snapshot is the snapshot whose results are merged.
 func (m *Merge) Snapshot() tier.Snapshot { return m.snapshot }
 
-// Add merges the whole reply of a shard that was served at a snapshot. It
-// takes nothing and returns a *SnapshotError, *ShardError, *KeyError or
-// *correlator.MismatchError when the reply may not count.
+// Add merges the reply of a shard that was served at a snapshot. If the reply can't be
+// merged, it changes nothing and returns a *SnapshotError, *ShardError,
+// *KeyConflictError or *correlator.MismatchError.
 func (m *Merge) Add(s tier.Snapshot, r ShardResult) error {
 	if s != m.snapshot {
 		return errors.Wrap(&SnapshotError{want: m.snapshot, got: s}, "Merge.Add")
 	}
-	if !m.owner[r.shard] {
+	if !m.inMap[r.shard] {
 		return errors.Wrap(&ShardError{shard: r.shard, problem: ShardForeign}, "Merge.Add")
 	}
 	if _, done := m.covered[r.shard]; done {
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// checkKeys rejects a reply that holds two values of one key: it can't be
-// told which of them is the snapshot's.
+// checkKeys rejects a reply with two values of one key, since it is unknown which of them
+// belongs to the snapshot.
 func checkKeys(r ShardResult) error {
 	seen := make(map[string]string, len(r.records))
 	for _, e := range r.records {
@@ -82,15 +82,15 @@
 	return nil
 }
 
-// Miss notes why a shard is missing, unless its reply was merged.
+// Miss records why a shard is missing, unless its reply was merged.
 func (m *Merge) Miss(shard string, reason tier.MissReason) {
-	if _, done := m.covered[shard]; done || !m.owner[shard] {
+	if _, done := m.covered[shard]; done || !m.inMap[shard] {
 		return
 	}
 	m.missing[shard] = reason
 }
 
-// Has reports whether the whole reply of a shard was merged.
+// Has reports whether the reply of a shard was merged.
 func (m *Merge) Has(shard string) bool {
 	_, ok := m.covered[shard]
 	return ok
@@ -99,18 +99,17 @@
 // Covered is how many shards were merged.
 func (m *Merge) Covered() int { return len(m.covered) }
 
-// Fraction is the covered part of all shards of the map, from 0 to 1.
-func (m *Merge) Fraction() float64 { return float64(len(m.covered)) / float64(len(m.owner)) }
+// Fraction is the covered fraction of the shards in the map, from 0 to 1.
+func (m *Merge) Fraction() float64 { return float64(len(m.covered)) / float64(len(m.inMap)) }
 
-// Complete reports whether every shard of the map was merged.
-func (m *Merge) Complete() bool { return len(m.covered) == len(m.owner) }
+// Complete reports whether every shard in the map was merged.
+func (m *Merge) Complete() bool { return len(m.covered) == len(m.inMap) }
 
-// Doubled is how many records the last Answer dropped because their key
-// stood there already.
-func (m *Merge) Doubled() int { return m.doubled }
+// Doubled is how many records the last Answer dropped as duplicates of a key.
+func (m *Merge) Doubled() int { return m.duplicates }
 
-// Coverage is the true coverage. A shard with neither a reply nor a noted
-// reason is missing for the deadline.
+// Coverage lists the covered and the missing shards. A shard with neither a reply nor a
+// recorded reason is missing because of the deadline.
 func (m *Merge) Coverage() tier.Coverage {
 	var covered []string
 	var missing []tier.Miss
@@ -128,23 +127,24 @@
 	return tier.NewCoverage(covered, missing)
 }
 
-// Answer is the merged answer: records sorted by key, each key once.
+// Answer returns the merged answer, with records sorted by key and each key once.
 func (m *Merge) Answer() *tier.Answered {
 	return tier.NewAnswered(m.snapshot, m.Coverage(), m.records())
 }
 
-// records drops doubled keys. Where two shards hold a key, as after a split
-// that is not yet cleaned up, the shard that the map gives the key to wins.
+// records merges the records and drops duplicates. If two shards hold a key, as after a
+// shard was split and before its old records are deleted, the record of the shard that the
+// map assigns the key to is used.
 func (m *Merge) records() []tier.Record {
 	out := map[string]tier.Record{}
-	m.doubled = 0
+	m.duplicates = 0
 	for _, h := range m.set.Shards() {
 		for _, r := range m.covered[h.ID()] {
-			_, double := out[r.Key()]
-			if double {
-				m.doubled++
+			_, duplicate := out[r.Key()]
+			if duplicate {
+				m.duplicates++
 			}
-			if !double || h.Holds(tier.HashKey(r.Key())) {
+			if !duplicate || h.Holds(tier.HashKey(r.Key())) {
 				out[r.Key()] = r
 			}
 		}
--- a/tier/merger/merger_test.go
+++ b/tier/merger/merger_test.go
@@ -15,7 +15,7 @@
 	"cicadagrade.example/tier/merger"
 )
 
-// TestMain fixes the seed, so that each run has the same verdict.
+// TestMain sets a fixed seed, so that each run draws the same values.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "20261204"); err != nil {
 		panic(err)
@@ -40,15 +40,15 @@
 	return set
 }
 
-// served is one reply and whether a server truly made it whole at a
-// snapshot. The values of its records name that snapshot.
-type served struct {
+// servedReply is a reply and whether it is valid: complete, intact and served at its
+// snapshot. The values of its records contain that snapshot.
+type servedReply struct {
 	snapshot tier.Snapshot
 	result   merger.ShardResult
-	whole    bool
+	valid    bool
 }
 
-func drawReply(t *rapid.T) served {
+func drawReply(t *rapid.T) servedReply {
 	version := tier.Version(rapid.IntRange(7, 8).Draw(t, "version"))
 	s := tier.NewSnapshot(3, version)
 	shard := fmt.Sprintf("s%d", rapid.IntRange(0, shards).Draw(t, "shard"))
@@ -57,28 +57,28 @@
 		records = append(records, tier.NewRecord(fmt.Sprint("k", k), fmt.Sprint(s, "/k", k)))
 	}
 	count, digest := len(records), tier.Digest(records)
-	whole := true
-	switch rapid.SampledFrom([]string{"whole", "whole", "cut", "corrupt", "ambiguous", "missed"}).Draw(t, "kind") {
-	case "cut":
-		records, whole = records[:count-1], false
+	valid := true
+	switch rapid.SampledFrom([]string{"valid", "valid", "truncated", "corrupt", "conflicting", "missing"}).Draw(t, "kind") {
+	case "truncated":
+		records, valid = records[:count-1], false
 	case "corrupt":
-		records[0], whole = tier.NewRecord(records[0].Key(), "x"), false
-	case "ambiguous":
+		records[0], valid = tier.NewRecord(records[0].Key(), "x"), false
+	case "conflicting":
 		records = append(records, tier.NewRecord(records[0].Key(), "x"))
-		count, digest, whole = len(records), tier.Digest(records), false
-	case "missed":
-		return served{snapshot: s, result: merger.NewMissedShard(shard, tier.MissRefused)}
+		count, digest, valid = len(records), tier.Digest(records), false
+	case "missing":
+		return servedReply{snapshot: s, result: merger.NewMissedShard(shard, tier.MissRefused)}
 	}
-	return served{snapshot: s, result: merger.NewReceivedResult(shard, records, count, digest), whole: whole}
+	return servedReply{snapshot: s, result: merger.NewReceivedResult(shard, records, count, digest), valid: valid}
 }
 
-// checkAnswer compares an answer with what was truly served: an oracle that
-// shares no code with the merger.
-func checkAnswer(a *tier.Answered, pinned tier.Snapshot, replies []served) error {
+// checkAnswer compares an answer with the replies served. It shares no code with the
+// merger, so that it serves as an independent oracle.
+func checkAnswer(a *tier.Answered, pinned tier.Snapshot, replies []servedReply) error {
 	want := map[string]string{}
 	covered := map[string]bool{}
 	for _, r := range replies {
-		if !r.whole || r.snapshot != pinned || r.result.Shard() == fmt.Sprint("s", shards) || covered[r.result.Shard()] {
+		if !r.valid || r.snapshot != pinned || r.result.Shard() == fmt.Sprint("s", shards) || covered[r.result.Shard()] {
 			continue
 		}
 		covered[r.result.Shard()] = true
@@ -87,11 +87,11 @@
 		}
 	}
 	if a.Snapshot() != pinned {
-		return errors.Errorf("answer of %s, pinned %s", a.Snapshot(), pinned)
+		return errors.Errorf("answer at snapshot %s, pinned %s", a.Snapshot(), pinned)
 	}
 	for _, h := range a.Coverage().Covered() {
 		if !covered[h] {
-			return errors.Errorf("shard %s is said to be covered", h)
+			return errors.Errorf("shard %s is reported as covered", h)
 		}
 	}
 	if n := len(a.Coverage().Covered()); n != len(covered) || n+len(a.Coverage().Missing()) != shards {
@@ -111,7 +111,7 @@
 	return nil
 }
 
-func TestAnswerIsWhatWasServed(t *testing.T) {
+func TestAnswerMatchesServedReplies(t *testing.T) {
 	set := newSet(t)
 	rapid.Check(t, func(t *rapid.T) {
 		replies := rapid.SliceOfN(rapid.Custom(drawReply), 0, 12).Draw(t, "replies")
@@ -127,9 +127,9 @@
 	})
 }
 
-// naiveMerge takes every reply that names a shard, as a merger without
-// snapshots and digests would.
-func naiveMerge(set *tier.ShardSet, replies []served) *tier.Answered {
+// naiveMerge merges every reply that names a shard, without checking snapshots, counts
+// or digests.
+func naiveMerge(set *tier.ShardSet, replies []servedReply) *tier.Answered {
 	records := []tier.Record{}
 	covered := map[string]bool{}
 	for _, r := range replies {
@@ -148,25 +148,25 @@
 	return tier.NewAnswered(tier.NewSnapshot(3, 7), tier.NewCoverage(names, missing), records)
 }
 
-// TestCheckSeesNaiveMerge shows that the check above can fail: it objects to
-// two versions, to a doubled key and to a reply cut short.
-func TestCheckSeesNaiveMerge(t *testing.T) {
+// TestAnswerCheckDetectsNaiveMerge checks that checkAnswer rejects answers with two index
+// versions, with a duplicate key, or with a truncated reply.
+func TestAnswerCheckDetectsNaiveMerge(t *testing.T) {
 	set := newSet(t)
-	old, now := tier.NewSnapshot(3, 7), tier.NewSnapshot(3, 8)
+	pinned, newer := tier.NewSnapshot(3, 7), tier.NewSnapshot(3, 8)
 	one := []tier.Record{tier.NewRecord("k1", "v")}
 	two := []tier.Record{tier.NewRecord("k1", "v"), tier.NewRecord("k2", "v")}
-	for name, replies := range map[string][]served{
-		"mixed":   {{old, merger.NewShardResult("s0", one), true}, {now, merger.NewShardResult("s1", two), true}},
-		"doubled": {{old, merger.NewShardResult("s0", one), true}, {old, merger.NewShardResult("s1", one), true}},
-		"cut":     {{old, merger.NewReceivedResult("s0", one, 2, tier.Digest(two)), false}},
+	for name, replies := range map[string][]servedReply{
+		"mixed versions": {{pinned, merger.NewShardResult("s0", one), true}, {newer, merger.NewShardResult("s1", two), true}},
+		"duplicate key":  {{pinned, merger.NewShardResult("s0", one), true}, {pinned, merger.NewShardResult("s1", one), true}},
+		"truncated":      {{pinned, merger.NewReceivedResult("s0", one, 2, tier.Digest(two)), false}},
 	} {
-		if checkAnswer(naiveMerge(set, replies), old, replies) == nil {
-			t.Errorf("%s: the check passes a naive merge", name)
+		if checkAnswer(naiveMerge(set, replies), pinned, replies) == nil {
+			t.Errorf("%s: the check accepts a naive merge", name)
 		}
 	}
 }
 
-func TestAddSaysWhy(t *testing.T) {
+func TestAddReturnsTypedErrors(t *testing.T) {
 	set := newSet(t)
 	m := merger.New(set, 7)
 	r := merger.NewShardResult("s0", nil)
@@ -179,11 +179,11 @@
 	}
 	var shard *merger.ShardError
 	if err := m.Add(m.Snapshot(), r); !errors.As(err, &shard) || shard.Problem() != merger.ShardRepeated {
-		t.Errorf("repeated: %v", err)
+		t.Errorf("duplicate result: %v", err)
 	}
 	var field *correlator.MismatchError
-	cut := merger.NewReceivedResult("s1", nil, 1, "")
-	if err := m.Add(m.Snapshot(), cut); !errors.As(err, &field) || field.Field() != correlator.FieldCount {
-		t.Errorf("cut: %v", err)
+	truncated := merger.NewReceivedResult("s1", nil, 1, "")
+	if err := m.Add(m.Snapshot(), truncated); !errors.As(err, &field) || field.Field() != correlator.FieldCount {
+		t.Errorf("truncated: %v", err)
 	}
 }
--- a/tier/picker/bench_test.go
+++ b/tier/picker/bench_test.go
@@ -8,7 +8,7 @@
 	"cicadagrade.example/tier/picker"
 )
 
-// BenchmarkOwners is the cost of picking a set's owners.
+// BenchmarkOwners measures the choice of a set's owners among a number of members.
 func BenchmarkOwners(b *testing.B) {
 	for _, n := range []int{7, 30, 100, 270} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
--- a/tier/picker/picker_test.go
+++ b/tier/picker/picker_test.go
@@ -13,7 +13,7 @@
 
 type ownersFunc func(set, dataCentre string, members []tier.VM, n int) []tier.VM
 
-func vms(states []tier.VMState) []tier.VM {
+func newVMs(states []tier.VMState) []tier.VM {
 	out := make([]tier.VM, len(states))
 	for i, s := range states {
 		out[i] = tier.NewVM(fmt.Sprintf("vm-%d", i), "caxias", fmt.Sprintf("10.0.0.%d:7000", i+1), tier.WithVMState(s))
@@ -23,7 +23,7 @@
 
 func drawVMs(t *rapid.T) []tier.VM {
 	state := rapid.SampledFrom([]tier.VMState{tier.VMJoining, tier.VMLive, tier.VMLive, tier.VMLeaving, tier.VMDead})
-	return vms(rapid.SliceOfN(state, 1, 20).Draw(t, "states"))
+	return newVMs(rapid.SliceOfN(state, 1, 20).Draw(t, "states"))
 }
 
 func names(list []tier.VM) []string {
@@ -34,33 +34,33 @@
 	return out
 }
 
-// checkMovement says what is wrong with the owners before and after a member
-// is gone: only its own place may be taken by another.
-func checkMovement(owners ownersFunc, members []tier.VM, gone, n int) error {
+// checkMovement checks that the loss of a member replaces only that member in the list of
+// owners and keeps the order of the others.
+func checkMovement(owners ownersFunc, members []tier.VM, lost, n int) error {
 	before := names(owners("portao", "caxias", members, n))
-	rest := slices.Delete(slices.Clone(members), gone, gone+1)
+	rest := slices.Delete(slices.Clone(members), lost, lost+1)
 	after := names(owners("portao", "caxias", rest, n))
-	kept := slices.DeleteFunc(slices.Clone(before), func(s string) bool { return s == members[gone].Name() })
+	kept := slices.DeleteFunc(slices.Clone(before), func(s string) bool { return s == members[lost].Name() })
 	if len(after) < len(kept) || !slices.Equal(kept, after[:len(kept)]) {
-		return fmt.Errorf("owners %v became %v without %s", before, after, members[gone].Name())
+		return fmt.Errorf("owners %v became %v without %s", before, after, members[lost].Name())
 	}
 	if len(kept) == len(before) && len(after) != len(before) {
-		return fmt.Errorf("owners %v became %v though %s was none", before, after, members[gone].Name())
+		return fmt.Errorf("owners %v became %v though %s was not an owner", before, after, members[lost].Name())
 	}
 	return nil
 }
 
-func TestMinimalMovement(t *testing.T) {
+func TestMemberLossMovesOnlyItsPlace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := drawVMs(t)
-		gone := rapid.IntRange(0, len(members)-1).Draw(t, "gone")
-		if err := checkMovement(Owners, members, gone, rapid.IntRange(1, 5).Draw(t, "n")); err != nil {
+		lost := rapid.IntRange(0, len(members)-1).Draw(t, "gone")
+		if err := checkMovement(Owners, members, lost, rapid.IntRange(1, 5).Draw(t, "n")); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-func TestOnlyLiveMembersOwnInAnyOrder(t *testing.T) {
+func TestOwnersAreLiveInAnyMemberOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := drawVMs(t)
 		want := Owners("portao", "caxias", members, 3)
@@ -76,23 +76,24 @@
 	})
 }
 
-// TestMovementCheckFails shows that the check sees a choice by position.
-func TestMovementCheckFails(t *testing.T) {
+// TestMovementCheckDetectsPositionalOwners checks that checkMovement rejects owners that
+// are chosen by their position in the list of members.
+func TestMovementCheckDetectsPositionalOwners(t *testing.T) {
 	byPosition := func(set, _ string, members []tier.VM, _ int) []tier.VM {
 		at := int(Score(set, "", "") % uint64(len(members)))
 		return members[at : at+1]
 	}
-	members := vms([]tier.VMState{tier.VMLive, tier.VMLive, tier.VMLive, tier.VMLive, tier.VMLive})
-	for gone := range members {
-		if checkMovement(byPosition, members, gone, 1) != nil {
+	members := newVMs([]tier.VMState{tier.VMLive, tier.VMLive, tier.VMLive, tier.VMLive, tier.VMLive})
+	for lost := range members {
+		if checkMovement(byPosition, members, lost, 1) != nil {
 			return
 		}
 	}
-	t.Fatal("the check accepts owners by position")
+	t.Fatal("the check accepts owners chosen by position")
 }
 
-// init fixes the seed of the properties, unless one is given, so that each run
-// draws the same.
+// init sets a fixed seed for the property tests, unless -rapid.seed is given, so that
+// each run draws the same values.
 func init() {
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
 		_ = f.Value.Set("20261204")
