--- a/tier/admitter/admitter.go
+++ b/tier/admitter/admitter.go
@@ -54,7 +54,8 @@
 	receivedAt tier.Millis
 }
 
-// NewPublished returns a threshold that was received at a time of the entry VM's clock.
+// NewPublished returns a threshold that was received at a time of the entry
+// VM's clock.
 func NewPublished(t Threshold, receivedAt tier.Millis) Published {
 	return Published{threshold: t, receivedAt: receivedAt}
 }
--- a/tier/correlator/correlator.go
+++ b/tier/correlator/correlator.go
@@ -73,8 +73,8 @@
 // Text is the receipt that the server issued for the booking.
 func (r Receipt) Text() string { return r.receipt }
 
-// Check checks that the reply to a search is complete and belongs to the call that e
-// describes. Its error is a *MismatchError.
+// Check checks that the reply to a search is complete and belongs to the call
+// that e describes. Its error is a *MismatchError.
 func Check(e Expect, r Reply) error {
 	if err := checkEcho(e, r.attempt, r.set, r.shard); err != nil {
 		return errors.Wrap(err, "CheckSearchReply")
@@ -85,8 +85,8 @@
 	return errors.Wrap(CheckRecords(r.records, r.count, r.digest), "CheckSearchReply")
 }
 
-// CheckReceipt checks that the reply to a booking has a receipt and belongs to the call
-// that e describes. Its error is a *MismatchError.
+// CheckReceipt checks that the reply to a booking has a receipt and belongs to
+// the call that e describes. Its error is a *MismatchError.
 func CheckReceipt(e Expect, r Receipt) error {
 	if err := checkEcho(e, r.attempt, r.set, r.shard); err != nil {
 		return errors.Wrap(err, "CheckBookingReply")
--- a/tier/correlator/errors.go
+++ b/tier/correlator/errors.go
@@ -41,8 +41,8 @@
 	return fmt.Sprintf("the reply's %s is %q, want %q", e.field, e.got, e.want)
 }
 
-// NotOpenError reports that no call with an id is waiting for a reply: the reply is late,
-// a duplicate, or addressed to another VM.
+// NotOpenError reports that no call with an id is waiting for a reply: the reply is
+// late, a duplicate, or addressed to another VM.
 type NotOpenError struct{ attempt string }
 
 // Attempt is the id of the call.
--- a/tier/correlator/pending.go
+++ b/tier/correlator/pending.go
@@ -6,8 +6,8 @@
 	"cicadagrade.example/tier"
 )
 
-// Table holds the leaf calls that wait for a reply and counts the replies that it rejects.
-// It is not safe for concurrent use.
+// Table holds the leaf calls that wait for a reply and counts the replies that
+// it rejects. It is not safe for concurrent use.
 type Table struct {
 	pending    map[string]Expect
 	rejected   map[Field]int
@@ -28,7 +28,7 @@
 // Waiting is how many calls wait for a reply.
 func (p *Table) Waiting() int { return len(p.pending) }
 
-// Accept checks a reply received for a call with AttemptID id, and removes the call even
+// Accept checks the reply received for a search call and removes the call, even
 // if it rejects the reply. Its error is a *MismatchError or a *NotPendingError.
 func (p *Table) Accept(id tier.AttemptID, r Reply) error {
 	e, err := p.take(id)
--- a/tier/dispatcher/events.go
+++ b/tier/dispatcher/events.go
@@ -77,8 +77,8 @@
 // executed it.
 type ReplyFailed struct{}
 
-// ReplyBad is a reply that package correlator rejected. The server may have executed
-// the call.
+// ReplyBad is a reply that package correlator rejected. The server may have
+// executed the call.
 type ReplyBad struct{}
 
 func (*ReplyOK) result()     {}
--- a/tier/dispatcher/handover_test.go
+++ b/tier/dispatcher/handover_test.go
@@ -59,10 +59,10 @@
 func TestHandoverStaysWithinSlots(t *testing.T) {
 	for _, late := range []tier.Millis{0, 100, 1300} {
 		if most := maxCallsDuringHandover(late); most > 5 {
-			t.Errorf("told %d ms late: %d calls on 4 slots", late, most)
+			t.Errorf("informed %d ms late: %d calls on 4 slots", late, most)
 		}
 	}
 	if most := maxCallsDuringHandover(4 * tier.Second); most <= 5 {
-		t.Errorf("told after the takeover delay: only %d calls on 4 slots", most)
+		t.Errorf("informed after the takeover delay: only %d calls on 4 slots", most)
 	}
 }
--- a/tier/dispatcher/script_test.go
+++ b/tier/dispatcher/script_test.go
@@ -150,7 +150,7 @@
 	fmt.Fprintf(&s.out, "    queued %v, calls %d, extra %d, accepted %d, done %d, late %d, refused %v\n",
 		v.queued, c.Calls(), c.Extra(), c.Accepted(), c.Done(), c.Late(), c.refused)
 	for _, r := range tier.Ranks {
-		fmt.Fprintf(&s.out, "    %s let through %.2f\n", r, v.Threshold().Fraction(r))
+		fmt.Fprintf(&s.out, "    %s admit fraction %.2f\n", r, v.Threshold().Fraction(r))
 	}
 }
 
--- a/tier/hedger/hedger.go
+++ b/tier/hedger/hedger.go
@@ -71,7 +71,8 @@
 // Tokens is the number of tokens left.
 func (h *Hedger) Tokens() float64 { return h.tokens }
 
-// Observe records the latency of a call, or how long it had run if it was cancelled.
+// Observe records the latency of a call, or how long it had run if it was
+// cancelled.
 func (h *Hedger) Observe(now, latency tier.Millis) {
 	if now-h.windowStart >= Window {
 		h.previous, h.current = h.current, &histogram{}
