--- a/tier/prover/vm_test.go
+++ b/tier/prover/vm_test.go
@@ -8,10 +8,10 @@
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/correlator"
 	"cicadagrade.example/tier/dispatcher"
-	"cicadagrade.example/tier/keeper"
 	"cicadagrade.example/tier/merger"
 	"cicadagrade.example/tier/picker"
 	"cicadagrade.example/tier/planner"
+	"cicadagrade.example/tier/replicator"
 	"cicadagrade.example/tier/storer"
 )
 
@@ -26,8 +26,8 @@
 	owns       bool
 	core       *dispatcher.Dispatcher
 	tickAt     tier.Millis
-	keeper     *keeper.Keeper
-	ref        keeper.Ref
+	keeper     *replicator.Replicator
+	ref        replicator.Ref
 	set        *tier.ShardSet
 	former     *tier.ShardSet
 	gone       map[string]bool // VMs believed dead
@@ -66,7 +66,7 @@
 	v.states = map[string]tier.BackendState{}
 	v.parts, v.calls, v.asks = map[uint64]*part{}, map[uint64]*call{}, nil
 	v.budget = planner.NewBudget(0.2, 20)
-	v.keeper, v.ref, v.set, v.former, v.core = keeper.New(v.name), keeper.Ref{}, nil, nil, nil
+	v.keeper, v.ref, v.set, v.former, v.core = replicator.New(v.name), replicator.Ref{}, nil, nil, nil
 	v.offer(v.w.states[max(0, v.w.published-1)])
 	v.core = dispatcher.New(v.set, v.dataCentre, dispatcher.WithSeed(v.w.random.Uint64()), dispatcher.WithTakeover(v.w.faults.takeover))
 	v.step(&dispatcher.Standby{})
@@ -87,21 +87,21 @@
 }
 
 // offer shows the VM a set document.
-func (v *vm) offer(s *keeper.State) {
+func (v *vm) offer(s *replicator.State) {
 	called := v.w.stamp()
 	defer func() { v.note(use{offered: s.Ref().Revision(), called: called}) }()
 	if v.w.faults.lower {
 		v.take(s)
 		return
 	}
-	for _, a := range v.keeper.Step(v.w.now, keeper.NewChanged(storer.NewValue(s.Ref().Key(), v.w.stored[s], 1))) {
-		if t, ok := a.(*keeper.Took); ok {
+	for _, a := range v.keeper.Step(v.w.now, replicator.NewChanged(storer.NewValue(s.Ref().Key(), v.w.stored[s], 1))) {
+		if t, ok := a.(*replicator.Adopted); ok {
 			v.take(t.State())
 		}
 	}
 }
 
-func (v *vm) take(s *keeper.State) {
+func (v *vm) take(s *replicator.State) {
 	set := v.w.sets[tier.Epoch(1+(s.Ref().Revision()-1)/2)]
 	if v.set != nil && v.set.Epoch() != set.Epoch() {
 		v.former = v.set
