--- a/cicadagraded/entry/entry.go
+++ b/cicadagraded/entry/entry.go
@@ -17,12 +17,12 @@
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/balancer"
 	"cicadagrade.example/tier/budgeter"
+	"cicadagrade.example/tier/delayestimator"
 	"cicadagrade.example/tier/lister"
+	"cicadagrade.example/tier/partitioner"
 	"cicadagrade.example/tier/relayer"
 	"cicadagrade.example/tier/router"
 	"cicadagrade.example/tier/searcher"
-	"cicadagrade.example/tier/sharer"
-	"cicadagrade.example/tier/timekeeper"
 )
 
 // Entry is one VM.
@@ -50,11 +50,11 @@
 
 	// mu guards what decides: one search steps at a time.
 	mu   sync.Mutex
-	core *searcher.Core
+	core *searcher.Scheduler
 	// relayer holds what has been read of the store, for other VMs.
 	relayer *relayer.Relayer
 	// timekeeper tells how long callers have waited already.
-	timekeeper *timekeeper.Timekeeper
+	timekeeper *delayestimator.Estimator
 }
 
 // New returns a VM that is not yet serving.
@@ -65,15 +65,15 @@
 	}
 	e := &Entry{
 		meter: m, clock: clock, log: log, courier: courier.New(), peers: newPeers(),
-		stopped: make(chan struct{}), relayer: relayer.New(), timekeeper: timekeeper.New(),
+		stopped: make(chan struct{}), relayer: relayer.New(), timekeeper: delayestimator.New(),
 	}
 	e.settings.Store(s)
 	e.store = platform.NewStore(s.StoreAddress(), platform.WithTimeout(callTimeout))
 	vm := tier.NewVM(s.Name(), s.DataCentre(), s.PeerAddress(),
 		tier.WithIncarnation(tier.Incarnation(rand.Uint64())), tier.WithVMState(tier.VMLive))
-	self := sharer.NewMember(vm, s.Region(s.DataCentre()), s.Cores())
-	e.core = searcher.NewCore(lister.New(), balancer.New(e.place),
-		budgeter.New(s.RetryRatio(), s.RetrySlack(), assumedMembers), sharer.New(self))
+	self := partitioner.NewMember(vm, s.Region(s.DataCentre()), s.Cores())
+	e.core = searcher.NewScheduler(lister.New(), balancer.New(e.place),
+		budgeter.New(s.RetryRatio(), s.RetrySlack(), assumedMembers), partitioner.New(self))
 	return e, errors.Wrap(e.observe(), "New")
 }
 
@@ -81,7 +81,7 @@
 // store has told who there is.
 const assumedMembers = 10
 
-func (e *Entry) place(dataCentre string) balancer.Place {
+func (e *Entry) place(dataCentre string) balancer.Distance {
 	s := e.settings.Load()
 	switch {
 	case dataCentre == s.DataCentre():
--- a/cicadagraded/entry/handler.go
+++ b/cicadagraded/entry/handler.go
@@ -13,10 +13,10 @@
 	"cicadagrade.example/cicadagraded/courier"
 	"cicadagrade.example/platform"
 	"cicadagrade.example/tier"
+	"cicadagrade.example/tier/delayestimator"
 	"cicadagrade.example/tier/ranker"
 	"cicadagrade.example/tier/router"
 	"cicadagrade.example/tier/searcher"
-	"cicadagrade.example/tier/timekeeper"
 )
 
 const (
@@ -44,7 +44,7 @@
 	table   *router.Table
 	sender  platform.Sender
 	start   tier.Millis
-	arrival timekeeper.Arrival
+	arrival delayestimator.Arrival
 	body    []byte
 }
 
@@ -129,25 +129,25 @@
 	if !limited {
 		left = patientTime
 	}
-	trip := q.arrival.Trip()
+	trip := q.arrival.RoundTrip()
 	end := q.start + left - trip - endMargin
 	if t := q.route.Timeout(); t > 0 {
 		end = min(end, q.start+t)
 	}
 	aim := end
 	if a := q.route.Aim(); a > 0 {
-		aim = q.start + a - q.arrival.Spent() - trip - answerMargin
+		aim = q.start + a - q.arrival.Elapsed() - trip - answerMargin
 	}
 	options := []searcher.TermsOption{
-		searcher.WithAttempts(q.route.Attempts()), searcher.WithRank(q.route.Rank()),
+		searcher.WithMaxAttempts(q.route.Attempts()), searcher.WithRank(q.route.Rank()),
 	}
 	if q.route.Repeatable() {
-		options = append(options, searcher.Repeatable())
+		options = append(options, searcher.Idempotent())
 	}
 	if q.route.Scattered() {
-		options = append(options, searcher.WithMinimum(q.route.MinimumParts()))
+		options = append(options, searcher.WithMinimumParts(q.route.MinimumParts()))
 	} else {
-		options = append(options, searcher.PassFailures())
+		options = append(options, searcher.ForwardFailures())
 	}
 	return searcher.NewTerms(q.route.Name(), aim, end, options...)
 }
@@ -156,7 +156,7 @@
 func (e *Entry) scatter(w http.ResponseWriter, r *http.Request, q *request, m *courier.Message) {
 	shards := q.route.Shards()
 	e.mu.Lock()
-	hopeless := e.core.Forecaster().Hopeless(q.start, shards, q.route.MinimumParts(), q.arrival.CameBack(), rand.Float64())
+	hopeless := e.core.Forecaster().LikelyToFail(q.start, shards, q.route.MinimumParts(), q.arrival.IsRetry(), rand.Float64())
 	e.mu.Unlock()
 	if hopeless {
 		e.meter.Ended(q.route.Name(), strconv.Itoa(q.route.Rank()), "shards-missing", 0)
@@ -258,14 +258,14 @@
 	took := e.clock.Now() - q.start
 	e.meter.Ended(q.route.Name(), strconv.Itoa(q.route.Rank()), cause, took)
 	e.count(o)
-	if o.Cause() == searcher.Complete && o.Extra() == 0 && status < 300 && took <= q.route.Aim() {
+	if o.Cause() == searcher.Complete && o.ExtraCalls() == 0 && status < 300 && took <= q.route.Aim() {
 		return
 	}
 	e.log.Request("request-ended", "request", q.sender.Attempt(), "route", q.route.Name(),
 		"version", q.table.Version(), "status", status, "cause", cause, "took-ms", int64(took),
-		"aim-ms", int64(q.route.Aim()), "spent-ms", int64(q.arrival.Spent()), "trip-ms", int64(q.arrival.Trip()),
+		"aim-ms", int64(q.route.Aim()), "spent-ms", int64(q.arrival.Elapsed()), "trip-ms", int64(q.arrival.RoundTrip()),
 		"missing", o.Missing(), "of", max(1, len(q.route.Shards())),
-		"shares", len(o.Shares()), "calls", o.Sent(), "extra", o.Extra(),
+		"shares", len(o.Shares()), "calls", o.CallsSent(), "extra", o.ExtraCalls(),
 		"may-have-run", o.MayHaveRun(), "view-age-ms", int64(e.viewAge()), "misses", missText(o))
 }
 
--- a/cicadagraded/entry/run.go
+++ b/cicadagraded/entry/run.go
@@ -11,8 +11,8 @@
 	"cicadagrade.example/platform"
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/balancer"
+	"cicadagrade.example/tier/partitioner"
 	"cicadagrade.example/tier/searcher"
-	"cicadagrade.example/tier/sharer"
 )
 
 // freshConnection is the longest idle time of a connection for a request that
@@ -45,16 +45,16 @@
 
 // newRun returns a run of a search over services.
 func (e *Entry) newRun(attempt string, repeatable bool, m *courier.Message, terms searcher.Terms,
-	services []string, shares []sharer.Share,
+	services []string, shares []partitioner.Share,
 ) *run {
 	r := &run{
 		entry: e, attempt: attempt, repeatable: repeatable, message: m,
-		search:  searcher.New(e.core, terms, services, shares),
+		search:  searcher.NewSearch(e.core, terms, services, shares),
 		events:  make(chan event, len(services)+eventBuffer),
 		woken:   make(chan struct{}, 1),
 		cancels: make(map[int]context.CancelFunc, len(services)),
 	}
-	r.search.Attach(r)
+	r.search.SetUserData(r)
 	return r
 }
 
@@ -76,7 +76,7 @@
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for !r.done {
-		timer.Reset(max(0, r.search.Next()-e.clock.Now()).Duration() + time.Millisecond/2)
+		timer.Reset(max(0, r.search.NextTick()-e.clock.Now()).Duration() + time.Millisecond/2)
 		select {
 		case advance := <-r.events:
 			r.step(ctx, advance)
@@ -108,7 +108,7 @@
 	woken := e.core.TakeWoken()
 	e.mu.Unlock()
 	for _, s := range woken {
-		s.Attached().(*run).wake()
+		s.UserData().(*run).wake()
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -125,9 +125,9 @@
 			if recall, ok := r.recalls[a.Share]; ok {
 				recall()
 				delete(r.recalls, a.Share)
-				if a.Silent {
+				if a.TimedOut {
 					e.peers.drop(a.Member.VM().Address())
-					e.log.Request("share-taken-back", "request", r.attempt, "peer", a.Member.VM().Name(), "had-got-it", a.Got)
+					e.log.Request("share-taken-back", "request", r.attempt, "peer", a.Member.VM().Name(), "had-got-it", a.Accepted)
 				}
 			}
 		case searcher.Flush:
@@ -164,7 +164,7 @@
 		}
 		result := classify(reply, err)
 		r.tell(searching, func(s *searcher.Search, now tier.Millis) []searcher.Action {
-			return s.Ended(now, a.Call, result)
+			return s.CallEnded(now, a.Call, result)
 		})
 	})
 }
@@ -176,11 +176,11 @@
 	switch {
 	case errors.As(err, &notSent):
 		if notSent.Dialled() {
-			return searcher.NotRun{Reason: searcher.BrokenAtStart}
+			return searcher.NotRun{Reason: searcher.DeadConnection}
 		}
 		return searcher.NotRun{Reason: searcher.NoConnection}
 	case errors.As(err, &lost):
-		return searcher.Lost{Cause: err.Error(), Fresh: lost.Fresh()}
+		return searcher.Lost{Cause: err.Error(), NewConnection: lost.Fresh()}
 	}
 	head := platform.ReadLeafReply(reply.Status(), reply.Header())
 	switch {
--- a/cicadagraded/entry/view.go
+++ b/cicadagraded/entry/view.go
@@ -13,7 +13,7 @@
 	"cicadagrade.example/platform"
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/lister"
-	"cicadagrade.example/tier/sharer"
+	"cicadagrade.example/tier/partitioner"
 	"cicadagrade.example/tier/storer"
 )
 
@@ -83,7 +83,7 @@
 		e.log.Fault("store-lost", "error", err, "view-age-ms", int64(e.viewAge()))
 	}
 	e.mu.Lock()
-	sound := e.core.Sharer().Sound()
+	sound := e.core.Partitioner().HealthyPeers()
 	e.mu.Unlock()
 	rand.Shuffle(len(sound), func(i, j int) { sound[i], sound[j] = sound[j], sound[i] })
 	for _, m := range sound[:min(len(sound), fetchTries)] {
@@ -93,21 +93,21 @@
 		}
 	}
 	e.mu.Lock()
-	e.core.Lister().Lost()
+	e.core.Lister().StoreUnavailable()
 	e.mu.Unlock()
 	return err
 }
 
 // followed picks the VM to follow, unless this one watches the store itself.
-func (e *Entry) followed() (sharer.Member, bool) {
+func (e *Entry) followed() (partitioner.Member, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s := e.core.Sharer()
-	list := s.Watchers()
-	var near []sharer.Member
+	s := e.core.Partitioner()
+	list := s.StoreWatchers()
+	var near []partitioner.Member
 	for _, m := range list {
 		if m.VM().Name() == s.Self().VM().Name() {
-			return sharer.Member{}, false
+			return partitioner.Member{}, false
 		}
 		if m.Region() == s.Self().Region() {
 			near = append(near, m)
@@ -117,7 +117,7 @@
 		list = near
 	}
 	if len(list) == 0 {
-		return sharer.Member{}, false
+		return partitioner.Member{}, false
 	}
 	return list[rand.IntN(len(list))], true
 }
@@ -180,7 +180,7 @@
 }
 
 // follow takes what another VM has read since, if that is fresh enough.
-func (e *Entry) follow(ctx context.Context, m sharer.Member, oldest tier.Millis) error {
+func (e *Entry) follow(ctx context.Context, m partitioner.Member, oldest tier.Millis) error {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout.Duration())
 	defer cancel()
 	e.mu.Lock()
@@ -192,7 +192,7 @@
 			e.peers.drop(m.VM().Address())
 		}
 		e.mu.Lock()
-		e.core.Sharer().Failed(e.clock.Now(), m.VM().Name())
+		e.core.Partitioner().Failed(e.clock.Now(), m.VM().Name())
 		e.mu.Unlock()
 		e.log.Request("fetch-failed", "peer", m.VM().Name(), "error", err)
 		return errors.Wrap(err, "Entry.follow")
@@ -228,7 +228,7 @@
 	if reply.Revision == 0 || c.Msg.GetAfter() > reply.Revision {
 		return connect.NewResponse(reply), nil
 	}
-	list, whole := e.relayer.Since(c.Msg.GetAfter())
+	list, whole := e.relayer.ChangesSince(c.Msg.GetAfter())
 	reply.Whole = whole
 	for _, v := range list {
 		reply.Items = append(reply.Items, &gatherv1.Item{Key: v.Key(), Value: v.Data(), Revision: v.Revision()})
@@ -290,7 +290,7 @@
 	}
 	e.table.Store(t)
 	e.mu.Lock()
-	e.core.Budgeter().Forget(e.clock.Now(), t.Uses)
+	e.core.Budgeter().ForgetUnused(e.clock.Now(), t.Uses)
 	e.mu.Unlock()
 	from := int64(0)
 	if old != nil {
@@ -320,7 +320,7 @@
 	entry := e.decodeLeaf(c)
 	changed := e.core.Lister().Put(now, entry)
 	if entry.Readable() {
-		e.core.Balancer().Heard(now, entry.Leaf())
+		e.core.Balancer().Registered(now, entry.Leaf())
 	}
 	return changed
 }
@@ -330,14 +330,14 @@
 func (e *Entry) settleView() {
 	e.mu.Lock()
 	e.core.Lister().Tick(e.clock.Now())
-	e.core.Sharer().Tick(e.clock.Now())
-	changes := e.core.Lister().Changes()
+	e.core.Partitioner().Tick(e.clock.Now())
+	changes := e.core.Lister().TakeChanges()
 	for _, c := range changes {
 		if c.State() == lister.StateGone {
 			e.core.Balancer().Forget(c.Leaf().ID())
 		}
 	}
-	isolated := e.viewAge() > isolatedAfter && e.core.Sharer().Len() > 1 && len(e.core.Sharer().Sound()) == 0
+	isolated := e.viewAge() > isolatedAfter && e.core.Partitioner().MemberCount() > 1 && len(e.core.Partitioner().HealthyPeers()) == 0
 	e.mu.Unlock()
 	e.courier.Sweep()
 	if e.isolated.Swap(isolated) != isolated {
@@ -387,7 +387,7 @@
 // reached says that the view holds everything up to a revision, as of an age.
 func (e *Entry) reached(revision int64, age tier.Millis) {
 	e.mu.Lock()
-	e.relayer.Reached(revision)
+	e.relayer.AdvanceTo(revision)
 	e.mu.Unlock()
 	if at := int64(e.clock.Now() - age); at > e.seen.Load() {
 		e.seen.Store(at)
--- a/tier/balancer/balancer.go
+++ b/tier/balancer/balancer.go
@@ -76,11 +76,11 @@
 	resetWindow = 600 * tier.Millisecond
 )
 
-// Room reports whether a leaf may get another call. owner says that this VM owns the
+// HasCapacity reports whether a leaf may get another call. owner says that this VM owns the
 // leaf's service.
-func (b *Balancer) Room(now tier.Millis, leaf lister.Leaf, owner bool) bool {
+func (b *Balancer) HasCapacity(now tier.Millis, leaf lister.Leaf, owner bool) bool {
 	s, ok := b.leafs[leaf.ID()]
-	if !ok || s.startTime != leaf.Life() {
+	if !ok || s.startTime != leaf.StartTime() {
 		return true
 	}
 	limit := leaf.Slots()
@@ -93,12 +93,12 @@
 	return s.inFlight < limit
 }
 
-// Place is how far away a data centre is.
-type Place int
+// Distance is how far away a data centre is.
+type Distance int
 
 // Values of Distance, nearest first.
 const (
-	SameDataCentre Place = iota
+	SameDataCentre Distance = iota
 	SameRegion
 	OtherRegion
 )
@@ -129,44 +129,48 @@
 // Balancer holds what one VM has observed of leafs. It is not safe for concurrent
 // use.
 type Balancer struct {
-	distance      func(dataCentre string) Place
+	distance      func(dataCentre string) Distance
 	leafs         map[string]*leafState
 	baseLatencies map[latencyKey]float64
 }
 
 // New returns a balancer. distance classifies data centres by their distance from
 // this VM.
-func New(distance func(dataCentre string) Place) *Balancer {
+func New(distance func(dataCentre string) Distance) *Balancer {
 	return &Balancer{distance: distance, leafs: map[string]*leafState{}, baseLatencies: map[latencyKey]float64{}}
 }
 
 func (b *Balancer) stateOf(leaf lister.Leaf) *leafState {
 	s, ok := b.leafs[leaf.ID()]
-	if !ok || s.startTime != leaf.Life() {
-		s = &leafState{startTime: leaf.Life(), refusedAt: longAgo, resetAt: longAgo}
+	if !ok || s.startTime != leaf.StartTime() {
+		s = &leafState{startTime: leaf.StartTime(), refusedAt: longAgo, resetAt: longAgo}
 		b.leafs[leaf.ID()] = s
 	}
 	return s
 }
 
-// Heard handles a leaf's registration: it makes a misdirected leaf usable again and
+// Registered handles a leaf's registration: it makes a misdirected leaf usable again and
 // starts a cold period.
-func (b *Balancer) Heard(now tier.Millis, leaf lister.Leaf) {
+func (b *Balancer) Registered(now tier.Millis, leaf lister.Leaf) {
 	s := b.stateOf(leaf)
 	s.misdirectedUntil = 0
-	if leaf.Cold() > 0 {
-		s.coldUntil = now + leaf.Cold()
+	if leaf.ColdRemaining() > 0 {
+		s.coldUntil = now + leaf.ColdRemaining()
 	}
 }
 
 // Forget drops the state of a leaf that is gone.
 func (b *Balancer) Forget(id string) { delete(b.leafs, id) }
 
-// Near reports whether a leaf is in this VM's region.
-func (b *Balancer) Near(leaf lister.Leaf) bool { return b.distance(leaf.DataCentre()) != OtherRegion }
+// InRegion reports whether a leaf is in this VM's region.
+func (b *Balancer) InRegion(leaf lister.Leaf) bool {
+	return b.distance(leaf.DataCentre()) != OtherRegion
+}
 
-// Usual is the latency of a healthy leaf in the leaf's data centre, in milliseconds.
-func (b *Balancer) Usual(class string, leaf lister.Leaf) float64 { return b.baseLatency(class, leaf) }
+// BaseLatency is the latency of a healthy leaf in the leaf's data centre, in milliseconds.
+func (b *Balancer) BaseLatency(class string, leaf lister.Leaf) float64 {
+	return b.baseLatency(class, leaf)
+}
 
 // baseLatency is the moving average of a data centre, or a default before the first
 // measurement.
@@ -180,12 +184,12 @@
 	return defaultNearLatencyMs
 }
 
-// Expected is the expected latency of a call to the leaf now, in milliseconds, with
+// ExpectedCost is the expected latency of a call to the leaf now, in milliseconds, with
 // the costs of failures and refusals added.
-func (b *Balancer) Expected(now tier.Millis, class string, leaf lister.Leaf) float64 {
+func (b *Balancer) ExpectedCost(now tier.Millis, class string, leaf lister.Leaf) float64 {
 	base := b.baseLatency(class, leaf)
 	s, ok := b.leafs[leaf.ID()]
-	if !ok || s.startTime != leaf.Life() {
+	if !ok || s.startTime != leaf.StartTime() {
 		return base
 	}
 	cost := base + decayed(s.excessMs, now-s.excessAt, excessHalfLifeMs)
@@ -212,13 +216,13 @@
 func (b *Balancer) Pick(now tier.Millis, class string, list []lister.Leaf, usable func(lister.Leaf) bool) (lister.Leaf, float64, bool) {
 	best, lowestCost, found := lister.Leaf{}, 0.0, false
 	for _, leaf := range list {
-		if s, ok := b.leafs[leaf.ID()]; ok && s.startTime == leaf.Life() && now < s.misdirectedUntil {
+		if s, ok := b.leafs[leaf.ID()]; ok && s.startTime == leaf.StartTime() && now < s.misdirectedUntil {
 			continue
 		}
 		if usable != nil && !usable(leaf) {
 			continue
 		}
-		if cost := b.Expected(now, class, leaf); !found || cost < lowestCost {
+		if cost := b.ExpectedCost(now, class, leaf); !found || cost < lowestCost {
 			best, lowestCost, found = leaf, cost, true
 		}
 	}
@@ -262,8 +266,8 @@
 	s.failureRate, s.failureRateAt = 1, now
 }
 
-// Crowded records a call whose new connection the leaf reset.
-func (b *Balancer) Crowded(now tier.Millis, leaf lister.Leaf) {
+// ConnectionReset records a call whose new connection the leaf reset.
+func (b *Balancer) ConnectionReset(now tier.Millis, leaf lister.Leaf) {
 	s := b.endCall(now, leaf)
 	s.resetAt, s.refusedAt = now, now
 }
--- a/tier/balancer/balancer_test.go
+++ b/tier/balancer/balancer_test.go
@@ -22,14 +22,14 @@
 )
 
 func newSimulation() *simulation {
-	s := &simulation{b: New(func(dataCentre string) Place {
+	s := &simulation{b: New(func(dataCentre string) Distance {
 		if dataCentre == "near" {
 			return SameDataCentre
 		}
 		return OtherRegion
 	})}
 	for _, name := range []string{"near", "far"} {
-		s.leafs = append(s.leafs, lister.NewLeaf(name, "s", name+":1", lister.In(name), lister.WithSlots(2)))
+		s.leafs = append(s.leafs, lister.NewLeaf(name, "s", name+":1", lister.InDataCentre(name), lister.WithSlots(2)))
 	}
 	return s
 }
@@ -127,7 +127,7 @@
 	if leaf, _, _ := s.b.Pick(10, "class", s.leafs, nil); leaf.ID() != "far" {
 		t.Errorf("the call went to %s", leaf.ID())
 	}
-	restarted := lister.NewLeaf("near", "s", "near:1", lister.In("near"), lister.Born(7))
+	restarted := lister.NewLeaf("near", "s", "near:1", lister.InDataCentre("near"), lister.StartedAt(7))
 	if leaf, _, _ := s.b.Pick(20, "class", []lister.Leaf{restarted, s.leafs[1]}, nil); leaf.ID() != "near" {
 		t.Errorf("the restarted leaf is skipped for %s", leaf.ID())
 	}
@@ -137,7 +137,7 @@
 	s := newSimulation()
 	leaf := s.leafs[0]
 	sent := 0
-	for s.b.Room(0, leaf, true) {
+	for s.b.HasCapacity(0, leaf, true) {
 		s.b.Sent(0, leaf)
 		sent++
 	}
@@ -145,13 +145,13 @@
 		t.Errorf("an owner may send %d calls to a leaf with %d slots", sent, leaf.Slots())
 	}
 	for range sent {
-		s.b.Crowded(0, leaf)
+		s.b.ConnectionReset(0, leaf)
 	}
 	s.b.Sent(0, leaf)
-	if s.b.Room(1, leaf, true) {
+	if s.b.HasCapacity(1, leaf, true) {
 		t.Error("a second call is allowed to a leaf that resets connections")
 	}
-	if !s.b.Room(resetWindow, leaf, true) {
+	if !s.b.HasCapacity(resetWindow, leaf, true) {
 		t.Error("the limit lasts longer than resetWindow")
 	}
 }
--- a/tier/budgeter/budgeter.go
+++ b/tier/budgeter/budgeter.go
@@ -51,8 +51,8 @@
 // Configure changes the budget.
 func (b *Budgeter) Configure(ratio, slack float64) { b.ratio, b.slack = ratio, slack }
 
-// SetMembers sets the number of VMs among which the slack is divided.
-func (b *Budgeter) SetMembers(n int) { b.vms = max(n, 1) }
+// SetVMs sets the number of VMs among which the slack is divided.
+func (b *Budgeter) SetVMs(n int) { b.vms = max(n, 1) }
 
 // capacity is the number of tokens that a bucket can accumulate. The extra calls of
 // a window are at most this and the ratio of its requests.
@@ -79,9 +79,9 @@
 	return bk
 }
 
-// First counts the first call of a request to a service. owners is the number of VMs
+// CountRequest counts the first call of a request to a service. owners is the number of VMs
 // that own the service, or 0 if this VM is not one of them.
-func (b *Budgeter) First(service string, owners int) {
+func (b *Budgeter) CountRequest(service string, owners int) {
 	bk := b.bucket(service)
 	bk.owners = owners
 	bk.tokens = min(b.capacity(bk), bk.tokens+b.ratio*ratioFraction)
@@ -99,10 +99,10 @@
 	return true
 }
 
-// Forget drops buckets that have been unused for unusedBucketTTL. It is called with
+// ForgetUnused drops buckets that have been unused for unusedBucketTTL. It is called with
 // each new configuration. A service that returns earlier keeps its bucket: a full
 // one at each change would exceed the budget.
-func (b *Budgeter) Forget(now tier.Millis, used func(service string) bool) {
+func (b *Budgeter) ForgetUnused(now tier.Millis, used func(service string) bool) {
 	for service, bk := range b.buckets {
 		switch {
 		case used(service):
@@ -118,8 +118,8 @@
 // Denied is the number of extra calls that were not granted.
 func (b *Budgeter) Denied() int64 { return b.denied }
 
-// Least is the number of tokens in the emptiest bucket.
-func (b *Budgeter) Least() float64 {
+// FewestTokens is the number of tokens in the emptiest bucket.
+func (b *Budgeter) FewestTokens() float64 {
 	if len(b.buckets) == 0 {
 		return 0
 	}
@@ -130,5 +130,5 @@
 	return fewest
 }
 
-// Left is the number of tokens in the bucket of a service.
-func (b *Budgeter) Left(service string) float64 { return b.bucket(service).tokens }
+// Tokens is the number of tokens in the bucket of a service.
+func (b *Budgeter) Tokens(service string) float64 { return b.bucket(service).tokens }
--- a/tier/budgeter/budgeter_test.go
+++ b/tier/budgeter/budgeter_test.go
@@ -28,7 +28,7 @@
 				owners[n/300%2] = random.IntN(vms) // the former owner failed
 			}
 			b := budgeters[owners[n%2]]
-			b.First("s", 2)
+			b.CountRequest("s", 2)
 			for b.Take("s") {
 				extra++
 			}
@@ -45,7 +45,7 @@
 
 func TestZeroBudgetGrantsNoExtraCall(t *testing.T) {
 	b := New(0, 0, 1)
-	b.First("s", 1)
+	b.CountRequest("s", 1)
 	if b.Take("s") {
 		t.Error("an extra call is granted without budget")
 	}
@@ -54,7 +54,7 @@
 func TestOwnerCanHedgeThroughALeafPause(t *testing.T) {
 	b := New(0.2, 54, 10)
 	for range 200 {
-		b.First("s", 2)
+		b.CountRequest("s", 2)
 	}
 	taken := 0
 	for b.Take("s") {
@@ -74,12 +74,12 @@
 	for b.Take("s") {
 	}
 	for now := tier.Millis(0); now < unusedBucketTTL; now += tier.Second {
-		b.Forget(now, noneUsed)
+		b.ForgetUnused(now, noneUsed)
 		if b.Take("s") {
 			t.Fatalf("after %d ms a service that was unused got new tokens", now)
 		}
 	}
-	b.Forget(unusedBucketTTL+1, noneUsed)
+	b.ForgetUnused(unusedBucketTTL+1, noneUsed)
 	if n := len(b.buckets); n > 0 {
 		t.Errorf("%d unused buckets are kept", n)
 	}
--- a/tier/timekeeper/estimator.go
+++ b/tier/delayestimator/estimator.go
@@ -1,7 +1,7 @@
-// Package timekeeper estimates how much time a caller had already spent when its
+// Package delayestimator estimates how much time a caller had already spent when its
 // request arrived, and how long request and answer travel. Callers only state how
 // much time they have left when they send.
-package timekeeper
+package delayestimator
 
 import "cicadagrade.example/tier"
 
@@ -37,28 +37,28 @@
 	isRetry   bool
 }
 
-// Spent is the time that the caller had spent before it sent the request.
-func (a Arrival) Spent() tier.Millis { return a.elapsed }
+// Elapsed is the time that the caller had spent before it sent the request.
+func (a Arrival) Elapsed() tier.Millis { return a.elapsed }
 
-// Trip is the time that the request and its answer travel.
-func (a Arrival) Trip() tier.Millis { return a.roundTrip }
+// RoundTrip is the time that the request and its answer travel.
+func (a Arrival) RoundTrip() tier.Millis { return a.roundTrip }
 
-// CameBack reports whether the request is a retry by its caller.
-func (a Arrival) CameBack() bool { return a.isRetry }
+// IsRetry reports whether the request is a retry by its caller.
+func (a Arrival) IsRetry() bool { return a.isRetry }
 
-// Timekeeper holds what is needed to recognise retries. It is not safe for
+// Estimator holds what is needed to recognise retries. It is not safe for
 // concurrent use.
-type Timekeeper struct {
+type Estimator struct {
 	maxTimeLeft map[string]tier.Millis // longest time left of any request, by route
 }
 
 // New returns an estimator without observations.
-func New() *Timekeeper { return &Timekeeper{maxTimeLeft: map[string]tier.Millis{}} }
+func New() *Estimator { return &Estimator{maxTimeLeft: map[string]tier.Millis{}} }
 
-// Arrived records a request on a connection and returns its estimates. left is the
+// RequestArrived records a request on a connection and returns its estimates. left is the
 // time that the caller has left, if limited. A caller that opens a connection for a
 // request has spent a round trip on that.
-func (e *Timekeeper) Arrived(now tier.Millis, conn *Connection, route string, left tier.Millis, limited bool) Arrival {
+func (e *Estimator) RequestArrived(now tier.Millis, conn *Connection, route string, left tier.Millis, limited bool) Arrival {
 	a := Arrival{roundTrip: conn.roundTrip}
 	if !conn.used && now-conn.openedAt <= connectionSetupWindow {
 		a.elapsed = conn.roundTrip
--- a/tier/timekeeper/estimator_test.go
+++ b/tier/delayestimator/estimator_test.go
@@ -1,4 +1,4 @@
-package timekeeper
+package delayestimator
 
 import (
 	"fmt"
@@ -39,8 +39,8 @@
 			if words[4] != "-" {
 				left = number(words[4])
 			}
-			arrival := estimator.Arrived(number(words[2]), conns[words[1]], words[3], left, words[4] != "-")
-			fmt.Fprintf(&out, "  elapsed %d, round trip %d, retry %t\n", arrival.Spent(), arrival.Trip(), arrival.CameBack())
+			arrival := estimator.RequestArrived(number(words[2]), conns[words[1]], words[3], left, words[4] != "-")
+			fmt.Fprintf(&out, "  elapsed %d, round trip %d, retry %t\n", arrival.Elapsed(), arrival.RoundTrip(), arrival.IsRetry())
 		}
 	}
 	goldie.New(t).Assert(t, "arrivals", []byte(out.String()))
@@ -49,7 +49,7 @@
 func TestTrackedRoutesAreBounded(t *testing.T) {
 	estimator := New()
 	for i := range 3 * maxTrackedRoutes {
-		estimator.Arrived(0, NewConnection(0, 0), strconv.Itoa(i), 1000, true)
+		estimator.RequestArrived(0, NewConnection(0, 0), strconv.Itoa(i), 1000, true)
 	}
 	if len(estimator.maxTimeLeft) > maxTrackedRoutes+1 {
 		t.Errorf("%d routes are tracked", len(estimator.maxTimeLeft))
--- a/tier/forecaster/forecaster.go
+++ b/tier/forecaster/forecaster.go
@@ -47,8 +47,8 @@
 // New returns a forecaster without observations.
 func New() *Forecaster { return &Forecaster{shards: map[string]*shardStats{}} }
 
-// Missed records that a shard did not answer by the target time of a request.
-func (f *Forecaster) Missed(now tier.Millis, name string) {
+// RecordMissed records that a shard did not answer by the target time of a request.
+func (f *Forecaster) RecordMissed(now tier.Millis, name string) {
 	s, ok := f.shards[name]
 	if !ok {
 		s = &shardStats{}
@@ -58,8 +58,8 @@
 	s.missRate, s.updatedAt = rate+missRateWeight*(1-rate), now
 }
 
-// Came records that a shard answered by the target time of a request.
-func (f *Forecaster) Came(now tier.Millis, name string) {
+// RecordArrived records that a shard answered by the target time of a request.
+func (f *Forecaster) RecordArrived(now tier.Millis, name string) {
 	s, ok := f.shards[name]
 	if !ok {
 		return
@@ -71,10 +71,10 @@
 	}
 }
 
-// Hopeless reports whether a request that needs minimum of the shards is likely not
+// LikelyToFail reports whether a request that needs minimum of the shards is likely not
 // to get them. Retries of callers and a fraction of the other requests are tried
 // nevertheless; random is uniform in [0, 1).
-func (f *Forecaster) Hopeless(now tier.Millis, shards []string, minimum int, isRetry bool, random float64) bool {
+func (f *Forecaster) LikelyToFail(now tier.Millis, shards []string, minimum int, isRetry bool, random float64) bool {
 	if len(f.shards) == 0 || isRetry {
 		return false
 	}
--- a/tier/forecaster/forecaster_test.go
+++ b/tier/forecaster/forecaster_test.go
@@ -39,7 +39,7 @@
 	s.refused, s.served, s.wasted = 0, 0, 0
 	for range requestsPerSecond * seconds {
 		s.now += tier.Second / requestsPerSecond
-		if s.forecaster.Hopeless(s.now, s.shards, minimumShards, false, s.random.Float64()) {
+		if s.forecaster.LikelyToFail(s.now, s.shards, minimumShards, false, s.random.Float64()) {
 			s.refused++
 			continue
 		}
@@ -47,10 +47,10 @@
 		for i, name := range s.shards {
 			// One answer in fifty is late because its leaf pauses.
 			if i < s.deadShards || s.random.IntN(50) == 0 {
-				s.forecaster.Missed(s.now, name)
+				s.forecaster.RecordMissed(s.now, name)
 				continue
 			}
-			s.forecaster.Came(s.now, name)
+			s.forecaster.RecordArrived(s.now, name)
 			arrived++
 		}
 		if arrived >= minimumShards {
@@ -83,7 +83,7 @@
 	if s.wasted > requestsPerSecond*seconds*2/5 {
 		t.Errorf("%d of %d requests were tried and failed", s.wasted, requestsPerSecond*seconds)
 	}
-	if s.forecaster.Hopeless(s.now, s.shards, minimumShards, true, 1) {
+	if s.forecaster.LikelyToFail(s.now, s.shards, minimumShards, true, 1) {
 		t.Error("a retry of a refused request is refused again")
 	}
 	// Trial requests detect the recovery within two seconds.
--- a/tier/lister/leaf.go
+++ b/tier/lister/leaf.go
@@ -26,8 +26,8 @@
 	return l
 }
 
-// In sets the data centre.
-func In(dataCentre string) Option { return func(l *Leaf) { l.dataCentre = dataCentre } }
+// InDataCentre sets the data centre.
+func InDataCentre(dataCentre string) Option { return func(l *Leaf) { l.dataCentre = dataCentre } }
 
 // WithSlots sets how many requests it processes concurrently.
 func WithSlots(n int) Option { return func(l *Leaf) { l.slots = max(n, 1) } }
@@ -35,12 +35,14 @@
 // Leaving marks a leaf that has announced its shutdown.
 func Leaving() Option { return func(l *Leaf) { l.leaving = true } }
 
-// ColdFor sets how much longer it is slow after its start.
-func ColdFor(remaining tier.Millis) Option { return func(l *Leaf) { l.coldRemaining = remaining } }
+// WithColdRemaining sets how much longer it is slow after its start.
+func WithColdRemaining(remaining tier.Millis) Option {
+	return func(l *Leaf) { l.coldRemaining = remaining }
+}
 
-// Born sets the Unix time of its start in milliseconds. A registration of the same
+// StartedAt sets the Unix time of its start in milliseconds. A registration of the same
 // id with another start time is of a restarted server.
-func Born(unixMillis int64) Option { return func(l *Leaf) { l.startTime = unixMillis } }
+func StartedAt(unixMillis int64) Option { return func(l *Leaf) { l.startTime = unixMillis } }
 
 // ID is the id under which it registered.
 func (l Leaf) ID() string { return l.id }
@@ -60,12 +62,12 @@
 // IsLeaving reports whether it has announced its shutdown.
 func (l Leaf) IsLeaving() bool { return l.leaving }
 
-// Cold is how much longer it is slow, counted from its registration.
-func (l Leaf) Cold() tier.Millis { return l.coldRemaining }
+// ColdRemaining is how much longer it is slow, counted from its registration.
+func (l Leaf) ColdRemaining() tier.Millis { return l.coldRemaining }
 
-// Life is the Unix time of its start in milliseconds. It tells a restarted server
+// StartTime is the Unix time of its start in milliseconds. It tells a restarted server
 // from the former one with the same id.
-func (l Leaf) Life() int64 { return l.startTime }
+func (l Leaf) StartTime() int64 { return l.startTime }
 
 // equalIgnoringCold compares all fields but the remaining cold time, which runs out
 // without a registration.
--- a/tier/lister/lister.go
+++ b/tier/lister/lister.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// Lost records that the store cannot be read.
-func (l *Lister) Lost() { l.storeDown, l.inReturnWindow = true, false }
+// StoreUnavailable records that the store cannot be read.
+func (l *Lister) StoreUnavailable() { l.storeDown, l.inReturnWindow = true, false }
 
 // Replace replaces the whole list by the entries in the store.
 func (l *Lister) Replace(now tier.Millis, entries []Entry) {
@@ -208,8 +208,8 @@
 // slice.
 func (l *Lister) Leafs(service string) []Leaf { return l.usableByService[service] }
 
-// Usable is the number of usable leafs.
-func (l *Lister) Usable() int {
+// UsableCount is the number of usable leafs.
+func (l *Lister) UsableCount() int {
 	count := 0
 	for _, list := range l.usableByService {
 		count += len(list)
@@ -220,8 +220,8 @@
 // Len is the number of entries, usable or not.
 func (l *Lister) Len() int { return len(l.registrations) }
 
-// Changes returns the changes since the last call.
-func (l *Lister) Changes() []Change {
+// TakeChanges returns the changes since the last call.
+func (l *Lister) TakeChanges() []Change {
 	c := l.changes
 	l.changes = nil
 	return c
--- a/tier/lister/lister_test.go
+++ b/tier/lister/lister_test.go
@@ -28,16 +28,16 @@
 
 func TestLeavingLastsUntilTheServerRestarts(t *testing.T) {
 	l := New()
-	l.Put(0, entry("a", 1, Born(5)))
-	l.Put(1, entry("a", 2, Born(5), Leaving()))
+	l.Put(0, entry("a", 1, StartedAt(5)))
+	l.Put(1, entry("a", 2, StartedAt(5), Leaving()))
 	expectUsable(t, l, "", "leaving")
-	l.Put(2, entry("a", 1, Born(5)))
+	l.Put(2, entry("a", 1, StartedAt(5)))
 	expectUsable(t, l, "", "an older write is delivered late")
-	l.Put(3, entry("a", 9, Born(5)))
+	l.Put(3, entry("a", 9, StartedAt(5)))
 	expectUsable(t, l, "", "a later write does not say leaving")
-	l.Put(4, entry("a", 1, Born(6)))
+	l.Put(4, entry("a", 1, StartedAt(6)))
 	expectUsable(t, l, "a", "restarted, with a new sequence")
-	l.Put(5, entry("a", 50, Born(5), Leaving()))
+	l.Put(5, entry("a", 50, StartedAt(5), Leaving()))
 	expectUsable(t, l, "a", "the last write before the restart is delivered late")
 }
 
@@ -47,7 +47,7 @@
 	l.Remove(10, "servers/b")
 	expectUsable(t, l, "a", "a removal while the store is available")
 	l.Put(11, entry("b", 2))
-	l.Lost()
+	l.StoreUnavailable()
 	expectUsable(t, l, "a b", "the store is unavailable")
 	l.Replace(1000, nil)
 	expectUsable(t, l, "a b", "the store is available again, but empty")
@@ -62,8 +62,8 @@
 
 func TestAddressBelongsToTheLastServerToRegister(t *testing.T) {
 	l := New()
-	l.Put(0, NewEntry("servers/old", NewLeaf("old", "s", "x:1", Born(1)), 1))
-	l.Put(1, NewEntry("servers/new", NewLeaf("new", "other", "x:1", Born(2)), 1))
+	l.Put(0, NewEntry("servers/old", NewLeaf("old", "s", "x:1", StartedAt(1)), 1))
+	l.Put(1, NewEntry("servers/new", NewLeaf("new", "other", "x:1", StartedAt(2)), 1))
 	expectUsable(t, l, "", "a leaf of another service has the address")
 	if n := len(l.Leafs("other")); n != 1 {
 		t.Errorf("%d leafs of the new service, expected 1", n)
@@ -86,13 +86,13 @@
 	if l.Put(1, entry("a", 2)) {
 		t.Error("a renewed registration is reported as a change")
 	}
-	if l.Put(2, entry("a", 3, ColdFor(100*tier.Millisecond))) {
+	if l.Put(2, entry("a", 3, WithColdRemaining(100*tier.Millisecond))) {
 		t.Error("the remaining cold time is reported as a change")
 	}
 	l.Put(3, entry("a", 4, Leaving()))
 	l.Remove(4, "servers/a")
 	var states []string
-	for _, c := range l.Changes() {
+	for _, c := range l.TakeChanges() {
 		states = append(states, c.State())
 	}
 	if got := strings.Join(states, " "); got != "ready leaving gone" {
--- a/tier/sharer/partition.go
+++ b/tier/partitioner/partition.go
@@ -1,4 +1,4 @@
-package sharer
+package partitioner
 
 import (
 	"math"
@@ -26,16 +26,16 @@
 // Parts are the indexes of the shards in the request.
 func (s Share) Parts() []int { return s.parts }
 
-// Place is the data centre and region of a leaf.
-type Place struct {
+// Location is the data centre and region of a leaf.
+type Location struct {
 	DataCentre, Region string
 }
 
-// Divide assigns each shard of a request to a VM. A shard with a leaf in this VM's
+// Partition assigns each shard of a request to a VM. A shard with a leaf in this VM's
 // region goes to its owner there. The others go to a gateway in each further region,
 // which partitions them again. locationsOf lists the locations of a shard's leafs; random
 // returns numbers uniform in [0, 1).
-func (p *Sharer) Divide(class string, shards []string, locationsOf func(string) []Place, random func() float64) []Share {
+func (p *Partitioner) Partition(class string, shards []string, locationsOf func(string) []Location, random func() float64) []Share {
 	result := partition{shareIndex: map[string]int{}, self: p.self.vm.Name()}
 	var remote []int
 	eligible := p.eligible(p.self.region)
@@ -69,13 +69,13 @@
 	return result.shares
 }
 
-func hasRegion(locations []Place, region string) bool {
-	return slices.ContainsFunc(locations, func(l Place) bool { return l.Region == region })
+func hasRegion(locations []Location, region string) bool {
+	return slices.ContainsFunc(locations, func(l Location) bool { return l.Region == region })
 }
 
-func hasDataCentre(locations []Place) func(string) bool {
+func hasDataCentre(locations []Location) func(string) bool {
 	return func(dataCentre string) bool {
-		return slices.ContainsFunc(locations, func(l Place) bool { return l.DataCentre == dataCentre })
+		return slices.ContainsFunc(locations, func(l Location) bool { return l.DataCentre == dataCentre })
 	}
 }
 
@@ -117,7 +117,7 @@
 // pickRegion picks a region for shards without a leaf in this one: one that has
 // leafs of most of them, at random with a higher weight for lower latency. It
 // reports false if no shard has a leaf.
-func (p *Sharer) pickRegion(class string, shards []string, remote []int, locationsOf func(string) []Place, random float64) (string, bool) {
+func (p *Partitioner) pickRegion(class string, shards []string, remote []int, locationsOf func(string) []Location, random float64) (string, bool) {
 	count := map[string]int{}
 	maxCount := 0
 	for _, i := range remote {
--- a/tier/sharer/partitioner.go
+++ b/tier/partitioner/partitioner.go
@@ -1,8 +1,8 @@
-// Package sharer partitions the shards of a request among the VMs near their leafs.
+// Package partitioner partitions the shards of a request among the VMs near their leafs.
 // Each leaf is then queried by few VMs, which can track its queue and need few
 // connections, and regions exchange merged records instead of complete replies. The
 // VMs need no agreement: any VM may query any shard.
-package sharer
+package partitioner
 
 import (
 	"math"
@@ -90,9 +90,9 @@
 // regionKey identifies a moving average of share latency.
 type regionKey struct{ class, region string }
 
-// Sharer is the view that one VM has of the others. It is not safe for concurrent
+// Partitioner is the view that one VM has of the others. It is not safe for concurrent
 // use.
-type Sharer struct {
+type Partitioner struct {
 	self            Member
 	members         map[string]*memberState
 	regionLatencyMs map[regionKey]float64
@@ -105,21 +105,21 @@
 const ownerCacheTTL = 200 * tier.Millisecond
 
 // New returns a partitioner that knows only its own VM.
-func New(self Member) *Sharer {
-	p := &Sharer{self: self, members: map[string]*memberState{}, regionLatencyMs: map[regionKey]float64{}}
+func New(self Member) *Partitioner {
+	p := &Partitioner{self: self, members: map[string]*memberState{}, regionLatencyMs: map[regionKey]float64{}}
 	p.members[self.vm.Name()] = &memberState{member: self}
 	return p
 }
 
 // Self is the own VM.
-func (p *Sharer) Self() Member { return p.self }
+func (p *Partitioner) Self() Member { return p.self }
 
-// Len is the number of known VMs, the own one included.
-func (p *Sharer) Len() int { return len(p.members) }
+// MemberCount is the number of known VMs, the own one included.
+func (p *Partitioner) MemberCount() int { return len(p.members) }
 
 // SetMembers replaces the members by the list in the store. If afterOutage is set,
 // VMs missing from the list are kept for missingMemberTTL.
-func (p *Sharer) SetMembers(now tier.Millis, list []Member, afterOutage bool) {
+func (p *Partitioner) SetMembers(now tier.Millis, list []Member, afterOutage bool) {
 	seen := map[string]bool{p.self.vm.Name(): true}
 	for _, m := range list {
 		p.Put(m)
@@ -139,7 +139,7 @@
 
 // Put adds or updates a member. A new incarnation or address drops what was known of
 // the VM.
-func (p *Sharer) Put(m Member) {
+func (p *Partitioner) Put(m Member) {
 	name := m.vm.Name()
 	if name == p.self.vm.Name() {
 		return
@@ -153,14 +153,14 @@
 }
 
 // Remove drops a member whose registration has ended.
-func (p *Sharer) Remove(name string) {
+func (p *Partitioner) Remove(name string) {
 	if name != p.self.vm.Name() {
 		delete(p.members, name)
 	}
 }
 
 // Tick drops members that have been missing for missingMemberTTL.
-func (p *Sharer) Tick(now tier.Millis) {
+func (p *Partitioner) Tick(now tier.Millis) {
 	for name, m := range p.members {
 		if m.missingSince > 0 && now-m.missingSince >= missingMemberTTL {
 			delete(p.members, name)
@@ -170,7 +170,7 @@
 
 // Failed suspects a VM that did not answer in time. It gets no shares until a probe
 // succeeds.
-func (p *Sharer) Failed(now tier.Millis, name string) {
+func (p *Partitioner) Failed(now tier.Millis, name string) {
 	m, ok := p.members[name]
 	if !ok || m.suspected || name == p.self.vm.Name() {
 		return
@@ -186,7 +186,7 @@
 
 // Probes lists the VMs to probe now. Each is listed again after its backoff unless
 // Recovered is called.
-func (p *Sharer) Probes(now tier.Millis) []Member {
+func (p *Partitioner) Probes(now tier.Millis) []Member {
 	var due []Member
 	for _, m := range p.members {
 		if m.suspected && now >= m.probeAt {
@@ -197,10 +197,10 @@
 	return due
 }
 
-// Unused lists the gateways whose connections have been idle for gatewayIdleLimit,
+// IdleGateways lists the gateways whose connections have been idle for gatewayIdleLimit,
 // each once. Contacting them keeps the connections open: a share that has to open
 // one is delayed by a round trip.
-func (p *Sharer) Unused(now tier.Millis) []Member {
+func (p *Partitioner) IdleGateways(now tier.Millis) []Member {
 	var due []Member
 	for _, region := range p.otherRegions() {
 		for _, gateway := range p.gateways(region) {
@@ -213,9 +213,9 @@
 	return due
 }
 
-// Found ends the suspicion of a VM that answered a probe in time. It reports whether
+// Recovered ends the suspicion of a VM that answered a probe in time. It reports whether
 // the VM was suspected.
-func (p *Sharer) Found(now tier.Millis, name string) bool {
+func (p *Partitioner) Recovered(now tier.Millis, name string) bool {
 	m, ok := p.members[name]
 	if !ok || !m.suspected {
 		return false
@@ -225,8 +225,8 @@
 	return true
 }
 
-// Answered records a measured round trip to a VM.
-func (p *Sharer) Answered(now tier.Millis, name string, roundTrip tier.Millis) {
+// RecordRoundTrip records a measured round trip to a VM.
+func (p *Partitioner) RecordRoundTrip(now tier.Millis, name string, roundTrip tier.Millis) {
 	m, ok := p.members[name]
 	if !ok {
 		return
@@ -243,9 +243,9 @@
 // changes from them. With three, one may be down and another one slow.
 const watcherCount = 3
 
-// Watchers lists the VMs that watch the store, chosen by hash among the large ones
+// StoreWatchers lists the VMs that watch the store, chosen by hash among the large ones
 // that are not suspected.
-func (p *Sharer) Watchers() []Member {
+func (p *Partitioner) StoreWatchers() []Member {
 	maxCores := 0.0
 	for _, m := range p.members {
 		maxCores = max(maxCores, m.member.cores)
@@ -262,8 +262,8 @@
 	return list[:min(watcherCount, len(list))]
 }
 
-// Sound lists the other VMs that are not suspected, those of the own region first.
-func (p *Sharer) Sound() []Member {
+// HealthyPeers lists the other VMs that are not suspected, those of the own region first.
+func (p *Partitioner) HealthyPeers() []Member {
 	var list []Member
 	for name, m := range p.members {
 		if !m.suspected && name != p.self.vm.Name() {
@@ -281,7 +281,7 @@
 }
 
 // RoundTrip is the expected round trip to a VM, in milliseconds.
-func (p *Sharer) RoundTrip(m Member) float64 {
+func (p *Partitioner) RoundTrip(m Member) float64 {
 	if known, ok := p.members[m.vm.Name()]; ok && known.roundTripMs > 0 {
 		return known.roundTripMs
 	}
@@ -291,8 +291,8 @@
 	return defaultRemoteRoundTripMs
 }
 
-// Gathered records how long the share of a request took that was sent to a region.
-func (p *Sharer) Gathered(class, region string, took tier.Millis) {
+// RecordShareLatency records how long the share of a request took that was sent to a region.
+func (p *Partitioner) RecordShareLatency(class, region string, took tier.Millis) {
 	key := regionKey{class, region}
 	old, ok := p.regionLatencyMs[key]
 	if !ok {
@@ -303,7 +303,7 @@
 
 // Owns reports whether this VM owns a shard in its region, that is, usually queries
 // it. leafIn reports whether the shard has a leaf in a data centre.
-func (p *Sharer) Owns(now tier.Millis, shard string, leafIn func(dataCentre string) bool) bool {
+func (p *Partitioner) Owns(now tier.Millis, shard string, leafIn func(dataCentre string) bool) bool {
 	if p.ownerCache == nil || now-p.ownerCacheAt >= ownerCacheTTL {
 		p.ownerCache, p.ownerCacheAt = map[string]string{}, now
 	}
@@ -318,7 +318,7 @@
 }
 
 // eligible lists the large VMs of a region that are not suspected, by name.
-func (p *Sharer) eligible(region string) []Member {
+func (p *Partitioner) eligible(region string) []Member {
 	maxCores := 0.0
 	var list []Member
 	for _, m := range p.members {
@@ -341,7 +341,7 @@
 // gateways are the VMs of another region to which this VM sends shares. They are a
 // fixed few, so that connections to them stay open, and differ between VMs, so that
 // the load is spread.
-func (p *Sharer) gateways(region string) []Member {
+func (p *Partitioner) gateways(region string) []Member {
 	list := p.eligible(region)
 	if len(list) <= gatewaysPerRegion {
 		return list
@@ -352,7 +352,7 @@
 }
 
 // otherRegions lists the regions that have members, except the own one.
-func (p *Sharer) otherRegions() []string {
+func (p *Partitioner) otherRegions() []string {
 	var list []string
 	for _, m := range p.members {
 		if region := m.member.region; region != p.self.region && !slices.Contains(list, region) {
--- a/tier/sharer/partitioner_test.go
+++ b/tier/partitioner/partitioner_test.go
@@ -1,4 +1,4 @@
-package sharer
+package partitioner
 
 import (
 	"fmt"
@@ -14,7 +14,7 @@
 
 // newFleet returns the view of each VM of three regions, with the given numbers of
 // large and small VMs in each.
-func newFleet(large, small int) map[string]*Sharer {
+func newFleet(large, small int) map[string]*Partitioner {
 	var all []Member
 	for _, region := range []string{"r1", "r2", "r3"} {
 		for i := range large {
@@ -24,7 +24,7 @@
 			all = append(all, member(fmt.Sprintf("%s-weak-%d", region, i), region, 0.2))
 		}
 	}
-	views := map[string]*Sharer{}
+	views := map[string]*Partitioner{}
 	for _, m := range all {
 		s := New(m)
 		s.SetMembers(0, all, false)
@@ -41,11 +41,11 @@
 	return list
 }
 
-func locationsOf(shard string) []Place {
-	all := []Place{{"r1-1", "r1"}, {"r2-1", "r2"}, {"r3-1", "r3"}}
+func locationsOf(shard string) []Location {
+	all := []Location{{"r1-1", "r1"}, {"r2-1", "r2"}, {"r3-1", "r3"}}
 	var i int
 	_, _ = fmt.Sscanf(shard, "shard-%d", &i)
-	return []Place{all[i%3], all[(i+1)%3]}
+	return []Location{all[i%3], all[(i+1)%3]}
 }
 
 func TestEveryShardIsAssignedOnce(t *testing.T) {
@@ -53,7 +53,7 @@
 	list := shards(30)
 	for name, s := range newFleet(2, 5) {
 		seen := map[int]bool{}
-		for _, share := range s.Divide("class", list, locationsOf, random.Float64) {
+		for _, share := range s.Partition("class", list, locationsOf, random.Float64) {
 			if share.Self() != (share.Member().VM().Name() == name) {
 				t.Errorf("%s: a share reports self %v", name, share.Self())
 			}
@@ -83,7 +83,7 @@
 		if s.Self().Region() != "r1" {
 			continue
 		}
-		for _, share := range s.Divide("class", list, locationsOf, random.Float64) {
+		for _, share := range s.Partition("class", list, locationsOf, random.Float64) {
 			m := share.Member()
 			if m.Cores() < 0.5 {
 				t.Errorf("the small VM %s gets a share", m.VM().Name())
@@ -122,7 +122,7 @@
 	random := rand.New(rand.NewPCG(1, 1))
 	s := newFleet(3, 0)["r1-strong-0"]
 	getsShare := func() bool {
-		for _, share := range s.Divide("class", shards(30), locationsOf, random.Float64) {
+		for _, share := range s.Partition("class", shards(30), locationsOf, random.Float64) {
 			if share.Member().VM().Name() == "r1-strong-1" {
 				return true
 			}
@@ -136,7 +136,7 @@
 	if due := s.Probes(1000 + firstProbeDelay); len(due) != 1 {
 		t.Fatalf("%d probes are due", len(due))
 	}
-	s.Found(1500, "r1-strong-1")
+	s.Recovered(1500, "r1-strong-1")
 	if !getsShare() {
 		t.Error("a VM that answered a probe gets no share")
 	}
@@ -147,7 +147,7 @@
 	for name := range s.members {
 		s.Failed(9000, name)
 	}
-	for _, share := range s.Divide("class", shards(30), locationsOf, random.Float64) {
+	for _, share := range s.Partition("class", shards(30), locationsOf, random.Float64) {
 		if !share.Self() {
 			t.Errorf("%s gets a share though all other VMs are suspected", share.Member().VM().Name())
 		}
@@ -158,7 +158,7 @@
 	views := newFleet(4, 21)
 	watching := 0
 	for name, s := range views {
-		for _, m := range s.Watchers() {
+		for _, m := range s.StoreWatchers() {
 			if m.VM().Name() == name {
 				watching++
 			}
@@ -175,12 +175,12 @@
 func TestMembersSurviveAStoreOutage(t *testing.T) {
 	s := newFleet(2, 0)["r1-strong-0"]
 	s.SetMembers(1000, nil, true)
-	if s.Len() != 6 {
-		t.Errorf("%d VMs known right after an outage, expected 6", s.Len())
+	if s.MemberCount() != 6 {
+		t.Errorf("%d VMs known right after an outage, expected 6", s.MemberCount())
 	}
 	s.Tick(1000 + missingMemberTTL)
-	if s.Len() != 1 {
-		t.Errorf("%d VMs known that did not register again", s.Len())
+	if s.MemberCount() != 1 {
+		t.Errorf("%d VMs known that did not register again", s.MemberCount())
 	}
 }
 
@@ -194,17 +194,17 @@
 	used := map[string]int{}
 	for name, s := range newFleet(8, 12) {
 		warm := map[string]bool{}
-		for _, m := range s.Unused(1) {
+		for _, m := range s.IdleGateways(1) {
 			warm[m.VM().Name()] = true
 		}
 		if len(warm) != 2*gatewaysPerRegion {
 			t.Errorf("%s keeps %d connections open", name, len(warm))
 		}
-		if again := s.Unused(2); len(again) > 0 {
+		if again := s.IdleGateways(2); len(again) > 0 {
 			t.Errorf("%s refreshes %d connections again at once", name, len(again))
 		}
 		for range 20 {
-			for _, share := range s.Divide("class", shards(30), locationsOf, random.Float64) {
+			for _, share := range s.Partition("class", shards(30), locationsOf, random.Float64) {
 				if m := share.Member(); m.Region() != s.Self().Region() {
 					used[m.VM().Name()]++
 					if !warm[m.VM().Name()] {
@@ -213,7 +213,7 @@
 				}
 			}
 		}
-		if again := s.Unused(gatewayIdleLimit + 1); len(again) != 2*gatewaysPerRegion {
+		if again := s.IdleGateways(gatewayIdleLimit + 1); len(again) != 2*gatewaysPerRegion {
 			t.Errorf("%s refreshes %d connections after the idle limit", name, len(again))
 		}
 	}
@@ -231,12 +231,12 @@
 		dataCentre := fmt.Sprintf("r1-%d", i%2)
 		all = append(all, NewMember(tier.NewVM(fmt.Sprint("vm-", i), dataCentre, ""), "r1", 0.8))
 	}
-	locations := func(string) []Place { return []Place{{"r1-1", "r1"}, {"r2-0", "r2"}} }
+	locations := func(string) []Location { return []Location{{"r1-1", "r1"}, {"r2-0", "r2"}} }
 	for _, self := range all {
 		s := New(self)
 		s.SetMembers(0, all, false)
 		expectDataCentre := func(want string) {
-			for _, share := range s.Divide("class", shards(100), locations, func() float64 { return 0 }) {
+			for _, share := range s.Partition("class", shards(100), locations, func() float64 { return 0 }) {
 				m := share.Member().VM()
 				if m.DataCentre() != want {
 					t.Errorf("%s assigns a share to %s in %s", self.VM().Name(), m.Name(), m.DataCentre())
--- a/tier/relayer/relayer.go
+++ b/tier/relayer/relayer.go
@@ -73,13 +73,13 @@
 	}
 }
 
-// Reached records that the store was read up to a revision.
-func (r *Relayer) Reached(revision int64) { r.revision = max(r.revision, revision) }
+// AdvanceTo records that the store was read up to a revision.
+func (r *Relayer) AdvanceTo(revision int64) { r.revision = max(r.revision, revision) }
 
-// Since returns the values of the keys that changed after a revision, with revision
+// ChangesSince returns the values of the keys that changed after a revision, with revision
 // 0 for a removed key. If whole is true, it returns the whole copy instead, because
 // the history does not reach back that far.
-func (r *Relayer) Since(after int64) (list []storer.Value, whole bool) {
+func (r *Relayer) ChangesSince(after int64) (list []storer.Value, whole bool) {
 	if after < r.historyStart || after == 0 {
 		list = make([]storer.Value, 0, len(r.items))
 		for _, v := range r.items {
--- a/tier/searcher/events.go
+++ b/tier/searcher/events.go
@@ -5,7 +5,7 @@
 
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/lister"
-	"cicadagrade.example/tier/sharer"
+	"cicadagrade.example/tier/partitioner"
 )
 
 // Result is how a call to a leaf ended.
@@ -23,8 +23,8 @@
 
 // Lost means that the call was sent and no usable reply came. It may have run.
 type Lost struct {
-	Cause string
-	Fresh bool // it was sent on a new connection, which brought no byte
+	Cause         string
+	NewConnection bool // it was sent on a new connection, which brought no byte
 }
 
 func (Answered) result()    {}
@@ -37,11 +37,11 @@
 
 // Values of NotRunReason.
 const (
-	Shed          NotRunReason = iota // the leaf has no capacity
-	WrongServer                       // another server answers at the address
-	NoConnection                      // no connection could be made
-	Declined                          // the leaf rejects this request
-	BrokenAtStart                     // the connection was closed before the request was written
+	Shed           NotRunReason = iota // the leaf has no capacity
+	WrongServer                        // another server answers at the address
+	NoConnection                       // no connection could be made
+	Declined                           // the leaf rejects this request
+	DeadConnection                     // the connection was closed before the request was written
 )
 
 var reasonNames = [...]string{"shed", "wrong-server", "no-connection", "declined", "dead-connection"}
@@ -69,27 +69,27 @@
 
 // Delegate has another VM query a share of the services.
 type Delegate struct {
-	Share  int // index of the share in the search
-	Member sharer.Member
-	Parts  []int       // indexes of the services in the search
-	Aim    tier.Millis // time left until the VM has to send its report
-	End    tier.Millis // time left until the deadline
+	Share    int // index of the share in the search
+	Member   partitioner.Member
+	Parts    []int       // indexes of the services in the search
+	Target   tier.Millis // time left until the VM has to send its report
+	Deadline tier.Millis // time left until the deadline
 }
 
 // Recall cancels a share. Its reports are ignored.
 type Recall struct {
-	Share  int
-	Member sharer.Member
-	Silent bool // its VM did not accept or report in time
-	Got    bool // its VM had accepted the share
+	Share    int
+	Member   partitioner.Member
+	TimedOut bool // its VM did not accept or report in time
+	Accepted bool // its VM had accepted the share
 }
 
 // Flush hands on the parts that arrived since the last Flush, in a search for
 // another VM. An empty one only tells that VM that the search continues.
 type Flush struct {
-	In     []int  // indexes of all services whose part arrived
-	Parts  []Part // those that this VM queried itself
-	Shares []any  // replies of the VMs that queried the others
+	Arrived []int  // indexes of all services whose part arrived
+	Parts   []Part // those that this VM queried itself
+	Shares  []any  // replies of the VMs that queried the others
 }
 
 func (Send) action()     {}
@@ -99,8 +99,8 @@
 func (Recall) action()   {}
 func (Flush) action()    {}
 
-// Brought is the report of a VM on its share.
-type Brought struct {
+// ShareReport is the report of a VM on its share.
+type ShareReport struct {
 	Parts      []int // indexes of the services whose part arrived
 	Reply      any
 	Last       bool // no report follows
@@ -126,16 +126,16 @@
 
 // Values of Cause.
 const (
-	Complete      Cause = "complete"       // every part arrived
-	AtAim         Cause = "aim-reached"    // answered at the target with the parts that arrived
-	PastAim       Cause = "past-aim"       // the minimum of parts arrived after the target
-	LeafFailure   Cause = "leaf-failure"   // a leaf's failure reply is passed on
-	NoLeaf        Cause = "no-leaf"        // too many services have no usable leaf
-	LeafsRefused  Cause = "leafs-refused"  // no leaf ran the request
-	PartsLost     Cause = "parts-lost"     // too many parts can no longer arrive
-	OutOfTime     Cause = "out-of-time"    // the deadline passed
-	OutcomeUnsure Cause = "outcome-unsure" // a call that must not be repeated brought no reply
-	Left          Cause = "caller-left"    // the caller has gone
+	Complete       Cause = "complete"       // every part arrived
+	AtTarget       Cause = "aim-reached"    // answered at the target with the parts that arrived
+	PastTarget     Cause = "past-aim"       // the minimum of parts arrived after the target
+	LeafFailure    Cause = "leaf-failure"   // a leaf's failure reply is passed on
+	NoLeaf         Cause = "no-leaf"        // too many services have no usable leaf
+	LeafsRefused   Cause = "leafs-refused"  // no leaf ran the request
+	PartsLost      Cause = "parts-lost"     // too many parts can no longer arrive
+	OutOfTime      Cause = "out-of-time"    // the deadline passed
+	OutcomeUnknown Cause = "outcome-unsure" // a call that must not be repeated brought no reply
+	CallerLeft     Cause = "caller-left"    // the caller has gone
 )
 
 // Miss describes a missing part: its service, and the last call for it.
@@ -185,7 +185,7 @@
 
 // Success reports whether enough parts arrived for an answer.
 func (o Outcome) Success() bool {
-	return o.cause == Complete || o.cause == AtAim || o.cause == PastAim
+	return o.cause == Complete || o.cause == AtTarget || o.cause == PastTarget
 }
 
 // Misses explain missing parts, up to maxMisses of them.
@@ -197,8 +197,8 @@
 // MayHaveRun reports whether a leaf may have begun to work on the request.
 func (o Outcome) MayHaveRun() bool { return o.mayHaveRun }
 
-// Sent is the number of calls made, by all VMs.
-func (o Outcome) Sent() int { return o.callsSent }
+// CallsSent is the number of calls made, by all VMs.
+func (o Outcome) CallsSent() int { return o.callsSent }
 
-// Extra is the number of hedges and retries among them.
-func (o Outcome) Extra() int { return o.extraCalls }
+// ExtraCalls is the number of hedges and retries among them.
+func (o Outcome) ExtraCalls() int { return o.extraCalls }
--- a/tier/searcher/finish.go
+++ b/tier/searcher/finish.go
@@ -16,13 +16,13 @@
 	case s.arrived == total:
 		return s.finish(now, Complete, actions)
 	case s.arrived+s.lost == total && s.arrived >= s.terms.minimumParts:
-		return s.finish(now, AtAim, actions)
+		return s.finish(now, AtTarget, actions)
 	case total-s.lost < s.terms.minimumParts:
 		return s.finish(now, s.failureCause(), actions)
 	case now >= s.terms.target && s.arrived >= s.terms.minimumParts:
-		cause := AtAim
+		cause := AtTarget
 		if now > s.terms.target+pastTargetTolerance {
-			cause = PastAim
+			cause = PastTarget
 		}
 		return s.finish(now, cause, actions)
 	case now >= s.terms.deadline:
@@ -45,7 +45,7 @@
 			continue
 		}
 		p.flushed = true
-		flush.In = append(flush.In, i)
+		flush.Arrived = append(flush.Arrived, i)
 		if p.reply != nil {
 			flush.Parts = append(flush.Parts, Part{index: i, reply: p.reply})
 		}
@@ -54,7 +54,7 @@
 		flush.Shares = append(flush.Shares, s.shares[k].replies...)
 		s.shares[k].replies = nil
 	}
-	if len(flush.In) > 0 || !s.targetFlushed {
+	if len(flush.Arrived) > 0 || !s.targetFlushed {
 		actions = append(actions, flush)
 	}
 	s.targetFlushed = true
@@ -82,7 +82,7 @@
 	case !s.mayHaveRun:
 		return LeafsRefused
 	case !s.terms.idempotent:
-		return OutcomeUnsure
+		return OutcomeUnknown
 	}
 	return PartsLost
 }
@@ -96,7 +96,7 @@
 		}
 	}
 	misses := s.misses(now)
-	if !s.terms.flushes && len(s.parts) > 1 && cause != Left {
+	if !s.terms.flushes && len(s.parts) > 1 && cause != CallerLeft {
 		s.recordArrivals(now)
 	}
 	actions = s.cancelAll(now, actions)
@@ -164,7 +164,7 @@
 	case FailedReply:
 		return "failed"
 	case Lost:
-		if r.Fresh {
+		if r.NewConnection {
 			return "connection-reset"
 		}
 		return "lost"
@@ -180,9 +180,9 @@
 		p := &s.parts[i]
 		switch {
 		case p.arrived && !p.pastTarget:
-			s.scheduler.forecaster.Came(now, p.service)
+			s.scheduler.forecaster.RecordArrived(now, p.service)
 		case p.arrived || p.lost || now >= s.terms.target:
-			s.scheduler.forecaster.Missed(now, p.service)
+			s.scheduler.forecaster.RecordMissed(now, p.service)
 		}
 	}
 }
--- a/tier/searcher/outcome_test.go
+++ b/tier/searcher/outcome_test.go
@@ -10,15 +10,15 @@
 	"cicadagrade.example/tier/balancer"
 	"cicadagrade.example/tier/budgeter"
 	"cicadagrade.example/tier/lister"
-	"cicadagrade.example/tier/sharer"
+	"cicadagrade.example/tier/partitioner"
 )
 
 // callResults returns every way in which a call can end.
 func callResults() []Result {
 	list := []Result{
-		Answered{Reply: "x"}, FailedReply{Reply: "500"}, Lost{Cause: "reset"}, Lost{Cause: "reset", Fresh: true},
+		Answered{Reply: "x"}, FailedReply{Reply: "500"}, Lost{Cause: "reset"}, Lost{Cause: "reset", NewConnection: true},
 	}
-	for _, reason := range []NotRunReason{NoConnection, BrokenAtStart, WrongServer, Declined, Shed} {
+	for _, reason := range []NotRunReason{NoConnection, DeadConnection, WrongServer, Declined, Shed} {
 		list = append(list, NotRun{Reason: reason})
 	}
 	return list
@@ -58,14 +58,14 @@
 		i := number("call", len(r.calls))
 		c := r.calls[i]
 		r.calls = append(r.calls[:i], r.calls[i+1:]...)
-		r.apply(r.search.Ended(r.now, c, rapid.SampledFrom(callResults()).Draw(r.t, "result")))
+		r.apply(r.search.CallEnded(r.now, c, rapid.SampledFrom(callResults()).Draw(r.t, "result")))
 	case k < 9:
-		r.now = max(r.now, min(r.search.Next(), r.now+tier.Millis(1+number("wait", 80))))
+		r.now = max(r.now, min(r.search.NextTick(), r.now+tier.Millis(1+number("wait", 80))))
 		r.apply(r.search.Tick(r.now))
 	case k == 9 && len(r.shares) > 0:
 		for share, parts := range r.shares {
-			r.apply(r.search.Accepted(r.now, share))
-			r.apply(r.search.Brought(r.now, share, Brought{Parts: parts[:number("parts", len(parts)+1)], Last: number("last", 2) == 0}))
+			r.apply(r.search.ShareAccepted(r.now, share))
+			r.apply(r.search.ShareReported(r.now, share, ShareReport{Parts: parts[:number("parts", len(parts)+1)], Last: number("last", 2) == 0}))
 			return
 		}
 	case k == 10 && len(r.shares) > 0:
@@ -90,31 +90,31 @@
 			services[i] = fmt.Sprint("s", i)
 			for k := range number("leafs", 3) {
 				id := fmt.Sprint("f", i, k)
-				list.Put(0, lister.NewEntry("servers/"+id, lister.NewLeaf(id, services[i], id+":1", lister.In("a")), 1))
+				list.Put(0, lister.NewEntry("servers/"+id, lister.NewLeaf(id, services[i], id+":1", lister.InDataCentre("a")), 1))
 			}
 		}
-		member := func(name string) sharer.Member {
-			return sharer.NewMember(tier.NewVM(name, "a", name+":1", tier.WithVMState(tier.VMLive)), "home", 1)
+		member := func(name string) partitioner.Member {
+			return partitioner.NewMember(tier.NewVM(name, "a", name+":1", tier.WithVMState(tier.VMLive)), "home", 1)
 		}
-		scheduler := NewCore(list, balancer.New(func(string) balancer.Place { return balancer.SameDataCentre }),
-			budgeter.New(0.2, float64(number("slack", 20)), 1), sharer.New(member("self")))
-		scheduler.Sharer().Put(member("other"))
-		options := []TermsOption{WithMinimum(1 + number("minimum", len(services))), WithAttempts(1 + number("attempts", 2))}
+		scheduler := NewScheduler(list, balancer.New(func(string) balancer.Distance { return balancer.SameDataCentre }),
+			budgeter.New(0.2, float64(number("slack", 20)), 1), partitioner.New(member("self")))
+		scheduler.Partitioner().Put(member("other"))
+		options := []TermsOption{WithMinimumParts(1 + number("minimum", len(services))), WithMaxAttempts(1 + number("attempts", 2))}
 		if number("repeatable", 3) > 0 {
-			options = append(options, Repeatable())
+			options = append(options, Idempotent())
 		}
 		if len(services) == 1 {
-			options = append(options, PassFailures())
+			options = append(options, ForwardFailures())
 		}
-		var shares []sharer.Share
+		var shares []partitioner.Share
 		if n := number("shared", len(services)); n > 0 {
 			parts := make([]int, n)
 			for i := range parts {
 				parts[i] = i
 			}
-			shares = append(shares, sharer.NewShare(member("other"), parts))
+			shares = append(shares, partitioner.NewShare(member("other"), parts))
 		}
-		r := &randomRun{t: t, search: New(scheduler, NewTerms("c", 200, 600, options...), services, shares), shares: map[int][]int{}}
+		r := &randomRun{t: t, search: NewSearch(scheduler, NewTerms("c", 200, 600, options...), services, shares), shares: map[int][]int{}}
 		r.apply(r.search.Start(0))
 		for range 400 {
 			if r.outcome != nil {
@@ -123,7 +123,7 @@
 			r.step()
 		}
 		for r.outcome == nil && r.now < 2000 {
-			r.now = max(r.now+1, r.search.Next())
+			r.now = max(r.now+1, r.search.NextTick())
 			r.apply(r.search.Tick(r.now))
 		}
 		if r.outcome == nil {
@@ -142,7 +142,7 @@
 			}
 		}
 	})
-	for _, c := range []Cause{Complete, AtAim, PastAim, LeafFailure, NoLeaf, LeafsRefused, PartsLost, OutOfTime, OutcomeUnsure, Left} {
+	for _, c := range []Cause{Complete, AtTarget, PastTarget, LeafFailure, NoLeaf, LeafsRefused, PartsLost, OutOfTime, OutcomeUnknown, CallerLeft} {
 		if !causes[c] {
 			t.Logf("no random search ended with %s", c)
 		}
--- a/tier/searcher/queue.go
+++ b/tier/searcher/queue.go
@@ -38,7 +38,7 @@
 }
 
 // enqueue queues a part until a leaf of its service has capacity.
-func (sc *Core) enqueue(now tier.Millis, s *Search, partIndex int) {
+func (sc *Scheduler) enqueue(now tier.Millis, s *Search, partIndex int) {
 	p := &s.parts[partIndex]
 	if p.queued {
 		return
@@ -50,7 +50,7 @@
 }
 
 // dequeue removes a part from the queue of its service.
-func (sc *Core) dequeue(s *Search, partIndex int) {
+func (sc *Scheduler) dequeue(s *Search, partIndex int) {
 	p := &s.parts[partIndex]
 	if !p.queued {
 		return
@@ -70,7 +70,7 @@
 }
 
 // dispatchQueued sends queued parts of a service while its leafs have capacity.
-func (sc *Core) dispatchQueued(now tier.Millis, service string) {
+func (sc *Scheduler) dispatchQueued(now tier.Millis, service string) {
 	for len(sc.queue[service]) > 0 {
 		list := sc.queue[service]
 		best := 0
@@ -101,16 +101,16 @@
 
 // pickWithCapacity picks a leaf with capacity for a part: one that the part has not
 // been sent to, or any leaf if there is no such one and no call is in flight.
-func (sc *Core) pickWithCapacity(now tier.Millis, s *Search, p *part) (lister.Leaf, float64, bool) {
+func (sc *Scheduler) pickWithCapacity(now tier.Millis, s *Search, p *part) (lister.Leaf, float64, bool) {
 	owner := sc.ownerCount(now, p.service) > 0
 	allowTried := p.inFlight == 0 && !s.hasUntriedLeaf(now, p)
 	return sc.balancer.Pick(now, s.terms.class, sc.lister.Leafs(p.service), func(leaf lister.Leaf) bool {
-		return sc.balancer.Room(now, leaf, owner) && (allowTried || !contains(p.tried, leaf.ID()))
+		return sc.balancer.HasCapacity(now, leaf, owner) && (allowTried || !contains(p.tried, leaf.ID()))
 	})
 }
 
-// Waiting is the number of queued parts.
-func (sc *Core) Waiting() int {
+// QueueLength is the number of queued parts.
+func (sc *Scheduler) QueueLength() int {
 	n := 0
 	for _, list := range sc.queue {
 		n += len(list)
@@ -120,7 +120,7 @@
 
 // TakeWoken returns the searches that have got actions while another one was
 // stepped. The caller has to call Resume for each.
-func (sc *Core) TakeWoken() []*Search {
+func (sc *Scheduler) TakeWoken() []*Search {
 	woken := sc.woken
 	sc.woken = nil
 	for _, s := range woken {
@@ -129,11 +129,11 @@
 	return woken
 }
 
-// Attach stores the owner's reference, by which it recognises a woken search.
-func (s *Search) Attach(data any) { s.userData = data }
+// SetUserData stores the owner's reference, by which it recognises a woken search.
+func (s *Search) SetUserData(data any) { s.userData = data }
 
-// Attached is the value of SetUserData.
-func (s *Search) Attached() any { return s.userData }
+// UserData is the value of SetUserData.
+func (s *Search) UserData() any { return s.userData }
 
 // Resume returns the pending actions of a woken search.
 func (s *Search) Resume(now tier.Millis) []Action {
--- a/tier/searcher/scheduler.go
+++ b/tier/searcher/scheduler.go
@@ -12,7 +12,7 @@
 	"cicadagrade.example/tier/budgeter"
 	"cicadagrade.example/tier/forecaster"
 	"cicadagrade.example/tier/lister"
-	"cicadagrade.example/tier/sharer"
+	"cicadagrade.example/tier/partitioner"
 )
 
 // Parameters of hedges, retries and delegation.
@@ -56,32 +56,32 @@
 	reportGrace = 10 * tier.Millisecond
 )
 
-// Core holds the state that the searches of one VM share: the leafs, the retry
+// Scheduler holds the state that the searches of one VM share: the leafs, the retry
 // budget and the queue of parts that wait for a leaf with capacity. It is not safe
 // for concurrent use: searches are stepped one at a time.
-type Core struct {
+type Scheduler struct {
 	lister      *lister.Lister
 	balancer    *balancer.Balancer
 	budgeter    *budgeter.Budgeter
-	partitioner *sharer.Sharer
+	partitioner *partitioner.Partitioner
 	forecaster  *forecaster.Forecaster
 	queue       queue
 	woken       []*Search // searches with actions for Resume
 }
 
-// NewCore returns a scheduler without searches.
-func NewCore(l *lister.Lister, b *balancer.Balancer, budget *budgeter.Budgeter, p *sharer.Sharer) *Core {
-	return &Core{lister: l, balancer: b, budgeter: budget, partitioner: p, forecaster: forecaster.New(), queue: queue{}}
+// NewScheduler returns a scheduler without searches.
+func NewScheduler(l *lister.Lister, b *balancer.Balancer, budget *budgeter.Budgeter, p *partitioner.Partitioner) *Scheduler {
+	return &Scheduler{lister: l, balancer: b, budgeter: budget, partitioner: p, forecaster: forecaster.New(), queue: queue{}}
 }
 
 // ownerCount is an upper bound on the number of VMs that own a service: there is one
 // in each region with a leaf, so at most one for each leaf. It is 0 if this VM is
 // not an owner.
-func (sc *Core) ownerCount(now tier.Millis, service string) int {
+func (sc *Scheduler) ownerCount(now tier.Millis, service string) int {
 	leafs := sc.lister.Leafs(service)
 	leafInRegion := false
 	for _, leaf := range leafs {
-		leafInRegion = leafInRegion || sc.balancer.Near(leaf)
+		leafInRegion = leafInRegion || sc.balancer.InRegion(leaf)
 	}
 	leafIn := func(dataCentre string) bool {
 		return slices.ContainsFunc(leafs, func(leaf lister.Leaf) bool { return leaf.DataCentre() == dataCentre })
@@ -93,19 +93,19 @@
 }
 
 // Lister holds the registered leafs.
-func (sc *Core) Lister() *lister.Lister { return sc.lister }
+func (sc *Scheduler) Lister() *lister.Lister { return sc.lister }
 
 // Balancer holds the observed latencies and failures of leafs.
-func (sc *Core) Balancer() *balancer.Balancer { return sc.balancer }
+func (sc *Scheduler) Balancer() *balancer.Balancer { return sc.balancer }
 
 // Budgeter holds the budget of hedges and retries.
-func (sc *Core) Budgeter() *budgeter.Budgeter { return sc.budgeter }
+func (sc *Scheduler) Budgeter() *budgeter.Budgeter { return sc.budgeter }
 
-// Sharer divides a request's shards among VMs.
-func (sc *Core) Sharer() *sharer.Sharer { return sc.partitioner }
+// Partitioner divides a request's shards among VMs.
+func (sc *Scheduler) Partitioner() *partitioner.Partitioner { return sc.partitioner }
 
 // Forecaster predicts requests that will not get enough parts.
-func (sc *Core) Forecaster() *forecaster.Forecaster { return sc.forecaster }
+func (sc *Scheduler) Forecaster() *forecaster.Forecaster { return sc.forecaster }
 
 // Terms are the limits of a request: times, attempts and the parts that it needs.
 type Terms struct {
@@ -134,24 +134,24 @@
 	return t
 }
 
-// Aim is when the answer should be sent.
-func (t Terms) Aim() tier.Millis { return t.target }
+// Target is when the answer should be sent.
+func (t Terms) Target() tier.Millis { return t.target }
 
-// Repeatable allows calls to be hedged, and retried after they may have run.
-func Repeatable() TermsOption { return func(t *Terms) { t.idempotent = true } }
+// Idempotent allows calls to be hedged, and retried after they may have run.
+func Idempotent() TermsOption { return func(t *Terms) { t.idempotent = true } }
 
-// WithAttempts limits the calls of each part that may run.
-func WithAttempts(n int) TermsOption { return func(t *Terms) { t.maxAttempts = max(n, 1) } }
+// WithMaxAttempts limits the calls of each part that may run.
+func WithMaxAttempts(n int) TermsOption { return func(t *Terms) { t.maxAttempts = max(n, 1) } }
 
 // WithRank sets the rank. Parts of a lower rank leave the queue first.
 func WithRank(rank int) TermsOption { return func(t *Terms) { t.rank = rank } }
 
-// WithMinimum sets how many parts a successful answer needs.
-func WithMinimum(n int) TermsOption { return func(t *Terms) { t.minimumParts = n } }
+// WithMinimumParts sets how many parts a successful answer needs.
+func WithMinimumParts(n int) TermsOption { return func(t *Terms) { t.minimumParts = n } }
 
-// PassFailures returns a leaf's failure reply to the caller if no other leaf
+// ForwardFailures returns a leaf's failure reply to the caller if no other leaf
 // answers.
-func PassFailures() TermsOption { return func(t *Terms) { t.forwardFailures = true } }
+func ForwardFailures() TermsOption { return func(t *Terms) { t.forwardFailures = true } }
 
 // ForAnotherVM hands parts on by Flush: at the target time all that have arrived,
 // then each later one at once. The search goes on until no further part can arrive.
--- a/tier/searcher/script_test.go
+++ b/tier/searcher/script_test.go
@@ -15,7 +15,7 @@
 	"cicadagrade.example/tier/balancer"
 	"cicadagrade.example/tier/budgeter"
 	"cicadagrade.example/tier/lister"
-	"cicadagrade.example/tier/sharer"
+	"cicadagrade.example/tier/partitioner"
 )
 
 // TestScriptTranscripts plays each script of testdata and compares the transcript
@@ -61,16 +61,16 @@
 	out       strings.Builder
 	now       tier.Millis
 	lister    *lister.Lister
-	scheduler *Core
+	scheduler *Scheduler
 	searches  map[string]*Search
 	names     []string
-	peers     map[string]sharer.Member
+	peers     map[string]partitioner.Member
 	sequence  int
 }
 
 func newScript(t *testing.T) *script {
-	s := &script{t: t, lister: lister.New(), searches: map[string]*Search{}, peers: map[string]sharer.Member{}}
-	distance := func(dataCentre string) balancer.Place {
+	s := &script{t: t, lister: lister.New(), searches: map[string]*Search{}, peers: map[string]partitioner.Member{}}
+	distance := func(dataCentre string) balancer.Distance {
 		switch dataCentre {
 		case "a":
 			return balancer.SameDataCentre
@@ -79,8 +79,8 @@
 		}
 		return balancer.OtherRegion
 	}
-	self := sharer.NewMember(tier.NewVM("self", "a", "self:1", tier.WithVMState(tier.VMLive)), "home", 1)
-	s.scheduler = NewCore(s.lister, balancer.New(distance), budgeter.New(0.2, 20, 1), sharer.New(self))
+	self := partitioner.NewMember(tier.NewVM("self", "a", "self:1", tier.WithVMState(tier.VMLive)), "home", 1)
+	s.scheduler = NewScheduler(s.lister, balancer.New(distance), budgeter.New(0.2, 20, 1), partitioner.New(self))
 	return s
 }
 
@@ -99,10 +99,10 @@
 		if len(words) > 4 {
 			slots = s.number(words[4])
 		}
-		leaf := lister.NewLeaf(words[1], words[2], words[1]+":1", lister.In(words[3]), lister.WithSlots(slots))
+		leaf := lister.NewLeaf(words[1], words[2], words[1]+":1", lister.InDataCentre(words[3]), lister.WithSlots(slots))
 		s.lister.Put(s.now, lister.NewEntry("servers/"+words[1], leaf, int64(s.sequence)))
 	case "peer":
-		m := sharer.NewMember(tier.NewVM(words[1], "x", words[1]+":1", tier.WithVMState(tier.VMLive)), words[2], 1)
+		m := partitioner.NewMember(tier.NewVM(words[1], "x", words[1]+":1", tier.WithVMState(tier.VMLive)), words[2], 1)
 		s.peers[words[1]] = m
 		s.scheduler.partitioner.Put(m)
 	case "search":
@@ -116,10 +116,10 @@
 
 func (s *script) search(name string, words []string) {
 	var target, deadline tier.Millis
-	options := []TermsOption{Repeatable()}
+	options := []TermsOption{Idempotent()}
 	var once bool
-	var shares []sharer.Share
-	var delegated []sharer.Share
+	var shares []partitioner.Share
+	var delegated []partitioner.Share
 	i := 0
 	for ; i < len(words); i++ {
 		switch words[i] {
@@ -131,10 +131,10 @@
 			deadline = tier.Millis(s.number(words[i]))
 		case "minimum":
 			i++
-			options = append(options, WithMinimum(s.number(words[i])))
+			options = append(options, WithMinimumParts(s.number(words[i])))
 		case "attempts":
 			i++
-			options = append(options, WithAttempts(s.number(words[i])))
+			options = append(options, WithMaxAttempts(s.number(words[i])))
 		case "rank":
 			i++
 			options = append(options, WithRank(s.number(words[i])))
@@ -145,7 +145,7 @@
 		case "share":
 			i++
 			peer, parts, _ := strings.Cut(words[i], "=")
-			delegated = append(delegated, sharer.NewShare(s.peers[peer], s.numbers(parts)))
+			delegated = append(delegated, partitioner.NewShare(s.peers[peer], s.numbers(parts)))
 		default:
 			goto services
 		}
@@ -155,8 +155,8 @@
 		options = options[1:]
 	}
 	shares = append(shares, delegated...)
-	terms := NewTerms("class", s.now+target, s.now+deadline, append(options, PassFailures())...)
-	search := New(s.scheduler, terms, words[i:], shares)
+	terms := NewTerms("class", s.now+target, s.now+deadline, append(options, ForwardFailures())...)
+	search := NewSearch(s.scheduler, terms, words[i:], shares)
 	s.searches[name] = search
 	s.names = append(s.names, name)
 	s.print(name, search.Start(s.now))
@@ -174,15 +174,15 @@
 	index := s.number(words[1])
 	results := map[string]Result{
 		"answer": Answered{Reply: "reply"}, "fail": FailedReply{Reply: "failure"}, "lose": Lost{Cause: "cut"},
-		"reset": Lost{Cause: "reset", Fresh: true}, "shed": NotRun{Reason: Shed},
+		"reset": Lost{Cause: "reset", NewConnection: true}, "shed": NotRun{Reason: Shed},
 		"wrong": NotRun{Reason: WrongServer}, "refuse": NotRun{Reason: NoConnection},
 	}
 	switch words[0] {
 	case "accept":
-		s.print(name, search.Accepted(s.now, index))
+		s.print(name, search.ShareAccepted(s.now, index))
 	case "bring":
-		report := Brought{Parts: s.numbers(words[2]), Reply: "share", MayHaveRun: true, Last: len(words) > 3}
-		s.print(name, search.Brought(s.now, index, report))
+		report := ShareReport{Parts: s.numbers(words[2]), Reply: "share", MayHaveRun: true, Last: len(words) > 3}
+		s.print(name, search.ShareReported(s.now, index, report))
 	case "break":
 		s.print(name, search.ShareFailed(s.now, index))
 	default:
@@ -190,7 +190,7 @@
 		if !ok {
 			s.t.Fatalf("unknown command %q", words[0])
 		}
-		s.print(name, search.Ended(s.now, index, r))
+		s.print(name, search.CallEnded(s.now, index, r))
 	}
 }
 
@@ -200,12 +200,12 @@
 		next := to
 		for _, name := range s.names {
 			if search := s.searches[name]; !search.done {
-				next = min(next, max(search.Next(), s.now+1))
+				next = min(next, max(search.NextTick(), s.now+1))
 			}
 		}
 		s.now = next
 		for _, name := range s.names {
-			if search := s.searches[name]; !search.done && search.Next() <= s.now {
+			if search := s.searches[name]; !search.done && search.NextTick() <= s.now {
 				s.print(name, search.Tick(s.now))
 			}
 		}
@@ -240,11 +240,11 @@
 	case Cancel:
 		return fmt.Sprintf("cancel %d", action.Call)
 	case Delegate:
-		return fmt.Sprintf("delegate %d: parts %v to %s, aim %d, end %d", action.Share, action.Parts, action.Member.VM().Name(), action.Aim, action.End)
+		return fmt.Sprintf("delegate %d: parts %v to %s, aim %d, end %d", action.Share, action.Parts, action.Member.VM().Name(), action.Target, action.Deadline)
 	case Recall:
-		return fmt.Sprintf("recall %d, silent %v", action.Share, action.Silent)
+		return fmt.Sprintf("recall %d, silent %v", action.Share, action.TimedOut)
 	case Flush:
-		return fmt.Sprintf("flush %v", action.In)
+		return fmt.Sprintf("flush %v", action.Arrived)
 	case Finish:
 		outcome := action.Outcome
 		return fmt.Sprintf("finish %s: missing %d, may have run %v, failure %v, misses %v",
--- a/tier/searcher/searcher.go
+++ b/tier/searcher/searcher.go
@@ -3,7 +3,7 @@
 import (
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/lister"
-	"cicadagrade.example/tier/sharer"
+	"cicadagrade.example/tier/partitioner"
 )
 
 // call is one request sent to a leaf.
@@ -41,7 +41,7 @@
 
 // share is the state of the parts that were delegated to another VM.
 type share struct {
-	member         sharer.Member
+	member         partitioner.Member
 	parts          []int
 	sentAt         tier.Millis
 	acceptDeadline tier.Millis // for the acceptance; then its VM counts as unreachable
@@ -56,7 +56,7 @@
 
 // Search is the state machine of one request. It is not safe for concurrent use.
 type Search struct {
-	scheduler           *Core
+	scheduler           *Scheduler
 	terms               Terms
 	parts               []part
 	calls               []call
@@ -74,9 +74,9 @@
 	targetFlushed       bool // the Flush at the target time was sent
 }
 
-// New returns a search over services. Shares of other VMs are delegated to them;
+// NewSearch returns a search over services. Shares of other VMs are delegated to them;
 // this VM queries all other services itself.
-func New(scheduler *Core, terms Terms, services []string, shares []sharer.Share) *Search {
+func NewSearch(scheduler *Scheduler, terms Terms, services []string, shares []partitioner.Share) *Search {
 	s := &Search{scheduler: scheduler, terms: terms, parts: make([]part, len(services))}
 	for i, name := range services {
 		s.parts[i] = part{service: name, hedgeAt: never, retryAt: never, shareIndex: noShare}
@@ -108,8 +108,8 @@
 	return s.finishIfDone(now, s.takePending(actions))
 }
 
-// Ended handles the result of a call.
-func (s *Search) Ended(now tier.Millis, index int, r Result) []Action {
+// CallEnded handles the result of a call.
+func (s *Search) CallEnded(now tier.Millis, index int, r Result) []Action {
 	c := &s.calls[index]
 	if c.ended {
 		return nil
@@ -162,7 +162,7 @@
 		sh := &s.shares[k]
 		reportMissed := !sh.reported && now >= sh.reportDeadline
 		if !sh.ended && (now >= sh.acceptDeadline || reportMissed) {
-			actions = s.reclaim(now, k, append(actions, Recall{Share: k, Member: sh.member, Silent: true, Got: sh.acceptDeadline == never}))
+			actions = s.reclaim(now, k, append(actions, Recall{Share: k, Member: sh.member, TimedOut: true, Accepted: sh.acceptDeadline == never}))
 		}
 	}
 	for i := range s.parts {
@@ -187,8 +187,8 @@
 	return s.finishIfDone(now, s.takePending(actions))
 }
 
-// Next is the time by which Tick has to be called.
-func (s *Search) Next() tier.Millis {
+// NextTick is the time by which Tick has to be called.
+func (s *Search) NextTick() tier.Millis {
 	next := s.terms.deadline
 	if s.arrived < len(s.parts) {
 		if (s.arrived >= s.terms.minimumParts || s.terms.flushes) && !s.targetFlushed && s.terms.target < next {
@@ -217,7 +217,7 @@
 	if s.done {
 		return nil
 	}
-	return s.finish(now, Left, nil)
+	return s.finish(now, CallerLeft, nil)
 }
 
 // reportToBalancer records a call's result for the choice of later leafs.
@@ -229,8 +229,8 @@
 	case FailedReply:
 		b.Failed(now, c.leaf)
 	case Lost:
-		if r.Fresh {
-			b.Crowded(now, c.leaf)
+		if r.NewConnection {
+			b.ConnectionReset(now, c.leaf)
 			return
 		}
 		b.Failed(now, c.leaf)
@@ -278,7 +278,7 @@
 		if sh := &s.shares[k]; !sh.ended {
 			sh.ended = true
 			s.mayHaveRun = true
-			s.scheduler.partitioner.Gathered(s.terms.class, sh.member.Region(), now-sh.sentAt)
+			s.scheduler.partitioner.RecordShareLatency(s.terms.class, sh.member.Region(), now-sh.sentAt)
 			actions = append(actions, Recall{Share: k, Member: sh.member})
 		}
 	}
--- a/tier/searcher/send.go
+++ b/tier/searcher/send.go
@@ -22,7 +22,7 @@
 			s.markLost(p, "no-leaf")
 		}
 		return actions
-	case !s.scheduler.balancer.Room(now, leaf, s.scheduler.ownerCount(now, p.service) > 0):
+	case !s.scheduler.balancer.HasCapacity(now, leaf, s.scheduler.ownerCount(now, p.service) > 0):
 		// Another leaf is used only if it should answer by the target. Otherwise
 		// the part is queued: the cost of the best leaf includes the wait for it.
 		if other, cost, ok := s.scheduler.pickWithCapacity(now, s, p); ok && now+tier.Millis(cost) <= s.terms.target {
@@ -81,7 +81,7 @@
 	p := &s.parts[partIndex]
 	if !p.nextIsExtra {
 		p.nextIsExtra = true
-		s.scheduler.budgeter.First(p.service, s.scheduler.ownerCount(now, p.service))
+		s.scheduler.budgeter.CountRequest(p.service, s.scheduler.ownerCount(now, p.service))
 	}
 	if extra {
 		s.extraCalls++
@@ -105,7 +105,7 @@
 // expected latency, but early enough for the hedge to be answered by the target.
 func (s *Search) hedgeDelay(now tier.Millis, p *part, leaf lister.Leaf) tier.Millis {
 	byTarget := hedgeDelayFraction * float64(s.terms.target-now)
-	byLatency := hedgeLatencyFactor*s.scheduler.balancer.Usual(s.terms.class, leaf) + hedgeSlackMs
+	byLatency := hedgeLatencyFactor*s.scheduler.balancer.BaseLatency(s.terms.class, leaf) + hedgeSlackMs
 	wait := max(byTarget, byLatency)
 	if _, cost, found := s.pickLeaf(now, p, true); found {
 		wait = min(wait, float64(s.terms.target-now)-hedgeReserveFactor*cost)
--- a/tier/searcher/shares.go
+++ b/tier/searcher/shares.go
@@ -10,11 +10,11 @@
 	sh.acceptDeadline = now + tier.Millis(acceptRoundTrips*roundTrip+acceptSlackMs)
 	sh.reportDeadline = s.terms.target + reportGrace
 	sh.timeAllowed = max(1, s.terms.target-now-tier.Millis(roundTrip)-shareReplyMargin)
-	return append(actions, Delegate{Share: shareIndex, Member: sh.member, Parts: sh.parts, Aim: sh.timeAllowed, End: s.terms.deadline - now})
+	return append(actions, Delegate{Share: shareIndex, Member: sh.member, Parts: sh.parts, Target: sh.timeAllowed, Deadline: s.terms.deadline - now})
 }
 
-// Accepted records that a VM has accepted its share.
-func (s *Search) Accepted(now tier.Millis, shareIndex int) []Action {
+// ShareAccepted records that a VM has accepted its share.
+func (s *Search) ShareAccepted(now tier.Millis, shareIndex int) []Action {
 	sh := &s.shares[shareIndex]
 	if s.done || sh.ended {
 		return nil
@@ -22,12 +22,12 @@
 	sh.acceptDeadline = never
 	// The VM's time starts when it gets the share, which may have been delayed.
 	sh.reportDeadline = max(sh.reportDeadline, now+sh.timeAllowed+reportGrace)
-	s.scheduler.partitioner.Answered(now, sh.member.VM().Name(), now-sh.sentAt)
+	s.scheduler.partitioner.RecordRoundTrip(now, sh.member.VM().Name(), now-sh.sentAt)
 	return nil
 }
 
-// Brought handles a report on a share.
-func (s *Search) Brought(now tier.Millis, shareIndex int, report Brought) []Action {
+// ShareReported handles a report on a share.
+func (s *Search) ShareReported(now tier.Millis, shareIndex int, report ShareReport) []Action {
 	sh := &s.shares[shareIndex]
 	if s.done || sh.ended {
 		return nil
@@ -47,7 +47,7 @@
 		sh.ended = true
 		s.delegatedCalls += report.Calls
 		s.delegatedExtraCalls += report.Extra
-		s.scheduler.partitioner.Gathered(s.terms.class, sh.member.Region(), now-sh.sentAt)
+		s.scheduler.partitioner.RecordShareLatency(s.terms.class, sh.member.Region(), now-sh.sentAt)
 		for _, i := range sh.parts {
 			if p := &s.parts[i]; p.shareIndex == shareIndex && !p.arrived {
 				s.markLost(p, "")
