--- a/tier/admitter/admitter.go
+++ b/tier/admitter/admitter.go
@@ -8,7 +8,7 @@
 // Ages of a threshold, counted from its receipt.
 const (
 	FreshFor = 1 * tier.Second // up to this age a threshold applies as published
-	StaleAt  = 5 * tier.Second // from this age on it admits every request
+	MaxAge   = 5 * tier.Second // from this age on it admits every request
 )
 
 // Threshold is the admission threshold that an owner publishes according to its load.
@@ -29,8 +29,8 @@
 // RetryAfter is the time after which a refused request of a rank may be retried.
 func (t Threshold) RetryAfter(r tier.Rank) tier.Millis { return t.retryAfter[r] }
 
-// AllIn reports whether the threshold admits every request.
-func (t Threshold) AllIn() bool {
+// AdmitsAll reports whether the threshold admits every request.
+func (t Threshold) AdmitsAll() bool {
 	for _, f := range t.fractions {
 		if f < 1 {
 			return false
@@ -39,8 +39,8 @@
 	return true
 }
 
-// AllIn returns a threshold that admits every request.
-func AllIn() Threshold {
+// AdmitAll returns a threshold that admits every request.
+func AdmitAll() Threshold {
 	var t Threshold
 	for r := range t.fractions {
 		t.fractions[r] = 1
@@ -48,30 +48,30 @@
 	return t
 }
 
-// Published is a threshold and the time at which the entry VM received it.
-type Published struct {
+// ReceivedThreshold is a threshold and the time at which the entry VM received it.
+type ReceivedThreshold struct {
 	threshold  Threshold
 	receivedAt tier.Millis
 }
 
-// NewPublished returns a threshold that was received at a time of the entry
+// NewReceivedThreshold returns a threshold that was received at a time of the entry
 // VM's clock.
-func NewPublished(t Threshold, receivedAt tier.Millis) Published {
-	return Published{threshold: t, receivedAt: receivedAt}
+func NewReceivedThreshold(t Threshold, receivedAt tier.Millis) ReceivedThreshold {
+	return ReceivedThreshold{threshold: t, receivedAt: receivedAt}
 }
 
 // fractionAt is the fraction of requests to admit at a time. Between FreshFor and MaxAge
 // it rises linearly from the published fraction to 1.
-func (p Published) fractionAt(now tier.Millis, r tier.Rank) float64 {
+func (p ReceivedThreshold) fractionAt(now tier.Millis, r tier.Rank) float64 {
 	f := p.threshold.fractions[r]
 	age := now - p.receivedAt
 	if age <= FreshFor {
 		return f
 	}
-	if age >= StaleAt {
+	if age >= MaxAge {
 		return 1
 	}
-	return f + (1-f)*float64(age-FreshFor)/float64(StaleAt-FreshFor)
+	return f + (1-f)*float64(age-FreshFor)/float64(MaxAge-FreshFor)
 }
 
 // Admitter admits the published fraction of one shard set's requests, evenly spread.
@@ -92,7 +92,7 @@
 // Admit decides on a request that needs all the owners whose thresholds are given: the
 // lowest fraction applies. For a refused request it returns false and the time after
 // which to retry, which is lengthened by up to 50 % to spread retries.
-func (a *Admitter) Admit(now tier.Millis, r tier.Rank, owners ...Published) (tier.Millis, bool) {
+func (a *Admitter) Admit(now tier.Millis, r tier.Rank, owners ...ReceivedThreshold) (tier.Millis, bool) {
 	fraction, retryAfter := 1.0, tier.Millis(0)
 	for _, p := range owners {
 		if f := p.fractionAt(now, r); f < fraction {
--- a/tier/correlator/errors.go
+++ b/tier/correlator/errors.go
@@ -41,14 +41,14 @@
 	return fmt.Sprintf("the reply's %s is %q, want %q", e.field, e.got, e.want)
 }
 
-// NotOpenError reports that no call with an id is waiting for a reply: the reply is
+// NotPendingError reports that no call with an id is waiting for a reply: the reply is
 // late, a duplicate, or addressed to another VM.
-type NotOpenError struct{ attempt string }
+type NotPendingError struct{ attempt string }
 
 // Attempt is the id of the call.
-func (e *NotOpenError) Attempt() string { return e.attempt }
+func (e *NotPendingError) Attempt() string { return e.attempt }
 
 // Error states the id.
-func (e *NotOpenError) Error() string {
+func (e *NotPendingError) Error() string {
 	return fmt.Sprintf("no call %q is waiting for a reply", e.attempt)
 }
--- a/tier/dispatcher/dispatcher.go
+++ b/tier/dispatcher/dispatcher.go
@@ -15,8 +15,8 @@
 
 // Default options of a Dispatcher.
 const (
-	DefaultTakeover  = 3 * tier.Second
-	DefaultQueueSize = 4096 // queued parts per rank
+	DefaultTakeoverDelay = 3 * tier.Second
+	DefaultQueueSize     = 4096 // queued parts per rank
 )
 
 // Dispatcher schedules the leaf calls of one shard set in one data centre for one
@@ -68,10 +68,10 @@
 	return func(d *Dispatcher) { d.owners, d.ownerIndex = owners, index }
 }
 
-// WithTakeover sets how long a new or larger share is withheld. Until then the
+// WithTakeoverDelay sets how long a new or larger share is withheld. Until then the
 // previous share of each server still applies, or one slot if that was zero, so that
 // the former owner's calls and the new owner's don't overload the server together.
-func WithTakeover(m tier.Millis) Option { return func(d *Dispatcher) { d.takeoverDelay = m } }
+func WithTakeoverDelay(m tier.Millis) Option { return func(d *Dispatcher) { d.takeoverDelay = m } }
 
 // WithQueueSize sets how many parts of each rank may be queued.
 func WithQueueSize(n int) Option { return func(d *Dispatcher) { d.queueSize = n } }
@@ -99,7 +99,7 @@
 // Defaults sets the options to their defaults: a single owner and seed 1.
 func (d *Dispatcher) Defaults() {
 	d.owners, d.ownerIndex = 1, 0
-	d.takeoverDelay = DefaultTakeover
+	d.takeoverDelay = DefaultTakeoverDelay
 	d.queueSize = DefaultQueueSize
 	d.random = rand.New(rand.NewPCG(1, 1))
 	d.shareSince = 0
@@ -120,7 +120,7 @@
 	switch e := e.(type) {
 	case *Submit:
 		d.handleSubmit(e)
-	case *Replied:
+	case *CallEnded:
 		d.handleCallEnded(e)
 	case *Cancelled:
 		d.handleCancelled(e)
@@ -151,8 +151,8 @@
 	}
 }
 
-// Next is when the next Tick is due; false if no timer is set.
-func (d *Dispatcher) Next() (tier.Millis, bool) {
+// NextTick is when the next Tick is due; false if no timer is set.
+func (d *Dispatcher) NextTick() (tier.Millis, bool) {
 	at, ok := d.timers.nextAt()
 	if d.overload.admitsAll() {
 		return at, ok
--- a/tier/dispatcher/events.go
+++ b/tier/dispatcher/events.go
@@ -24,9 +24,9 @@
 // WithSnapshot sets the snapshot at which every leaf call of the part reads.
 func WithSnapshot(s tier.Snapshot) SubmitOption { return func(e *Submit) { e.snapshot = s } }
 
-// NotRepeatable marks a part that may run at most once: it gets a single leaf call,
+// NonIdempotent marks a part that may run at most once: it gets a single leaf call,
 // which is neither hedged nor retried.
-func NotRepeatable() SubmitOption { return func(e *Submit) { e.idempotent = false } }
+func NonIdempotent() SubmitOption { return func(e *Submit) { e.idempotent = false } }
 
 // NewSubmit returns the request to run an idempotent part without a pinned snapshot.
 // The owner VM chooses the part's number, which no other unfinished part may have. The
@@ -40,15 +40,17 @@
 	return e
 }
 
-// Replied reports the end of a leaf call. Exactly one must follow each *Call, also
+// CallEnded reports the end of a leaf call. Exactly one must follow each *Call, also
 // after a *CancelCall, since the call occupies its slot until then.
-type Replied struct {
+type CallEnded struct {
 	attempt uint64
 	result  Result
 }
 
-// NewReplied returns the end of the leaf call with an attempt number.
-func NewReplied(attempt uint64, r Result) *Replied { return &Replied{attempt: attempt, result: r} }
+// NewCallEnded returns the end of the leaf call with an attempt number.
+func NewCallEnded(attempt uint64, r Result) *CallEnded {
+	return &CallEnded{attempt: attempt, result: r}
+}
 
 // Result is the result of a leaf call: *ReplyOK, *ReplyNotRun, *ReplyFailed or
 // *ReplyRejected.
@@ -77,14 +79,14 @@
 // executed it.
 type ReplyFailed struct{}
 
-// ReplyBad is a reply that package correlator rejected. The server may have
+// ReplyRejected is a reply that package correlator rejected. The server may have
 // executed the call.
-type ReplyBad struct{}
+type ReplyRejected struct{}
 
-func (*ReplyOK) result()     {}
-func (*ReplyNotRun) result() {}
-func (*ReplyFailed) result() {}
-func (*ReplyBad) result()    {}
+func (*ReplyOK) result()       {}
+func (*ReplyNotRun) result()   {}
+func (*ReplyFailed) result()   {}
+func (*ReplyRejected) result() {}
 
 // Cancelled reports that no client waits for a part any more.
 type Cancelled struct{ part uint64 }
@@ -141,7 +143,7 @@
 type Tick struct{}
 
 func (*Submit) event()         {}
-func (*Replied) event()        {}
+func (*CallEnded) event()      {}
 func (*Cancelled) event()      {}
 func (*BackendChanged) event() {}
 func (*HoldingChanged) event() {}
--- a/tier/dispatcher/monitor_test.go
+++ b/tier/dispatcher/monitor_test.go
@@ -59,7 +59,7 @@
 		m.setChanged(e.set)
 	case *ShareChanged:
 		m.share = slotShare{owners: e.owners, index: e.index}
-	case *Replied:
+	case *CallEnded:
 		m.observeReply(e)
 	}
 }
@@ -75,7 +75,7 @@
 	m.set = set
 }
 
-func (m *invariantMonitor) observeReply(e *Replied) {
+func (m *invariantMonitor) observeReply(e *CallEnded) {
 	c := m.calls[e.attempt]
 	delete(m.calls, e.attempt)
 	m.runningPerServer[c.server]--
--- a/tier/dispatcher/property_test.go
+++ b/tier/dispatcher/property_test.go
@@ -68,7 +68,7 @@
 
 func newRandomRun(seed uint64, share slotShare, tamper func(*Dispatcher)) *randomRun {
 	set := testSet(4, 6, 2+int(seed%3))
-	d := New(set, "here", WithSeed(seed), WithTakeover(0), WithShare(share.owners, share.index))
+	d := New(set, "here", WithSeed(seed), WithTakeoverDelay(0), WithShare(share.owners, share.index))
 	return &randomRun{d: d, m: newInvariantMonitor(set, share), tamper: tamper}
 }
 
@@ -83,7 +83,7 @@
 func (r *randomRun) advance(span tier.Millis) {
 	end := r.now + span
 	for {
-		at, ok := r.d.Next()
+		at, ok := r.d.NextTick()
 		if !ok || at > end {
 			break
 		}
@@ -128,7 +128,7 @@
 	var opts []SubmitOption
 	shards := []string{"s0", "s1", "s2", "s3", "s4", "s5"}
 	if pick(4) == 0 {
-		opts = append(opts, NotRepeatable())
+		opts = append(opts, NonIdempotent())
 		shards = shards[pick(6):][:1]
 	} else if pick(2) == 0 {
 		opts = append(opts, WithSnapshot(tier.NewSnapshot(1, tier.Version(1+pick(2)))))
@@ -143,10 +143,10 @@
 		return
 	}
 	all := []Result{
-		&ReplyOK{}, &ReplyOK{}, &ReplyOK{}, &ReplyOK{}, &ReplyOK{}, &ReplyOK{}, &ReplyFailed{}, &ReplyBad{},
+		&ReplyOK{}, &ReplyOK{}, &ReplyOK{}, &ReplyOK{}, &ReplyOK{}, &ReplyOK{}, &ReplyFailed{}, &ReplyRejected{},
 		NewReplyNotRun(NotRunShed), NewReplyNotRun(NotRunWrongSnapshot), NewReplyNotRun(NotRunLeaving),
 	}
-	r.step(NewReplied(attempts[pick(len(attempts))], all[pick(len(all))]))
+	r.step(NewCallEnded(attempts[pick(len(attempts))], all[pick(len(all))]))
 }
 
 func (r *randomRun) outstanding() []uint64 {
@@ -163,7 +163,7 @@
 	for range 3 {
 		r.advance(1000)
 		for _, a := range r.outstanding() {
-			r.step(NewReplied(a, &ReplyOK{}))
+			r.step(NewCallEnded(a, &ReplyOK{}))
 		}
 	}
 	r.m.checkIdle(r.d)
--- a/tier/dispatcher/retry.go
+++ b/tier/dispatcher/retry.go
@@ -11,7 +11,7 @@
 )
 
 // handleCallEnded ends a call and frees its slot.
-func (d *Dispatcher) handleCallEnded(e *Replied) {
+func (d *Dispatcher) handleCallEnded(e *CallEnded) {
 	c := d.calls[e.attempt]
 	if c == nil {
 		return
@@ -58,7 +58,7 @@
 		s.consecutiveFailures = 0
 		s.observeLatency(d.now, took)
 		s.limiter.Succeeded()
-		d.hedger.Observe(d.now, took)
+		d.hedger.ObserveLatency(d.now, took)
 		d.observeServiceTime(c.task.rank(), took)
 	case *ReplyNotRun:
 		d.updateServerNotRun(c, r.reason)
@@ -66,12 +66,12 @@
 		if c.cancelled {
 			// Its latency is unknown, but at least as long as it ran.
 			s.observeLatency(d.now, max(took, tier.Millis(s.averageLatency)))
-			d.hedger.Observe(d.now, took)
+			d.hedger.ObserveLatency(d.now, took)
 			return
 		}
 		s.consecutiveFailures++
 		d.counters.failedCalls++
-	case *ReplyBad:
+	case *ReplyRejected:
 		s.consecutiveFailures++
 		d.counters.rejectedReplies++
 	}
@@ -116,7 +116,7 @@
 		if r.reason == NotRunWrongSnapshot && t.part.idempotent {
 			reason = tier.MissWrongSnapshot
 		}
-	case *ReplyBad:
+	case *ReplyRejected:
 		reason = tier.MissBadReply
 	}
 	if len(t.running) > 0 {
--- a/tier/dispatcher/scheduler.go
+++ b/tier/dispatcher/scheduler.go
@@ -216,7 +216,7 @@
 func (d *Dispatcher) startCall(t *task, s *server) {
 	first := t.calls == 0
 	if first {
-		d.hedger.FirstAttempt()
+		d.hedger.RecordFirstAttempt()
 		d.observeStart(t)
 	} else {
 		d.hedger.Take(t.rank())
--- a/tier/dispatcher/slots_test.go
+++ b/tier/dispatcher/slots_test.go
@@ -32,7 +32,7 @@
 func TestOwnersWithoutSlotsRefuse(t *testing.T) {
 	set := testSet(2, 2, 2)
 	for index, want := range []string{"call", "call", "refused 1 reason=no-owner retry-after=0"} {
-		d := New(set, "here", WithTakeover(0), WithShare(3, index))
+		d := New(set, "here", WithTakeoverDelay(0), WithShare(3, index))
 		actions := d.Step(0, NewSubmit(1, testProfiles[0], 100, []string{"s0", "s1"}))
 		if got := describe(actions[0]); !strings.HasPrefix(got, want) {
 			t.Errorf("owner %d of 3 on two slots: %s", index, got)
@@ -64,15 +64,15 @@
 	for _, c := range []struct {
 		takeover    tier.Millis
 		withinSlots bool
-	}{{DefaultTakeover, true}, {0, false}} {
+	}{{DefaultTakeoverDelay, true}, {0, false}} {
 		t.Run(fmt.Sprintf("takeover %d", c.takeover), func(t *testing.T) {
 			set := testSet(2, 4, slots)
-			former := New(set, "here", WithTakeover(0))
-			next := New(set, "here", WithTakeover(c.takeover))
+			former := New(set, "here", WithTakeoverDelay(0))
+			next := New(set, "here", WithTakeoverDelay(c.takeover))
 			// A share that changes and changes back doesn't end the takeover delay.
 			next.Step(0, NewShareChanged(2, 1))
 			next.Step(0, NewShareChanged(1, 0))
-			most := maxCallsPerServer(DefaultTakeover, []*Dispatcher{former, next})
+			most := maxCallsPerServer(DefaultTakeoverDelay, []*Dispatcher{former, next})
 			if got := most <= slots+1; got != c.withinSlots {
 				t.Fatalf("%d calls on %d slots", most, slots)
 			}
@@ -90,7 +90,7 @@
 		testProfile("gate", tier.Urgent, tier.WithImposedWait(imposed)),
 		testProfile("fees", tier.Reports, tier.WithImposedWait(tier.MaxImposedWait)),
 	}
-	d := New(set, "here", WithTakeover(0))
+	d := New(set, "here", WithTakeoverDelay(0))
 	used := [2]tier.Millis{}
 	running := map[uint64]tier.Millis{}
 	kindOf := map[uint64]int{}
@@ -116,7 +116,7 @@
 			if at, ok := running[a]; ok && at <= now {
 				delete(running, a)
 				used[kindOf[a]] += latencies[kindOf[a]]
-				take(now, d.Step(now, NewReplied(a, &ReplyOK{})))
+				take(now, d.Step(now, NewCallEnded(a, &ReplyOK{})))
 			}
 		}
 		if tamper != nil {
@@ -158,10 +158,10 @@
 // slot of a server, and that a former owner has fallen back to one slot by the end of the
 // takeover delay.
 func TestStandbyKeepsOneSlot(t *testing.T) {
-	former := New(testSet(1, 1, 4), "here", WithTakeover(100))
+	former := New(testSet(1, 1, 4), "here", WithTakeoverDelay(100))
 	former.Step(0, &Tick{})
 	former.Step(1000, &Standby{})
-	neverOwner := New(testSet(1, 1, 4), "here", WithTakeover(100))
+	neverOwner := New(testSet(1, 1, 4), "here", WithTakeoverDelay(100))
 	neverOwner.Step(0, &Standby{})
 	for name, c := range map[string]struct {
 		d    *Dispatcher
--- a/tier/dispatcher/status.go
+++ b/tier/dispatcher/status.go
@@ -29,8 +29,8 @@
 // Unknown is how many parts ended with a *PartUnknown.
 func (c Counters) Unknown() int { return c.unknown }
 
-// Late is how many parts reached their deadline before they ended.
-func (c Counters) Late() int { return c.expired }
+// Expired is how many parts reached their deadline before they ended.
+func (c Counters) Expired() int { return c.expired }
 
 // Cancelled is how many parts were cancelled because their client disconnected.
 func (c Counters) Cancelled() int { return c.cancelled }
@@ -38,17 +38,17 @@
 // Calls is how many leaf calls were made.
 func (c Counters) Calls() int { return c.calls }
 
-// Extra is how many leaf calls were hedges or retries.
-func (c Counters) Extra() int { return c.extraCalls }
+// ExtraCalls is how many leaf calls were hedges or retries.
+func (c Counters) ExtraCalls() int { return c.extraCalls }
 
-// Failed is how many leaf calls failed without a usable reply, cancelled ones aside.
-func (c Counters) Failed() int { return c.failedCalls }
+// FailedCalls is how many leaf calls failed without a usable reply, cancelled ones aside.
+func (c Counters) FailedCalls() int { return c.failedCalls }
 
-// Bad is how many replies package correlator rejected.
-func (c Counters) Bad() int { return c.rejectedReplies }
+// RejectedReplies is how many replies package correlator rejected.
+func (c Counters) RejectedReplies() int { return c.rejectedReplies }
 
-// NotRun is how many leaf calls a server did not execute.
-func (c Counters) NotRun() int { return c.notRunCalls }
+// NotRunCalls is how many leaf calls a server did not execute.
+func (c Counters) NotRunCalls() int { return c.notRunCalls }
 
 // Refused is how many parts of a rank were refused.
 func (c Counters) Refused(r tier.Rank) int { return c.refused[r] }
@@ -68,11 +68,11 @@
 // State is the server's state.
 func (s ServerStatus) State() tier.BackendState { return s.state }
 
-// Used is how many slots this owner's calls occupy.
-func (s ServerStatus) Used() int { return s.usedSlots }
+// UsedSlots is how many slots this owner's calls occupy.
+func (s ServerStatus) UsedSlots() int { return s.usedSlots }
 
-// Limit is how many slots this owner's calls may occupy now.
-func (s ServerStatus) Limit() int { return s.slotLimit }
+// SlotLimit is how many slots this owner's calls may occupy now.
+func (s ServerStatus) SlotLimit() int { return s.slotLimit }
 
 // Latency is the average latency of this owner's calls to the server.
 func (s ServerStatus) Latency() tier.Millis { return s.latency }
@@ -90,8 +90,8 @@
 // Queued is how many parts of a rank have a task that waits for its first call.
 func (s Status) Queued(r tier.Rank) int { return s.queued[r] }
 
-// Wait estimates how long the queue of a rank takes to drain at the measured rate.
-func (s Status) Wait(r tier.Rank) tier.Millis { return s.drainTimes[r] }
+// DrainTime estimates how long the queue of a rank takes to drain at the measured rate.
+func (s Status) DrainTime(r tier.Rank) tier.Millis { return s.drainTimes[r] }
 
 // Servers lists the backend servers in the set's order.
 func (s Status) Servers() []ServerStatus { return s.servers }
--- a/tier/example_test.go
+++ b/tier/example_test.go
@@ -105,7 +105,7 @@
 		switch a := a.(type) {
 		case *dispatcher.Call:
 			fmt.Println("call for", a.Shard())
-			actions = append(actions, d.Step(20, dispatcher.NewReplied(a.Attempt(), &dispatcher.ReplyOK{}))...)
+			actions = append(actions, d.Step(20, dispatcher.NewCallEnded(a.Attempt(), &dispatcher.ReplyOK{}))...)
 		case *dispatcher.PartDone:
 			fmt.Println("covered", len(a.Winners()), "missed", len(a.Misses()))
 		}
@@ -124,8 +124,8 @@
 		burst++
 	}
 	for range 100 {
-		h.FirstAttempt()
-		h.Observe(1000, 8)
+		h.RecordFirstAttempt()
+		h.ObserveLatency(1000, 8)
 	}
 	delay, measured := h.Delay()
 	fmt.Println("burst", burst, "then", h.Available(tier.Urgent))
--- a/tier/hedger/hedger.go
+++ b/tier/hedger/hedger.go
@@ -49,8 +49,8 @@
 	return BudgetBurst
 }
 
-// FirstAttempt adds the tokens of a first attempt to the budget.
-func (h *Hedger) FirstAttempt() { h.tokens = min(h.maxTokens(), h.tokens+h.budgetRatio) }
+// RecordFirstAttempt adds the tokens of a first attempt to the budget.
+func (h *Hedger) RecordFirstAttempt() { h.tokens = min(h.maxTokens(), h.tokens+h.budgetRatio) }
 
 // Take takes a token for an extra call of a rank and reports whether one was available.
 // Each less urgent rank leaves a further quarter of the maximum to more urgent ones.
@@ -71,9 +71,9 @@
 // Tokens is the number of tokens left.
 func (h *Hedger) Tokens() float64 { return h.tokens }
 
-// Observe records the latency of a call, or how long it had run if it was
+// ObserveLatency records the latency of a call, or how long it had run if it was
 // cancelled.
-func (h *Hedger) Observe(now, latency tier.Millis) {
+func (h *Hedger) ObserveLatency(now, latency tier.Millis) {
 	if now-h.windowStart >= Window {
 		h.previous, h.current = h.current, &histogram{}
 		h.windowStart = now
--- a/tier/merger/errors.go
+++ b/tier/merger/errors.go
@@ -29,9 +29,9 @@
 
 // The reasons why a result can't be merged.
 const (
-	ShardForeign  ShardProblem = "foreign"  // the shard is not in the shard map
+	ShardNotInMap ShardProblem = "foreign"  // the shard is not in the shard map
 	ShardRepeated ShardProblem = "repeated" // a result of the shard was merged before
-	ShardMissed   ShardProblem = "missed"   // the result has no reply
+	ShardNoReply  ShardProblem = "missed"   // the result has no reply
 )
 
 // ShardError reports that the result of a shard can't be merged.
@@ -51,19 +51,19 @@
 	return fmt.Sprintf("result of shard %q can't be merged: %s", e.shard, e.problem)
 }
 
-// KeyError reports that a reply has two different values of one key.
-type KeyError struct {
+// KeyConflictError reports that a reply has two different values of one key.
+type KeyConflictError struct {
 	shard string
 	key   string
 }
 
 // Shard is the id of the shard.
-func (e *KeyError) Shard() string { return e.shard }
+func (e *KeyConflictError) Shard() string { return e.shard }
 
 // Key is the key with two values.
-func (e *KeyError) Key() string { return e.key }
+func (e *KeyConflictError) Key() string { return e.key }
 
 // Error states the shard and the key.
-func (e *KeyError) Error() string {
+func (e *KeyConflictError) Error() string {
 	return fmt.Sprintf("reply of shard %q has two values of key %q", e.shard, e.key)
 }
--- a/tier/merger/merger.go
+++ b/tier/merger/merger.go
@@ -49,13 +49,13 @@
 		return errors.Wrap(&SnapshotError{want: m.snapshot, got: s}, "Merge.Add")
 	}
 	if !m.inMap[r.shard] {
-		return errors.Wrap(&ShardError{shard: r.shard, problem: ShardForeign}, "Merge.Add")
+		return errors.Wrap(&ShardError{shard: r.shard, problem: ShardNotInMap}, "Merge.Add")
 	}
 	if _, done := m.covered[r.shard]; done {
 		return errors.Wrap(&ShardError{shard: r.shard, problem: ShardRepeated}, "Merge.Add")
 	}
 	if r.miss != "" {
-		return errors.Wrap(&ShardError{shard: r.shard, problem: ShardMissed}, "Merge.Add")
+		return errors.Wrap(&ShardError{shard: r.shard, problem: ShardNoReply}, "Merge.Add")
 	}
 	if err := correlator.CheckRecords(r.records, r.count, r.digest); err != nil {
 		return errors.Wrap(err, "Merge.Add")
@@ -75,15 +75,15 @@
 	for _, e := range r.records {
 		v, ok := seen[e.Key()]
 		if ok && v != e.Value() {
-			return &KeyError{shard: r.shard, key: e.Key()}
+			return &KeyConflictError{shard: r.shard, key: e.Key()}
 		}
 		seen[e.Key()] = e.Value()
 	}
 	return nil
 }
 
-// Miss records why a shard is missing, unless its reply was merged.
-func (m *Merge) Miss(shard string, reason tier.MissReason) {
+// RecordMiss records why a shard is missing, unless its reply was merged.
+func (m *Merge) RecordMiss(shard string, reason tier.MissReason) {
 	if _, done := m.covered[shard]; done || !m.inMap[shard] {
 		return
 	}
@@ -105,8 +105,8 @@
 // Complete reports whether every shard in the map was merged.
 func (m *Merge) Complete() bool { return len(m.covered) == len(m.inMap) }
 
-// Doubled is how many records the last Answer dropped as duplicates of a key.
-func (m *Merge) Doubled() int { return m.duplicates }
+// Duplicates is how many records the last Answer dropped as duplicates of a key.
+func (m *Merge) Duplicates() int { return m.duplicates }
 
 // Coverage lists the covered and the missing shards. A shard with neither a reply nor a
 // recorded reason is missing because of the deadline.
--- a/tier/prover/world_test.go
+++ b/tier/prover/world_test.go
@@ -241,15 +241,15 @@
 	receipt  string
 }
 
-func (c *call) expect() correlator.Expect {
-	return correlator.NewExpect(c.id, setName, c.shard, c.snapshot)
+func (c *call) expect() correlator.Expectation {
+	return correlator.NewExpectation(c.id, setName, c.shard, c.snapshot)
 }
 
 // answer is a server's answer: a reply, a receipt or that it did not run.
 type answer struct {
 	notRun  *dispatcher.ReplyNotRun
-	reply   *correlator.Reply
-	receipt *correlator.Receipt
+	reply   *correlator.SearchReply
+	receipt *correlator.BookingReply
 	epoch   tier.Epoch
 	held    []tier.Version
 }
