--- a/cicadagraded/entry/apply_test.go
+++ b/cicadagraded/entry/apply_test.go
@@ -14,9 +14,9 @@
 	"cicadagrade.example/tier/storer"
 )
 
-// BenchmarkApply is the work of one change of a leaf's registration, of a leaf
-// that is new or leaves. The load: an index that is cut anew registers hundreds of leafs in
-// a second, on VMs with a fifth of a core.
+// BenchmarkApply measures applying one changed registration of a leaf that is new or
+// draining. When an index is resharded, hundreds of leafs register within a second, and
+// VMs may have only a fifth of a core.
 func BenchmarkApply(b *testing.B) {
 	raw, err := os.ReadFile("testdata/settings.toml")
 	if err != nil {
@@ -39,6 +39,6 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		e.apply(storer.NewValue(platform.LeafsPrefix+leaf.ID(), value, int64(i)), int64(i))
+		e.applyChange(storer.NewValue(platform.LeafsPrefix+leaf.ID(), value, int64(i)), int64(i))
 	}
 }
--- a/cicadagraded/entry/bench_test.go
+++ b/cicadagraded/entry/bench_test.go
@@ -18,11 +18,11 @@
 	"cicadagrade.example/tier/storer"
 )
 
-// benchShards is how many shards an index of today's sites has.
+// benchShards is the number of shards of a typical index.
 const benchShards = 20
 
-// BenchmarkSweep is a whole query over 20 shards: caller, entry VM and leafs over
-// loopback, on kept connections, all in one process.
+// BenchmarkSweep measures a whole query over 20 shards. The caller, the entry VM and the
+// leafs are in one process and reuse connections over loopback.
 func BenchmarkSweep(b *testing.B) {
 	raw, err := os.ReadFile("testdata/settings.toml")
 	if err != nil {
@@ -46,19 +46,19 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		e.apply(storer.NewValue(platform.LeafsPrefix+worker.ID(), entry, int64(i+1)), int64(i+1))
+		e.applyChange(storer.NewValue(platform.LeafsPrefix+worker.ID(), entry, int64(i+1)), int64(i+1))
 	}
 	table, err := os.ReadFile("testdata/twenty-shards.json")
 	if err != nil {
 		b.Fatal(err)
 	}
-	e.apply(storer.NewValue(platform.ConfigurationKey, table, benchShards+1), benchShards+1)
+	e.applyChange(storer.NewValue(platform.ConfigurationKey, table, benchShards+1), benchShards+1)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
 	callers := NewCallers(e)
-	e.calls.Go(func() { _ = callers.Serve(l) })
+	e.background.Go(func() { _ = callers.Serve(l) })
 	defer callers.Close()
 	defer func() { _ = l.Close() }()
 	b.ReportAllocs()
@@ -68,7 +68,7 @@
 			b.Fatal(err)
 		}
 		q.Host = "search.example"
-		responder.Address(q.Header, fmt.Sprint("a", i), patience)
+		responder.Address(q.Header, fmt.Sprint("a", i), callerTimeoutMs)
 		reply, err := http.DefaultClient.Do(q)
 		if err != nil {
 			b.Fatal(err)
--- a/cicadagraded/entry/callers.go
+++ b/cicadagraded/entry/callers.go
@@ -13,33 +13,33 @@
 	"cicadagrade.example/tier/router"
 )
 
-// Bounds on callers while the configuration names none.
+// Limits on callers' connections where the configuration sets none.
 const (
-	// defaultHeaderTime bounds the reading of a request's header; the brief
-	// names no bound, so this is generous.
-	defaultHeaderTime = 10 * tier.Second
-	// defaultIdleTime is how long a caller's connection may be idle.
-	defaultIdleTime = 120 * tier.Second
-	// acceptPause is how long accepting rests after the system refused a
-	// connection, for example for want of descriptors.
+	// defaultHeaderTimeout bounds the reading of a request's header. No requirement sets
+	// this bound, so it is generous.
+	defaultHeaderTimeout = 10 * tier.Second
+	// defaultIdleTimeout bounds how long a caller's connection may be idle.
+	defaultIdleTimeout = 120 * tier.Second
+	// acceptPause is the pause after a failed accept, for example when the process has
+	// run out of file descriptors.
 	acceptPause = 5 * time.Millisecond
 )
 
-// Callers takes callers' connections. An http.Server's limits are fixed once it
-// serves, and the operator's may change: there is one server for each set of
-// limits, and a connection keeps those under which it came.
+// Callers serves callers' connections. The limits of an http.Server are fixed once it
+// serves, but the configuration's limits can change, so there is one http.Server for each
+// set of limits. A connection keeps the limits in force when it was accepted.
 type Callers struct {
 	entry *Entry
 	group sync.WaitGroup
 
 	mu      sync.Mutex
-	servers map[router.Limits]*callersServer
+	servers map[router.Limits]*limitsServer
 	closed  bool
 }
 
-// NewCallers returns what takes callers' connections for an entry VM.
+// NewCallers returns a server of callers' connections for an entry VM.
 func NewCallers(e *Entry) *Callers {
-	return &Callers{entry: e, servers: map[router.Limits]*callersServer{}}
+	return &Callers{entry: e, servers: map[router.Limits]*limitsServer{}}
 }
 
 // Serve accepts connections until the listener is closed.
@@ -54,15 +54,16 @@
 			time.Sleep(acceptPause)
 			continue
 		}
-		s := c.server()
-		if s == nil || !s.take(conn) {
+		s := c.currentServer()
+		if s == nil || !s.handOver(conn) {
 			_ = conn.Close()
 		}
 	}
 }
 
-// server is the one for the limits in force, or nil after the end.
-func (c *Callers) server() *callersServer {
+// currentServer returns the server for the limits in force, and starts it if needed. It
+// returns nil after stopAccepting.
+func (c *Callers) currentServer() *limitsServer {
 	var limits router.Limits
 	if t := c.entry.table.Load(); t != nil {
 		limits = t.Limits()
@@ -74,7 +75,7 @@
 	}
 	s, ok := c.servers[limits]
 	if !ok {
-		s = newCallersServer(c.entry, limits)
+		s = newLimitsServer(c.entry, limits)
 		c.servers[limits] = s
 		c.group.Go(func() {
 			if err := s.http.Serve(s); !errors.Is(err, http.ErrServerClosed) {
@@ -85,33 +86,33 @@
 	return s
 }
 
-// end marks the end and returns the servers there were.
-func (c *Callers) end() []*callersServer {
+// stopAccepting makes currentServer return nil from now on, and returns all servers.
+func (c *Callers) stopAccepting() []*limitsServer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
-	all := make([]*callersServer, 0, len(c.servers))
+	all := make([]*limitsServer, 0, len(c.servers))
 	for _, s := range c.servers {
 		all = append(all, s)
 	}
 	return all
 }
 
-// Shutdown waits until no request is in flight, or for the context's end. The
-// listener has to be closed before.
+// Shutdown waits until no request is in flight or ctx ends. The listener passed to Serve
+// must be closed firstErr.
 func (c *Callers) Shutdown(ctx context.Context) error {
-	var first error
-	for _, s := range c.end() {
-		if err := s.http.Shutdown(ctx); err != nil && first == nil {
-			first = errors.Wrap(err, "Callers.Shutdown")
+	var firstErr error
+	for _, s := range c.stopAccepting() {
+		if err := s.http.Shutdown(ctx); err != nil && firstErr == nil {
+			firstErr = errors.Wrap(err, "Callers.Shutdown")
 		}
 	}
-	return first
+	return firstErr
 }
 
-// Close ends all connections.
+// Close closes all connections, also those with requests in flight.
 func (c *Callers) Close() {
-	for _, s := range c.end() {
+	for _, s := range c.stopAccepting() {
 		if err := s.http.Close(); err != nil {
 			c.entry.log.Fault("callers-not-closed", "error", err)
 		}
@@ -119,38 +120,39 @@
 	c.group.Wait()
 }
 
-// callersServer is a server with fixed limits; it is its own listener.
-type callersServer struct {
+// limitsServer is an http.Server for one set of limits. It is the net.Listener of that
+// server, which accepts the connections passed to handOver.
+type limitsServer struct {
 	http   *http.Server
 	conns  chan net.Conn
 	closed chan struct{}
 	close  func()
 }
 
-func newCallersServer(e *Entry, l router.Limits) *callersServer {
+func newLimitsServer(e *Entry, limits router.Limits) *limitsServer {
 	closed := make(chan struct{})
-	s := &callersServer{
+	s := &limitsServer{
 		conns: make(chan net.Conn), closed: closed,
 		close: sync.OnceFunc(func() { close(closed) }),
 	}
 	s.http = &http.Server{
 		Handler: e, ConnContext: e.ConnectionContext,
-		MaxHeaderBytes:    l.HeaderBytes(), // 0 is the library's default
-		ReadHeaderTimeout: orElse(l.HeaderTime(), defaultHeaderTime).Duration(),
-		IdleTimeout:       orElse(l.IdleTime(), defaultIdleTime).Duration(),
+		MaxHeaderBytes:    limits.HeaderBytes(), // 0 selects the default of net/http
+		ReadHeaderTimeout: valueOrDefault(limits.HeaderTime(), defaultHeaderTimeout).Duration(),
+		IdleTimeout:       valueOrDefault(limits.IdleTime(), defaultIdleTimeout).Duration(),
 	}
 	return s
 }
 
-func orElse(m, otherwise tier.Millis) tier.Millis {
+func valueOrDefault(m, fallback tier.Millis) tier.Millis {
 	if m > 0 {
 		return m
 	}
-	return otherwise
+	return fallback
 }
 
-// take hands a connection to the server, unless it is closed.
-func (s *callersServer) take(conn net.Conn) bool {
+// handOver passes a connection to the server. It returns false if the server is closed.
+func (s *limitsServer) handOver(conn net.Conn) bool {
 	select {
 	case s.conns <- conn:
 		return true
@@ -159,8 +161,8 @@
 	}
 }
 
-// Accept, Close and Addr make the server a net.Listener.
-func (s *callersServer) Accept() (net.Conn, error) {
+// Accept returns the next connection passed to handOver.
+func (s *limitsServer) Accept() (net.Conn, error) {
 	select {
 	case conn := <-s.conns:
 		return conn, nil
@@ -169,9 +171,11 @@
 	}
 }
 
-func (s *callersServer) Close() error {
+// Close makes Accept fail with net.ErrClosed.
+func (s *limitsServer) Close() error {
 	s.close()
 	return nil
 }
 
-func (s *callersServer) Addr() net.Addr { return &net.TCPAddr{} }
+// Addr returns an empty address, which net.Listener requires.
+func (s *limitsServer) Addr() net.Addr { return &net.TCPAddr{} }
--- a/cicadagraded/entry/connection.go
+++ b/cicadagraded/entry/connection.go
@@ -15,75 +15,76 @@
 	"cicadagrade.example/tier/timekeeper"
 )
 
-// connectionAge is how long a caller's connection is used, and half as long
-// again at most. Callers that came while the VMs of their own data centre were
-// away would stay for good otherwise, 20 ms further from home; a new connection
-// costs a round trip to the balancer.
-const connectionAge = 4 * tier.Second
+// minConnectionLifetime is the least time after which a caller's connection is closed; a
+// random time of up to half of it is added. Without a limit, callers that were sent here
+// while the VMs of their own data centre were down would stay for good, with 20 ms of
+// extra latency. A new connection costs a round trip to the balancer.
+const minConnectionLifetime = 4 * tier.Second
 
 // connectionKey is the key of a caller's connection in a request's context.
 type connectionKey struct{}
 
-// connection is a caller's.
+// connection is the state of one caller's connection.
 type connection struct {
-	end    tier.Millis            // when it is to end
-	caller *timekeeper.Connection // guarded by Entry.mu
+	expiresAt tier.Millis            // time after which the next response closes it
+	timing    *timekeeper.Connection // guarded by Entry.mu
 }
 
-// ConnectionContext keeps with a caller's connection what is known of it.
+// ConnectionContext adds the state of a caller's new connection to its context. It is the
+// ConnContext hook of an http.Server.
 func (e *Entry) ConnectionContext(ctx context.Context, c net.Conn) context.Context {
 	now := e.clock.Now()
-	end := now + connectionAge + tier.Millis(rand.Int64N(int64(connectionAge/2)))
-	trip, err := roundTrip(c)
-	if err != nil && !e.tripless.Swap(true) {
+	expiresAt := now + minConnectionLifetime + tier.Millis(rand.Int64N(int64(minConnectionLifetime/2)))
+	rtt, err := roundTripTime(c)
+	if err != nil && !e.rttFaultLogged.Swap(true) {
 		e.log.Fault("round-trips-not-known", "error", err)
 	}
-	return context.WithValue(ctx, connectionKey{}, &connection{end: end, caller: timekeeper.NewConnection(now, trip)})
+	return context.WithValue(ctx, connectionKey{}, &connection{expiresAt: expiresAt, timing: timekeeper.NewConnection(now, rtt)})
 }
 
-// roundTrip is the system's measure of a connection's round trip, which it has
-// from the packets that opened it.
-func roundTrip(c net.Conn) (tier.Millis, error) {
+// roundTripTime returns the kernel's estimate of a connection's round-trip time, which for
+// a new connection comes from the TCP handshake. It returns 0 if the connection is not TCP.
+func roundTripTime(c net.Conn) (tier.Millis, error) {
 	t, ok := c.(*net.TCPConn)
 	if !ok {
 		return 0, nil
 	}
 	raw, err := t.SyscallConn()
 	if err != nil {
-		return 0, errors.Wrap(err, "roundTrip")
+		return 0, errors.Wrap(err, "roundTripTime")
 	}
 	var info *unix.TCPInfo
-	var failed error
+	var sockErr error
 	err = raw.Control(func(fd uintptr) {
-		info, failed = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
+		info, sockErr = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 	})
 	if err == nil {
-		err = failed
+		err = sockErr
 	}
 	if err != nil {
-		return 0, errors.Wrap(err, "roundTrip")
+		return 0, errors.Wrap(err, "roundTripTime")
 	}
-	return tier.Millis(math.Round(float64(info.Rtt) / microseconds)), nil
+	return tier.Millis(math.Round(float64(info.Rtt) / microsecondsPerMillisecond)), nil
 }
 
-// microseconds are in a millisecond.
-const microseconds = 1000
+const microsecondsPerMillisecond = 1000
 
-// connectionEnds reports whether the connection of a request is to end with it.
-func connectionEnds(ctx context.Context, now tier.Millis) bool {
+// connectionExpired reports whether a request's connection has reached its lifetime and is
+// to be closed after the response.
+func connectionExpired(ctx context.Context, now tier.Millis) bool {
 	c, ok := ctx.Value(connectionKey{}).(*connection)
-	return ok && now >= c.end
+	return ok && now >= c.expiresAt
 }
 
-// arrived reckons how long a request and its caller have been under way when its
-// header was in.
-func (e *Entry) arrived(ctx context.Context, start tier.Millis, route *router.Route, s platform.Sender) timekeeper.Arrival {
+// recordArrival estimates how much time a caller had spent on a request by start, when the
+// request's header had been read, and how long the network needs for both ways.
+func (e *Entry) recordArrival(ctx context.Context, start tier.Millis, route *router.Route, attempt platform.Sender) timekeeper.Arrival {
 	c, ok := ctx.Value(connectionKey{}).(*connection)
 	if !ok {
-		c = &connection{caller: timekeeper.NewConnection(0, 0)}
+		c = &connection{timing: timekeeper.NewConnection(0, 0)}
 	}
-	left, limited := s.TimeLeft()
+	left, limited := attempt.TimeLeft()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.timekeeper.Arrived(start, c.caller, route.Name(), left, limited)
+	return e.timekeeper.Arrived(start, c.timing, route.Name(), left, limited)
 }
--- a/cicadagraded/entry/connection_test.go
+++ b/cicadagraded/entry/connection_test.go
@@ -15,10 +15,9 @@
 	"cicadagrade.example/tier/timekeeper"
 )
 
-// The load: callers that fled to this data centre during a fault, on connections
-// that they keep. Pattern: bounded connection age, so that a balancer can spread
-// callers anew.
-func TestCallersAreLetGoAfterAWhile(t *testing.T) {
+// Callers that were sent to this data centre during a fault elsewhere would stay on their
+// kept-alive connections after it. Closing old connections lets the balancer reassign them.
+func TestCallerConnectionsExpire(t *testing.T) {
 	raw, err := os.ReadFile("testdata/settings.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -33,37 +32,37 @@
 		t.Fatal(err)
 	}
 	ctx := e.ConnectionContext(context.Background(), nil)
-	asks := func() string {
+	connectionHeader := func() string {
 		w := httptest.NewRecorder()
 		e.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/x", nil).WithContext(ctx))
 		return w.Header().Get("Connection")
 	}
-	if asks() != "" {
-		t.Error("a new connection ends")
+	if connectionHeader() != "" {
+		t.Error("the first response on a new connection closes it")
 	}
-	clock.Advance(connectionAge - 1)
-	if asks() != "" {
-		t.Error("a connection ends before its time")
+	clock.Advance(minConnectionLifetime - 1)
+	if connectionHeader() != "" {
+		t.Error("a connection is closed before its least lifetime")
 	}
-	clock.Advance(connectionAge)
-	if asks() != "close" {
-		t.Error("an old connection is kept")
+	clock.Advance(minConnectionLifetime)
+	if connectionHeader() != "close" {
+		t.Error("a connection is kept beyond its longest lifetime")
 	}
 }
 
-// The load: callers some way off who open a connection for each request, with an
-// aim of a few trips. Pattern: a deadline that counts from the client's start,
-// less the network's time on both ways.
-func TestAimsCountFromTheCallersStart(t *testing.T) {
-	const trip, aim = 6 * tier.Millisecond, 100 * tier.Millisecond
-	route := router.NewRoute("check", "search.example", "/check/", router.WithTimes(tier.Second, aim))
-	k, c := timekeeper.New(), timekeeper.NewConnection(0, trip)
-	left := func(attempt string, want tier.Millis) {
-		q := &request{route: route, arrival: k.Arrived(0, c, route.Name(), tier.Second, true)}
+// For a distant caller, a target latency is only a few round trips. The time left must
+// count from the caller's start, which includes opening the connection, and allow for the
+// network both ways.
+func TestTargetLatencyCountsFromTheCallersStart(t *testing.T) {
+	const roundTrip, target = 6 * tier.Millisecond, 100 * tier.Millisecond
+	route := router.NewRoute("check", "search.example", "/check/", router.WithTimes(tier.Second, target))
+	keeper, conn := timekeeper.New(), timekeeper.NewConnection(0, roundTrip)
+	check := func(name string, want tier.Millis) {
+		q := &request{route: route, arrival: keeper.Arrived(0, conn, route.Name(), tier.Second, true)}
 		if got := q.terms().Aim(); got != want {
-			t.Errorf("%s: %d ms are left until the aim, want %d", attempt, got, want)
+			t.Errorf("%s: %d ms left until the target, want %d", name, got, want)
 		}
 	}
-	left("on a connection that it opened", aim-2*trip-answerMargin)
-	left("on a connection that it kept", aim-trip-answerMargin)
+	check("on a new connection", target-2*roundTrip-responseMargin)
+	check("on a reused connection", target-roundTrip-responseMargin)
 }
--- a/cicadagraded/entry/entry.go
+++ b/cicadagraded/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry is the entry VM on the users' platform: it takes callers'
-// requests, has the leafs of the route's services answer them, and keeps the
-// view of configuration, leafs and VMs that the store tells.
+// Package entry implements an entry VM: it accepts requests from callers, forwards
+// them to the leafs (backend servers) of the route's services, and maintains a view
+// of the configuration, leafs and VMs recorded in the platform's metadata store.
 package entry
 
 import (
@@ -25,63 +25,65 @@
 	"cicadagrade.example/tier/timekeeper"
 )
 
-// Entry is one VM.
+// Entry is an entry VM: its view of the platform, its connections to leafs and other
+// VMs, and the searches in progress. It is safe for concurrent use.
 type Entry struct {
-	settings atomic.Pointer[platform.Settings]
-	clock    *tier.Clock
-	log      *eventlog.Log
-	courier  *courier.Courier
-	store    *platform.Store
-	table    atomic.Pointer[router.Table]
-	seen     atomic.Int64 // when the store last answered, on the clock
-	listed   atomic.Bool  // the VM's own registration is in the store
-	away     atomic.Bool  // the store did not answer the last call
-	isolated atomic.Bool  // neither the store nor any VM answers
-	stopping atomic.Bool
-	tripless atomic.Bool   // the system does not tell round trips; said once
-	stopped  chan struct{} // closed when the VM begins to stop
-	peers    *peers
-	meter    *meter.Meter
-	sent     atomic.Int64 // calls to leafs
-	extra    atomic.Int64 // hedges and retries among them
-	missing  atomic.Int64 // parts that were not in when their request ended
-	far      atomic.Int64 // bytes of replies from other regions
-	calls    sync.WaitGroup
+	settings         atomic.Pointer[platform.Settings]
+	clock            *tier.Clock
+	log              *eventlog.Log
+	leafClient       *courier.Courier
+	store            *platform.Store
+	table            atomic.Pointer[router.Table]
+	storeAnsweredAt  atomic.Int64 // clock time of the last answer from the store, direct or through another VM
+	registered       atomic.Bool  // this VM's registration is in the store
+	storeUnreachable atomic.Bool  // the last read of the store failed
+	isolated         atomic.Bool  // neither the store nor any other VM answers
+	stopping         atomic.Bool
+	rttFaultLogged   atomic.Bool   // the failure to measure round-trip times has been logged
+	shutdown         chan struct{} // closed when the VM begins to shut down
+	peers            *peerClients
+	meter            *meter.Meter
+	leafCalls        atomic.Int64   // calls to leafs
+	extraCalls       atomic.Int64   // hedges and retries among leafCalls
+	missingParts     atomic.Int64   // shard results not received by the end of their request
+	crossRegionBytes atomic.Int64   // bytes of replies received from other regions
+	background       sync.WaitGroup // calls to leafs and other VMs in progress
 
-	// mu guards what decides: one search steps at a time.
+	// mu serialises the steps of all searches and guards the state they share.
 	mu   sync.Mutex
 	core *searcher.Core
-	// relayer holds what has been read of the store, for other VMs.
+	// relayer caches what was read from the store and serves it to other VMs.
 	relayer *relayer.Relayer
-	// timekeeper tells how long callers have waited already.
+	// timekeeper estimates how long a caller has already waited for its request.
 	timekeeper *timekeeper.Timekeeper
 }
 
-// New returns a VM that is not yet serving.
+// New returns an entry VM that has read nothing from the store and serves no requests yet.
 func New(s *platform.Settings, clock *tier.Clock, log *eventlog.Log) (*Entry, error) {
 	m, err := meter.New()
 	if err != nil {
 		return nil, errors.Wrap(err, "New")
 	}
 	e := &Entry{
-		meter: m, clock: clock, log: log, courier: courier.New(), peers: newPeers(),
-		stopped: make(chan struct{}), relayer: relayer.New(), timekeeper: timekeeper.New(),
+		meter: m, clock: clock, log: log, leafClient: courier.New(), peers: newPeerClients(),
+		shutdown: make(chan struct{}), relayer: relayer.New(), timekeeper: timekeeper.New(),
 	}
 	e.settings.Store(s)
-	e.store = platform.NewStore(s.StoreAddress(), platform.WithTimeout(callTimeout))
+	e.store = platform.NewStore(s.StoreAddress(), platform.WithTimeout(storeCallTimeout))
 	vm := tier.NewVM(s.Name(), s.DataCentre(), s.PeerAddress(),
 		tier.WithIncarnation(tier.Incarnation(rand.Uint64())), tier.WithVMState(tier.VMLive))
 	self := sharer.NewMember(vm, s.Region(s.DataCentre()), s.Cores())
-	e.core = searcher.NewCore(lister.New(), balancer.New(e.place),
+	e.core = searcher.NewCore(lister.New(), balancer.New(e.proximity),
 		budgeter.New(s.RetryRatio(), s.RetrySlack(), assumedMembers), sharer.New(self))
-	return e, errors.Wrap(e.observe(), "New")
+	return e, errors.Wrap(e.registerGauges(), "New")
 }
 
-// assumedMembers is how many VMs divide the slack of extra calls until the
-// store has told who there is.
+// assumedMembers is the least number of VMs that the fixed part of the retry budget is
+// divided by. It also applies before the list of VMs has been read.
 const assumedMembers = 10
 
-func (e *Entry) place(dataCentre string) balancer.Place {
+// proximity returns how close a data centre is to this VM.
+func (e *Entry) proximity(dataCentre string) balancer.Place {
 	s := e.settings.Load()
 	switch {
 	case dataCentre == s.DataCentre():
@@ -92,8 +94,8 @@
 	return balancer.OtherRegion
 }
 
-// Reload takes new settings. Addresses and the store's client stay as they
-// were at the start: they are the process's own.
+// Reload applies new settings. Listen addresses and the store's client keep their initial
+// settings; changing them needs a restart.
 func (e *Entry) Reload(s *platform.Settings) {
 	e.settings.Store(s)
 	e.mu.Lock()
@@ -101,17 +103,18 @@
 	e.core.Budgeter().Configure(s.RetryRatio(), s.RetrySlack())
 }
 
-// Ready reports whether callers may be sent to this VM.
+// Ready reports whether the balancer may send callers to this VM.
 func (e *Entry) Ready() bool {
 	return e.table.Load() != nil && !e.stopping.Load() && !e.isolated.Load()
 }
 
-// Stop makes the VM fail its readiness check and ask callers to leave.
+// Stop makes the readiness check fail and closes each caller's connection after its next
+// response. Requests are still served.
 func (e *Entry) Stop() {
 	e.stopping.Store(true)
-	close(e.stopped)
+	close(e.shutdown)
 	e.log.State("stopping", "reason", "SIGTERM")
 }
 
-// Close drops the connections to leafs, after the servers have stopped.
-func (e *Entry) Close() { e.courier.Close() }
+// Close closes the connections to leafs. The servers must have stopped.
+func (e *Entry) Close() { e.leafClient.Close() }
--- a/cicadagraded/entry/gather.go
+++ b/cicadagraded/entry/gather.go
@@ -22,37 +22,39 @@
 )
 
 const (
-	// peerDialTimeout is the longest wait for a connection to another VM.
+	// peerDialTimeout bounds the opening of a connection to another VM.
 	peerDialTimeout = 500 * tier.Millisecond
-	// peerIdleTime is how long they are kept.
+	// peerIdleTime is how long an idle connection to another VM is kept.
 	peerIdleTime = 60 * time.Second
 )
 
-// sharedTerms are what another VM needs to know of a request.
-type sharedTerms struct {
-	route    string
-	top      int
-	attempts int
-	rank     int
-	minimum  func(n int) int
-	shards   []string
+// delegationTerms are the properties of a request that another VM needs to search some of
+// its shards.
+type delegationTerms struct {
+	route        string
+	topK         int
+	maxAttempts  int
+	rank         int
+	minimumParts func(n int) int
+	shards       []string
 }
 
-// peers are the clients of other VMs, by address. Each has one HTTP/2
-// connection, so that a share that is recalled does not cost a connection.
-type peers struct {
-	mu     sync.Mutex
-	byAddr map[string]gatherv1connect.GatherServiceClient
+// peerClients holds a client for each other VM, by address. Each has one HTTP/2
+// connection, so that cancelling a delegated share does not close a connection.
+type peerClients struct {
+	mu        sync.Mutex
+	byAddress map[string]gatherv1connect.GatherServiceClient
 }
 
-func newPeers() *peers {
-	return &peers{byAddr: map[string]gatherv1connect.GatherServiceClient{}}
+func newPeerClients() *peerClients {
+	return &peerClients{byAddress: map[string]gatherv1connect.GatherServiceClient{}}
 }
 
-func (p *peers) at(address string) gatherv1connect.GatherServiceClient {
+// clientOf returns the client of the VM at an address, and creates it if needed.
+func (p *peerClients) clientOf(address string) gatherv1connect.GatherServiceClient {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c, ok := p.byAddr[address]
+	c, ok := p.byAddress[address]
 	if !ok {
 		var protocols http.Protocols
 		protocols.SetUnencryptedHTTP2(true)
@@ -62,108 +64,111 @@
 			DisableCompression: true,
 			Protocols:          &protocols,
 		}}, "http://"+address)
-		p.byAddr[address] = c
+		p.byAddress[address] = c
 	}
 	return c
 }
 
-// drop has the next call to an address make a connection of its own: the one
-// there is may be dead without a sign. Calls that use it end with their own
-// time limits.
-func (p *peers) drop(address string) {
+// drop removes the client of an address, so that the next call opens a new connection: the
+// present one may be dead without having been closed. Calls still in flight on it end
+// with their own timeouts.
+func (p *peerClients) drop(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.byAddr, address)
+	delete(p.byAddress, address)
 }
 
-// divide gives the shards of a request to VMs near their leafs.
-func (e *Entry) divide(route string, shards []string) []sharer.Share {
+// divideShards assigns the shards of a request to VMs near their leafs.
+func (e *Entry) divideShards(route string, shards []string) []sharer.Share {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s := e.settings.Load()
-	places := func(shard string) []sharer.Place {
+	placesOf := func(shard string) []sharer.Place {
 		var list []sharer.Place
 		for _, f := range e.core.Lister().Leafs(shard) {
 			list = append(list, sharer.Place{DataCentre: f.DataCentre(), Region: s.Region(f.DataCentre())})
 		}
 		return list
 	}
-	return e.core.Sharer().Divide(route, shards, places, rand.Float64)
+	return e.core.Sharer().Divide(route, shards, placesOf, rand.Float64)
 }
 
-// delegate sends a share to its VM and tells the search what comes back.
-func (r *run) delegate(searching context.Context, a searcher.Delegate) {
-	ctx, cancel := context.WithCancel(searching)
-	if r.recalls == nil {
-		r.recalls = map[int]context.CancelFunc{}
+// delegate sends a share, some of the request's shards, to another VM, and posts its
+// replies to the search.
+func (r *searchRun) delegate(searchCtx context.Context, a searcher.Delegate) {
+	ctx, cancel := context.WithCancel(searchCtx)
+	if r.cancelShare == nil {
+		r.cancelShare = map[int]context.CancelFunc{}
 	}
-	r.recalls[a.Share] = cancel
+	r.cancelShare[a.Share] = cancel
 	shards := make([]string, len(a.Parts))
-	for i, place := range a.Parts {
-		shards[i] = r.shared.shards[place]
+	for i, part := range a.Parts {
+		shards[i] = r.delegation.shards[part]
 	}
-	q := &gatherv1.GatherRequest{
-		Attempt: r.attempt, Method: r.message.Method(), Head: r.message.Head(), Body: r.message.Body(),
-		Route: r.shared.route, Shards: shards, Top: uint32(r.shared.top), Attempts: uint32(r.shared.attempts),
-		Rank: uint32(r.shared.rank), Spread: a.Member.Region() != r.entry.core.Sharer().Self().Region(),
-		Minimum: uint32(r.shared.minimum(len(shards))),
+	request := &gatherv1.GatherRequest{
+		Attempt: r.attemptID, Method: r.template.Method(), Head: r.template.Head(), Body: r.template.Body(),
+		Route: r.delegation.route, Shards: shards, Top: uint32(r.delegation.topK), Attempts: uint32(r.delegation.maxAttempts),
+		Rank: uint32(r.delegation.rank), Spread: a.Member.Region() != r.entry.core.Sharer().Self().Region(),
+		Minimum: uint32(r.delegation.minimumParts(len(shards))),
 		AimMs:   int64(a.Aim), EndMs: int64(a.End),
 	}
-	r.entry.calls.Go(func() {
+	r.entry.background.Go(func() {
 		defer cancel()
-		if err := r.follow(ctx, searching, a, q); err != nil && ctx.Err() == nil {
-			r.entry.log.Request("share-failed", "request", r.attempt, "peer", a.Member.VM().Name(), "error", err)
-			r.tell(searching, func(s *searcher.Search, now tier.Millis) []searcher.Action {
+		if err := r.readShareReplies(ctx, searchCtx, a, request); err != nil && ctx.Err() == nil {
+			r.entry.log.Request("share-failed", "request", r.attemptID, "peer", a.Member.VM().Name(), "error", err)
+			r.post(searchCtx, func(s *searcher.Search, now tier.Millis) []searcher.Action {
 				return s.ShareFailed(now, a.Share)
 			})
 		}
 	})
 }
 
-// follow tells the search each reply to a share, until the last.
-func (r *run) follow(ctx, searching context.Context, a searcher.Delegate, q *gatherv1.GatherRequest) error {
-	stream, err := r.entry.peers.at(a.Member.VM().Address()).Gather(ctx, connect.NewRequest(q))
+// readShareReplies posts each reply to a share to the search, until the last one. The first
+// reply only acknowledges the share.
+func (r *searchRun) readShareReplies(ctx, searchCtx context.Context, a searcher.Delegate, q *gatherv1.GatherRequest) error {
+	stream, err := r.entry.peers.clientOf(a.Member.VM().Address()).Gather(ctx, connect.NewRequest(q))
 	if err != nil {
-		return errors.Wrap(err, "run.follow")
+		return errors.Wrap(err, "searchRun.readShareReplies")
 	}
 	defer func() { _ = stream.Close() }()
-	accepted := false
+	acknowledged := false
 	for stream.Receive() {
-		if !accepted {
-			accepted = true
-			r.tell(searching, func(s *searcher.Search, now tier.Millis) []searcher.Action {
+		if !acknowledged {
+			acknowledged = true
+			r.post(searchCtx, func(s *searcher.Search, now tier.Millis) []searcher.Action {
 				return s.Accepted(now, a.Share)
 			})
 			continue
 		}
 		reply := stream.Msg()
 		if a.Member.Region() != r.entry.core.Sharer().Self().Region() {
-			r.entry.far.Add(int64(proto.Size(reply)))
+			r.entry.crossRegionBytes.Add(int64(proto.Size(reply)))
 		}
-		b := searcher.Brought{
+		report := searcher.Brought{
 			Reply: reply, Last: reply.GetLast(), MayHaveRun: reply.GetMayHaveRun(),
 			Calls: int(reply.GetCalls()), Extra: int(reply.GetExtra()),
 		}
 		for _, i := range reply.GetParts() {
 			if int(i) >= len(a.Parts) {
-				return errors.Errorf("run.follow: part %d of %d", i, len(a.Parts))
+				return errors.Errorf("searchRun.readShareReplies: part %d is out of range, the share has %d", i, len(a.Parts))
 			}
-			b.Parts = append(b.Parts, a.Parts[i])
+			report.Parts = append(report.Parts, a.Parts[i])
 		}
-		r.tell(searching, func(s *searcher.Search, now tier.Millis) []searcher.Action {
-			return s.Brought(now, a.Share, b)
+		r.post(searchCtx, func(s *searcher.Search, now tier.Millis) []searcher.Action {
+			return s.Brought(now, a.Share, report)
 		})
-		if b.Last {
+		if report.Last {
 			return nil
 		}
 	}
 	if err := stream.Err(); err != nil {
-		return errors.Wrap(err, "run.follow")
+		return errors.Wrap(err, "searchRun.readShareReplies")
 	}
-	return errors.New("run.follow: the replies ended early")
+	return errors.New("searchRun.readShareReplies: the stream ended before the last reply")
 }
 
-// PeerProtocols are what other VMs speak.
+// PeerProtocols returns the protocols that the server for other VMs accepts: HTTP/1.1 and
+// HTTP/2, both without TLS.
 func PeerProtocols() *http.Protocols {
 	var p http.Protocols
 	p.SetHTTP1(true)
@@ -171,23 +176,24 @@
 	return &p
 }
 
-// Peers answers other VMs.
+// Peers returns the handler of calls from other VMs.
 func (e *Entry) Peers() http.Handler {
 	m := http.NewServeMux()
-	m.Handle(gatherv1connect.NewGatherServiceHandler(&gatherer{entry: e}))
+	m.Handle(gatherv1connect.NewGatherServiceHandler(&peerService{entry: e}))
 	return m
 }
 
 const (
-	// probeInterval is how often VMs that are passed over are looked at.
+	// probeInterval is how often it is checked which VMs are due for a probe.
 	probeInterval = 100 * tier.Millisecond
-	// probeTimeout is the longest that a probe's answer may take: the way
-	// between regions and back, and the other VM's processor.
+	// probeTimeout bounds a probe. It allows for a round trip between regions and for
+	// processing on the other VM.
 	probeTimeout = 150 * tier.Millisecond
 )
 
-// RunProbes looks for VMs that were passed over and answer again, and keeps
-// connections to other regions open.
+// RunProbes probes the VMs that are suspected to have failed, so that they are used again
+// once they answer, and the gateways to other regions, to keep connections to them open. It
+// runs until ctx ends.
 func (e *Entry) RunProbes(ctx context.Context) error {
 	ticker := time.NewTicker(probeInterval.Duration())
 	defer ticker.Stop()
@@ -201,39 +207,41 @@
 		due := append(e.core.Sharer().Probes(e.clock.Now()), e.core.Sharer().Unused(e.clock.Now())...)
 		e.mu.Unlock()
 		for _, m := range due {
-			e.calls.Go(func() { e.probe(ctx, m) })
+			e.background.Go(func() { e.probe(ctx, m) })
 		}
 	}
 }
 
+// probe pings a VM and ends its suspicion if it answers.
 func (e *Entry) probe(ctx context.Context, m sharer.Member) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout.Duration())
 	defer cancel()
-	if _, err := e.peers.at(m.VM().Address()).Ping(ctx, connect.NewRequest(&gatherv1.PingRequest{})); err != nil {
+	if _, err := e.peers.clientOf(m.VM().Address()).Ping(ctx, connect.NewRequest(&gatherv1.PingRequest{})); err != nil {
 		e.peers.drop(m.VM().Address())
 		return
 	}
 	e.mu.Lock()
-	back := e.core.Sharer().Found(e.clock.Now(), m.VM().Name())
+	recovered := e.core.Sharer().Found(e.clock.Now(), m.VM().Name())
 	e.mu.Unlock()
-	if back {
+	if recovered {
 		e.log.State("vm-answers-again", "peer", m.VM().Name())
 	}
 }
 
-// Ping shows another VM that this one answers.
-func (g *gatherer) Ping(context.Context, *connect.Request[gatherv1.PingRequest]) (*connect.Response[gatherv1.PingReply], error) {
+// Ping answers a probe of another VM.
+func (g *peerService) Ping(context.Context, *connect.Request[gatherv1.PingRequest]) (*connect.Response[gatherv1.PingReply], error) {
 	return connect.NewResponse(&gatherv1.PingReply{}), nil
 }
 
-// gatherer asks shares for other VMs.
-type gatherer struct{ entry *Entry }
+// peerService serves the calls of other VMs.
+type peerService struct{ entry *Entry }
 
-// Gather asks a share.
-func (g *gatherer) Gather(ctx context.Context, c *connect.Request[gatherv1.GatherRequest], stream *connect.ServerStream[gatherv1.GatherReply]) error {
+// Gather searches a share of another VM's request. It acknowledges the share with an empty
+// reply and then streams partial results as they come in.
+func (g *peerService) Gather(ctx context.Context, c *connect.Request[gatherv1.GatherRequest], stream *connect.ServerStream[gatherv1.GatherReply]) error {
 	e, q := g.entry, c.Msg
 	if err := stream.Send(&gatherv1.GatherReply{}); err != nil {
-		return errors.Wrap(err, "gatherer.Gather")
+		return errors.Wrap(err, "peerService.Gather")
 	}
 	now := e.clock.Now()
 	terms := searcher.NewTerms(q.GetRoute(), now+tier.Millis(q.GetAimMs()), now+tier.Millis(q.GetEndMs()),
@@ -242,35 +250,35 @@
 		searcher.ForAnotherVM())
 	var shares []sharer.Share
 	if q.GetSpread() {
-		shares = e.divide(q.GetRoute(), q.GetShards())
+		shares = e.divideShards(q.GetRoute(), q.GetShards())
 	}
 	run := e.newRun(q.GetAttempt(), true, courier.RestoreMessage(q.GetMethod(), q.GetHead(), q.GetBody()),
 		terms, q.GetShards(), shares)
-	run.shared = sharedTerms{
-		route: q.GetRoute(), top: int(q.GetTop()), attempts: int(q.GetAttempts()), rank: int(q.GetRank()),
-		minimum: func(n int) int { return n * int(q.GetMinimum()) / max(1, len(q.GetShards())) }, shards: q.GetShards(),
+	run.delegation = delegationTerms{
+		route: q.GetRoute(), topK: int(q.GetTop()), maxAttempts: int(q.GetAttempts()), rank: int(q.GetRank()),
+		minimumParts: func(n int) int { return n * int(q.GetMinimum()) / max(1, len(q.GetShards())) }, shards: q.GetShards(),
 	}
-	run.flush = func(f searcher.Flush) error { return stream.Send(reportOf(q, f)) }
-	o, left := run.drive(ctx)
-	e.count(o)
+	run.flush = func(f searcher.Flush) error { return stream.Send(shareReply(q, f)) }
+	o, cancelled := run.execute(ctx)
+	e.countCalls(o)
 	if o.Missing() > 0 {
-		e.log.Request("share-ended", "request", q.GetAttempt(), "route", q.GetRoute(), "recalled", left,
+		e.log.Request("share-ended", "request", q.GetAttempt(), "route", q.GetRoute(), "recalled", cancelled,
 			"took-ms", int64(e.clock.Now()-now), "aim-ms", q.GetAimMs(), "missing", o.Missing(), "of", len(q.GetShards()),
-			"calls", o.Sent(), "extra", o.Extra(), "misses", missText(o))
+			"calls", o.Sent(), "extra", o.Extra(), "misses", describeMisses(o))
 	}
-	if left {
+	if cancelled {
 		return ctx.Err()
 	}
 	return errors.Wrap(stream.Send(&gatherv1.GatherReply{
 		Last: true, MayHaveRun: o.MayHaveRun(), Calls: uint32(o.Sent()), Extra: uint32(o.Extra()),
-	}), "gatherer.Gather")
+	}), "peerService.Gather")
 }
 
-// reportOf merges parts for the VM that asked for them.
-func reportOf(q *gatherv1.GatherRequest, f searcher.Flush) *gatherv1.GatherReply {
+// shareReply merges the parts received since the last reply, for the VM that delegated them.
+func shareReply(q *gatherv1.GatherRequest, f searcher.Flush) *gatherv1.GatherReply {
 	top := ranker.New(int(q.GetTop()))
-	proofs := make([]string, 0, len(q.GetShards()))
-	reply := &gatherv1.GatherReply{Proofs: mergeAll(top, f.Parts, f.Shares, proofs)}
+	signatures := make([]string, 0, len(q.GetShards()))
+	reply := &gatherv1.GatherReply{Proofs: mergeReplies(top, f.Parts, f.Shares, signatures)}
 	for _, i := range f.In {
 		reply.Parts = append(reply.Parts, uint32(i))
 	}
--- a/cicadagraded/entry/handler.go
+++ b/cicadagraded/entry/handler.go
@@ -20,89 +20,92 @@
 )
 
 const (
-	// answerMargin is kept from the aim for merging and writing the answer and
-	// for late timers: twice what a VM of the lowest power takes.
-	answerMargin = 8 * tier.Millisecond
-	// patientTime is taken for a caller who does not say how long it waits.
-	patientTime = 30 * tier.Second
-	// defaultBodyBytes bounds a body if the configuration does not.
+	// responseMargin is subtracted from the target time to allow for merging and writing
+	// the response and for late timers. It is twice what the smallest VM needs.
+	responseMargin = 8 * tier.Millisecond
+	// defaultCallerTimeout applies to callers that do not say how long they wait.
+	defaultCallerTimeout = 30 * tier.Second
+	// defaultBodyBytes bounds a request's body if the configuration sets no limit.
 	defaultBodyBytes = 1 << 20
-	// comeBack is when a caller is to try again after a refusal that a look
-	// at the store or a leaf's restart will end.
-	comeBack = 250 * tier.Millisecond
-	// troubleLasts is when a caller is to try again whose shards can't serve all:
-	// the trials that find them back take about as long.
-	troubleLasts = 600 * tier.Millisecond
-	// endMargin is the time before the caller's own deadline, less the trip, in
-	// which an answer would not reach it any more.
-	endMargin = 6 * tier.Millisecond
+	// refusalRetryAfter is the shortest Retry-After when the cause of a refusal ends with
+	// the next read of the store or a leaf's restart.
+	refusalRetryAfter = 250 * tier.Millisecond
+	// shardOutageRetryAfter is the shortest Retry-After when too many shards fail. The
+	// trial requests that detect their recovery take about as long.
+	shardOutageRetryAfter = 600 * tier.Millisecond
+	// deadlineMargin is subtracted from the caller's deadline, besides the network's
+	// time: an answer sent later would not reach the caller in time.
+	deadlineMargin = 6 * tier.Millisecond
 )
 
-// request is what is known of one request.
+// request holds a caller's request with its route, the routing table that it was matched
+// against, and its timing.
 type request struct {
 	route   *router.Route
 	table   *router.Table
-	sender  platform.Sender
+	attempt platform.Sender
 	start   tier.Millis
 	arrival timekeeper.Arrival
 	body    []byte
 }
 
-// ServeHTTP takes a caller's request.
+// ServeHTTP serves a caller's request.
 func (e *Entry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	start := e.clock.Now()
-	if e.stopping.Load() || e.isolated.Load() || connectionEnds(r.Context(), start) {
+	if e.stopping.Load() || e.isolated.Load() || connectionExpired(r.Context(), start) {
 		w.Header().Set("Connection", "close")
 	}
 	table := e.table.Load()
-	sender := platform.ReadSender(r.Header)
+	attempt := platform.ReadSender(r.Header)
 	if table == nil {
-		e.refuse(w, sender, http.StatusServiceUnavailable, "no-configuration", 0)
+		e.refuse(w, attempt, http.StatusServiceUnavailable, "no-configuration", 0)
 		return
 	}
 	path := r.RequestURI
 	if !strings.HasPrefix(path, "/") {
 		path = r.URL.RequestURI()
 	}
-	bare, _, _ := strings.Cut(path, "?")
-	route, ok := table.Match(r.Host, bare)
+	pathOnly, _, _ := strings.Cut(path, "?")
+	route, ok := table.Match(r.Host, pathOnly)
 	if !ok {
-		if e.viewAge() > staleAfter {
-			e.refuse(w, sender, http.StatusServiceUnavailable, "no-route-in-stale-view", table.Version())
+		if e.viewAge() > staleViewAge {
+			e.refuse(w, attempt, http.StatusServiceUnavailable, "no-route-in-stale-view", table.Version())
 			return
 		}
-		e.refuse(w, sender, http.StatusNotFound, "no-route", table.Version())
+		e.refuse(w, attempt, http.StatusNotFound, "no-route", table.Version())
 		return
 	}
 	body, status := readBody(w, r, table.Limits())
 	if status != 0 {
-		e.refuse(w, sender, status, "bad-body", table.Version())
+		e.refuse(w, attempt, status, "bad-body", table.Version())
 		return
 	}
 	q := &request{
-		route: route, table: table, sender: sender, start: start, body: body,
-		arrival: e.arrived(r.Context(), start, route, sender),
+		route: route, table: table, attempt: attempt, start: start, body: body,
+		arrival: e.recordArrival(r.Context(), start, route, attempt),
 	}
-	message := courier.NewMessage(r.Method, path, r.Host, platform.LeafHeader(r.Header), body)
+	template := courier.NewMessage(r.Method, path, r.Host, platform.LeafHeader(r.Header), body)
 	if route.Scattered() {
-		e.scatter(w, r, q, message)
+		e.serveScattered(w, r, q, template)
 		return
 	}
-	e.forward(w, r, q, message)
+	e.serveSingle(w, r, q, template)
 }
 
+// readBody reads a request's body. The second result is the status of the response if that
+// fails, or 0.
 func readBody(w http.ResponseWriter, r *http.Request, limits router.Limits) ([]byte, int) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil, 0
 	}
-	most := int64(limits.BodyBytes())
-	if most <= 0 {
-		most = defaultBodyBytes
+	maxBytes := int64(limits.BodyBytes())
+	if maxBytes <= 0 {
+		maxBytes = defaultBodyBytes
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, most))
-	var large *http.MaxBytesError
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &large):
+	case errors.As(err, &tooLarge):
 		return nil, http.StatusRequestEntityTooLarge
 	case err != nil:
 		w.Header().Set("Connection", "close")
@@ -111,32 +114,33 @@
 	return body, 0
 }
 
-// refuse answers a request that has not run.
-func (e *Entry) refuse(w http.ResponseWriter, s platform.Sender, status int, cause string, version int64) {
+// refuse responds to a request that was not sent to any leaf.
+func (e *Entry) refuse(w http.ResponseWriter, attempt platform.Sender, status int, cause string, version int64) {
 	if status == http.StatusServiceUnavailable {
-		platform.WriteRetryAfter(w.Header(), comeBack+tier.Millis(rand.Int64N(int64(comeBack))))
+		platform.WriteRetryAfter(w.Header(), refusalRetryAfter+tier.Millis(rand.Int64N(int64(refusalRetryAfter))))
 	}
 	w.Header().Set("Content-Length", "0")
 	w.WriteHeader(status)
 	e.meter.Ended("", "", cause, 0)
-	e.log.Request("refused", "request", s.Attempt(), "status", status, "cause", cause, "version", version,
+	e.log.Request("refused", "request", attempt.Attempt(), "status", status, "cause", cause, "version", version,
 		"view-age-ms", int64(e.viewAge()))
 }
 
-// terms are what the route and the caller grant.
+// terms are the target time, deadline and limits of the search, from the route and the
+// caller's remaining time.
 func (q *request) terms() searcher.Terms {
-	left, limited := q.sender.TimeLeft()
+	left, limited := q.attempt.TimeLeft()
 	if !limited {
-		left = patientTime
+		left = defaultCallerTimeout
 	}
-	trip := q.arrival.Trip()
-	end := q.start + left - trip - endMargin
+	roundTrip := q.arrival.Trip()
+	end := q.start + left - roundTrip - deadlineMargin
 	if t := q.route.Timeout(); t > 0 {
 		end = min(end, q.start+t)
 	}
-	aim := end
+	target := end
 	if a := q.route.Aim(); a > 0 {
-		aim = q.start + a - q.arrival.Spent() - trip - answerMargin
+		target = q.start + a - q.arrival.Spent() - roundTrip - responseMargin
 	}
 	options := []searcher.TermsOption{
 		searcher.WithAttempts(q.route.Attempts()), searcher.WithRank(q.route.Rank()),
@@ -149,68 +153,68 @@
 	} else {
 		options = append(options, searcher.PassFailures())
 	}
-	return searcher.NewTerms(q.route.Name(), aim, end, options...)
+	return searcher.NewTerms(q.route.Name(), target, end, options...)
 }
 
-// scatter answers from the shards.
-func (e *Entry) scatter(w http.ResponseWriter, r *http.Request, q *request, m *courier.Message) {
+// serveScattered sends a request to all shards of the route and merges their records.
+func (e *Entry) serveScattered(w http.ResponseWriter, r *http.Request, q *request, template *courier.Message) {
 	shards := q.route.Shards()
 	e.mu.Lock()
-	hopeless := e.core.Forecaster().Hopeless(q.start, shards, q.route.MinimumParts(), q.arrival.CameBack(), rand.Float64())
+	likelyToFail := e.core.Forecaster().Hopeless(q.start, shards, q.route.MinimumParts(), q.arrival.CameBack(), rand.Float64())
 	e.mu.Unlock()
-	if hopeless {
+	if likelyToFail {
 		e.meter.Ended(q.route.Name(), strconv.Itoa(q.route.Rank()), "shards-missing", 0)
-		platform.WriteRetryAfter(w.Header(), troubleLasts+tier.Millis(rand.Int64N(int64(troubleLasts))))
+		platform.WriteRetryAfter(w.Header(), shardOutageRetryAfter+tier.Millis(rand.Int64N(int64(shardOutageRetryAfter))))
 		w.Header().Set("Content-Length", "0")
 		w.WriteHeader(http.StatusServiceUnavailable)
-		e.log.Request("refused", "request", q.sender.Attempt(), "status", http.StatusServiceUnavailable,
+		e.log.Request("refused", "request", q.attempt.Attempt(), "status", http.StatusServiceUnavailable,
 			"cause", "shards-missing", "version", q.table.Version(), "route", q.route.Name())
 		return
 	}
-	run := e.newRun(q.sender.Attempt(), true, m, q.terms(), shards, e.divide(q.route.Name(), shards))
-	run.shared = sharedTerms{
-		route: q.route.Name(), top: q.route.Top(), attempts: q.route.Attempts(), rank: q.route.Rank(),
-		minimum: q.route.MinimumPartsOf, shards: shards,
+	run := e.newRun(q.attempt.Attempt(), true, template, q.terms(), shards, e.divideShards(q.route.Name(), shards))
+	run.delegation = delegationTerms{
+		route: q.route.Name(), topK: q.route.Top(), maxAttempts: q.route.Attempts(), rank: q.route.Rank(),
+		minimumParts: q.route.MinimumPartsOf, shards: shards,
 	}
-	o, left := run.drive(r.Context())
-	if left {
-		e.report(q, o, 0, string(o.Cause()))
+	o, callerGone := run.execute(r.Context())
+	if callerGone {
+		e.recordOutcome(q, o, 0, string(o.Cause()))
 		return
 	}
 	if !o.Success() {
-		e.fail(w, q, o)
+		e.writeFailure(w, q, o)
 		return
 	}
 	top := ranker.New(q.route.Top())
-	proofs := make([]string, 0, len(q.route.Shards()))
-	proofs = mergeAll(top, o.Parts(), o.Shares(), proofs)
-	platform.WriteParts(w.Header(), proofs, o.Missing())
-	e.write(w, http.StatusOK, top.Bytes())
-	e.report(q, o, http.StatusOK, string(o.Cause()))
+	signatures := make([]string, 0, len(q.route.Shards()))
+	signatures = mergeReplies(top, o.Parts(), o.Shares(), signatures)
+	platform.WriteParts(w.Header(), signatures, o.Missing())
+	e.writeResponse(w, http.StatusOK, top.Bytes())
+	e.recordOutcome(q, o, http.StatusOK, string(o.Cause()))
 }
 
-// mergeAll merges the replies of leafs and of other VMs into top, and appends
-// their proofs.
-func mergeAll(top *ranker.Ranker, parts []searcher.Part, shares []any, proofs []string) []string {
+// mergeReplies merges the records in the replies of leafs and other VMs into top, and
+// returns signatures with those of the replies appended.
+func mergeReplies(top *ranker.Ranker, parts []searcher.Part, shares []any, signatures []string) []string {
 	for _, p := range parts {
 		reply := p.Reply().(*courier.Reply)
 		top.Add(reply.Body())
-		proofs = append(proofs, platform.ReadLeafReply(reply.Status(), reply.Header()).Proof())
+		signatures = append(signatures, platform.ReadLeafReply(reply.Status(), reply.Header()).Proof())
 	}
 	for _, s := range shares {
 		reply := s.(*gatherv1.GatherReply)
 		top.Add(reply.GetRecords())
-		proofs = append(proofs, reply.GetProofs()...)
+		signatures = append(signatures, reply.GetProofs()...)
 	}
-	return proofs
+	return signatures
 }
 
-// forward answers from one leaf.
-func (e *Entry) forward(w http.ResponseWriter, r *http.Request, q *request, m *courier.Message) {
+// serveSingle passes on the response of one leaf.
+func (e *Entry) serveSingle(w http.ResponseWriter, r *http.Request, q *request, template *courier.Message) {
 	service := q.route.Target(rand.Float64())
-	o, left := e.newRun(q.sender.Attempt(), q.route.Repeatable(), m, q.terms(), []string{service}, nil).drive(r.Context())
-	if left {
-		e.report(q, o, 0, string(o.Cause()))
+	o, callerGone := e.newRun(q.attempt.Attempt(), q.route.Repeatable(), template, q.terms(), []string{service}, nil).execute(r.Context())
+	if callerGone {
+		e.recordOutcome(q, o, 0, string(o.Cause()))
 		return
 	}
 	var reply *courier.Reply
@@ -220,60 +224,63 @@
 	case o.Failure() != nil:
 		reply = o.Failure().(*courier.Reply)
 	default:
-		e.fail(w, q, o)
+		e.writeFailure(w, q, o)
 		return
 	}
 	h := w.Header()
 	for k, v := range platform.CallerHeader(reply.Header()) {
 		h[k] = v
 	}
-	e.write(w, reply.Status(), reply.Body())
-	e.report(q, o, reply.Status(), string(o.Cause()))
+	e.writeResponse(w, reply.Status(), reply.Body())
+	e.recordOutcome(q, o, reply.Status(), string(o.Cause()))
 }
 
-func (e *Entry) write(w http.ResponseWriter, status int, body []byte) {
+// writeResponse writes the status and body of a response.
+func (e *Entry) writeResponse(w http.ResponseWriter, status int, body []byte) {
 	w.WriteHeader(status)
 	if _, err := w.Write(body); err != nil && !errors.Is(err, http.ErrBodyNotAllowed) {
 		e.log.Request("answer-not-written", "error", err)
 	}
 }
 
-// fail answers a request that can't be served.
-func (e *Entry) fail(w http.ResponseWriter, q *request, o searcher.Outcome) {
+// writeFailure responds to a request whose search failed: 503 if it certainly did not run,
+// 504 if the time ran out, and 502 otherwise.
+func (e *Entry) writeFailure(w http.ResponseWriter, q *request, o searcher.Outcome) {
 	status := http.StatusBadGateway
 	switch {
 	case !o.MayHaveRun():
 		status = http.StatusServiceUnavailable
-		platform.WriteRetryAfter(w.Header(), comeBack+tier.Millis(rand.Int64N(int64(comeBack))))
+		platform.WriteRetryAfter(w.Header(), refusalRetryAfter+tier.Millis(rand.Int64N(int64(refusalRetryAfter))))
 	case o.Cause() == searcher.OutOfTime:
 		status = http.StatusGatewayTimeout
 	}
 	w.Header().Set("Content-Length", "0")
 	w.WriteHeader(status)
-	e.report(q, o, status, string(o.Cause()))
+	e.recordOutcome(q, o, status, string(o.Cause()))
 }
 
-// report counts how a request ended, and logs it unless it was plainly served.
-func (e *Entry) report(q *request, o searcher.Outcome, status int, cause string) {
+// recordOutcome updates the metrics for a finished request. It logs the request unless it
+// was served completely, on time and without hedges or retries.
+func (e *Entry) recordOutcome(q *request, o searcher.Outcome, status int, cause string) {
 	took := e.clock.Now() - q.start
 	e.meter.Ended(q.route.Name(), strconv.Itoa(q.route.Rank()), cause, took)
-	e.count(o)
+	e.countCalls(o)
 	if o.Cause() == searcher.Complete && o.Extra() == 0 && status < 300 && took <= q.route.Aim() {
 		return
 	}
-	e.log.Request("request-ended", "request", q.sender.Attempt(), "route", q.route.Name(),
+	e.log.Request("request-ended", "request", q.attempt.Attempt(), "route", q.route.Name(),
 		"version", q.table.Version(), "status", status, "cause", cause, "took-ms", int64(took),
 		"aim-ms", int64(q.route.Aim()), "spent-ms", int64(q.arrival.Spent()), "trip-ms", int64(q.arrival.Trip()),
 		"missing", o.Missing(), "of", max(1, len(q.route.Shards())),
 		"shares", len(o.Shares()), "calls", o.Sent(), "extra", o.Extra(),
-		"may-have-run", o.MayHaveRun(), "view-age-ms", int64(e.viewAge()), "misses", missText(o))
+		"may-have-run", o.MayHaveRun(), "view-age-ms", int64(e.viewAge()), "misses", describeMisses(o))
 }
 
-// missText names the parts that are not in, for one log line.
-func missText(o searcher.Outcome) string {
-	words := make([]string, len(o.Misses()))
+// describeMisses lists the missing parts, as the value of a log key.
+func describeMisses(o searcher.Outcome) string {
+	texts := make([]string, len(o.Misses()))
 	for i, m := range o.Misses() {
-		words[i] = m.String()
+		texts[i] = m.String()
 	}
-	return strings.Join(words, " ")
+	return strings.Join(texts, " ")
 }
--- a/cicadagraded/entry/members.go
+++ b/cicadagraded/entry/members.go
@@ -14,18 +14,19 @@
 )
 
 const (
-	// membersPrefix is where the VMs register, each under its name.
-	membersPrefix = "cicadagrade/vms/"
-	// membershipTTL is how long a VM stays registered that died: other VMs
-	// notice its silence themselves.
-	membershipTTL = 9 * tier.Second
-	// membershipInterval is how often the registration is renewed.
-	membershipInterval = 3 * tier.Second
-	// membershipRetry is the pause after a call that failed.
-	membershipRetry = 700 * tier.Millisecond
+	// vmsPrefix is the prefix of the store's keys with the VMs' registrations, each
+	// followed by the VM's name.
+	vmsPrefix = "cicadagrade/vms/"
+	// registrationTTL is how long a VM stays registered after its last renewal. It need
+	// not be short, since other VMs detect by themselves that a VM does not answer.
+	registrationTTL = 9 * tier.Second
+	// registrationInterval is how often the registration is renewed.
+	registrationInterval = 3 * tier.Second
+	// registrationRetryInterval is the pause after a failed renewal.
+	registrationRetryInterval = 700 * tier.Millisecond
 )
 
-// registration is what a VM writes of itself.
+// registration is the stored description of a VM.
 type registration struct {
 	Address     string  `json:"address"`
 	DataCentre  string  `json:"data-centre"`
@@ -34,44 +35,47 @@
 	Incarnation uint64  `json:"incarnation"`
 }
 
-func (e *Entry) registration() ([]byte, error) {
+// encodeRegistration returns this VM's registration as JSON.
+func (e *Entry) encodeRegistration() ([]byte, error) {
 	self := e.core.Sharer().Self()
 	raw, err := json.Marshal(registration{
 		Address: self.VM().Address(), DataCentre: self.VM().DataCentre(), Region: self.Region(),
 		Cores: self.Cores(), Incarnation: uint64(self.VM().Incarnation()),
 	})
-	return raw, errors.Wrap(err, "Entry.registration")
+	return raw, errors.Wrap(err, "Entry.encodeRegistration")
 }
 
+// decodeMember decodes a VM's registration.
 func decodeMember(v storer.Value) (sharer.Member, error) {
 	var r registration
 	if err := json.Unmarshal(v.Data(), &r); err != nil {
 		return sharer.Member{}, errors.Wrapf(err, "decodeMember %q", v.Key())
 	}
-	name := strings.TrimPrefix(v.Key(), membersPrefix)
+	name := strings.TrimPrefix(v.Key(), vmsPrefix)
 	vm := tier.NewVM(name, r.DataCentre, r.Address,
 		tier.WithIncarnation(tier.Incarnation(r.Incarnation)), tier.WithVMState(tier.VMLive))
 	return sharer.NewMember(vm, r.Region, r.Cores), nil
 }
 
-// RunMembership keeps the VM registered until it stops.
+// RunMembership keeps this VM registered in the store until shutdown begins, removes the
+// registration, and returns when ctx ends.
 func (e *Entry) RunMembership(ctx context.Context) error {
 	var lease storer.LeaseID
 	for ctx.Err() == nil && !e.stopping.Load() {
-		err := e.renew(ctx, &lease)
-		pause := membershipInterval
+		err := e.renewRegistration(ctx, &lease)
+		pause := registrationInterval
 		if err != nil {
 			e.log.Request("registration-not-renewed", "error", err)
-			pause = membershipRetry
+			pause = registrationRetryInterval
 		}
 		select {
 		case <-ctx.Done():
-		case <-e.stopped:
+		case <-e.shutdown:
 		case <-time.After(pause.Duration()):
 		}
 	}
 	if lease != 0 {
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout.Duration())
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), storeCallTimeout.Duration())
 		defer cancel()
 		if err := e.store.Release(ctx, lease); err != nil {
 			e.log.Request("registration-not-ended", "error", err)
@@ -81,66 +85,67 @@
 	return nil
 }
 
-// renew renews the lease, and registers anew if it has lapsed or if others
-// can't see the registration.
-func (e *Entry) renew(ctx context.Context, lease *storer.LeaseID) error {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout.Duration())
+// renewRegistration renews the lease of the registration. It registers again, under a new
+// lease, if the lease has expired or the registration is missing from the store.
+func (e *Entry) renewRegistration(ctx context.Context, lease *storer.LeaseID) error {
+	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout.Duration())
 	defer cancel()
 	if *lease != 0 {
 		left, err := e.store.KeepAlive(ctx, *lease)
 		if err != nil {
-			return errors.Wrap(err, "Entry.renew")
+			return errors.Wrap(err, "Entry.renewRegistration")
 		}
-		if left > 0 && e.listed.Load() {
+		if left > 0 && e.registered.Load() {
 			return nil
 		}
 	}
-	raw, err := e.registration()
+	raw, err := e.encodeRegistration()
 	if err != nil {
-		return errors.Wrap(err, "Entry.renew")
+		return errors.Wrap(err, "Entry.renewRegistration")
 	}
-	id, err := e.store.Grant(ctx, membershipTTL)
+	id, err := e.store.Grant(ctx, registrationTTL)
 	if err != nil {
-		return errors.Wrap(err, "Entry.renew")
+		return errors.Wrap(err, "Entry.renewRegistration")
 	}
-	if _, err := e.store.Put(ctx, membersPrefix+e.core.Sharer().Self().VM().Name(), raw, id); err != nil {
-		return errors.Wrap(err, "Entry.renew")
+	if _, err := e.store.Put(ctx, vmsPrefix+e.core.Sharer().Self().VM().Name(), raw, id); err != nil {
+		return errors.Wrap(err, "Entry.renewRegistration")
 	}
-	e.listed.Store(true)
+	e.registered.Store(true)
 	*lease = id
 	e.log.State("registered", "lease", int64(id))
 	return nil
 }
 
-// replaceMembers takes the whole list of VMs.
-func (e *Entry) replaceMembers(list []storer.Value, lapsed bool) {
+// replaceMembers replaces the list of VMs by the registrations in the store. afterOutage has
+// the same meaning as in replaceView.
+func (e *Entry) replaceMembers(list []storer.Value, afterOutage bool) {
 	var members []sharer.Member
-	self := false
+	selfListed := false
 	for _, v := range list {
 		m, err := decodeMember(v)
 		if err != nil {
 			e.log.Fault("vm-entry-skipped", "key", v.Key(), "error", err)
 			continue
 		}
-		self = self || m.VM().Name() == e.core.Sharer().Self().VM().Name()
+		selfListed = selfListed || m.VM().Name() == e.core.Sharer().Self().VM().Name()
 		members = append(members, m)
 	}
-	if !self {
-		e.listed.Store(false)
+	if !selfListed {
+		e.registered.Store(false)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.core.Sharer().SetMembers(e.clock.Now(), members, lapsed)
+	e.core.Sharer().SetMembers(e.clock.Now(), members, afterOutage)
 	e.core.Budgeter().SetMembers(max(assumedMembers, e.core.Sharer().Len()))
 }
 
-// applyMember takes the change of one VM's registration.
+// applyMember applies the change of one VM's registration.
 func (e *Entry) applyMember(v storer.Value) {
-	name := strings.TrimPrefix(v.Key(), membersPrefix)
-	self := name == e.core.Sharer().Self().VM().Name()
+	name := strings.TrimPrefix(v.Key(), vmsPrefix)
+	isSelf := name == e.core.Sharer().Self().VM().Name()
 	if !v.Present() {
-		if self {
-			e.listed.Store(false)
+		if isSelf {
+			e.registered.Store(false)
 			return
 		}
 		e.mu.Lock()
@@ -158,7 +163,7 @@
 	e.core.Sharer().Put(m)
 	e.core.Budgeter().SetMembers(max(assumedMembers, e.core.Sharer().Len()))
 	e.mu.Unlock()
-	if !self {
+	if !isSelf {
 		e.log.State("vm-listed", "peer", name, "address", m.VM().Address(), "data-centre", m.VM().DataCentre())
 	}
 }
--- a/cicadagraded/entry/metrics.go
+++ b/cicadagraded/entry/metrics.go
@@ -12,52 +12,52 @@
 	"cicadagrade.example/tier/searcher"
 )
 
-// gauge is one row of the table of gauges. docs/OPERATIONS.md is checked
-// against it by a test.
+// gauge is a metric that is read from an Entry. A test checks that docs/OPERATIONS.md
+// lists each gauge with the same description.
 type gauge struct {
 	name        string
 	description string
 	read        func(*Entry) int64
 }
 
-// gauges lists every gauge. Those that only grow count since the start of the
-// process.
+// gauges lists all gauges. Cumulative ones count from the start of the process.
 func gauges() []gauge {
 	return []gauge{
-		{"cicadagrade.entry.ready", "1 if the VM asks to be sent callers", func(e *Entry) int64 { return flag(e.Ready()) }},
-		{"cicadagrade.entry.isolated", "1 if neither the store nor any VM answers", func(e *Entry) int64 { return flag(e.isolated.Load()) }},
-		{"cicadagrade.entry.configuration.version", "version of the configuration in force, 0 without any", (*Entry).version},
+		{"cicadagrade.entry.ready", "1 if the VM asks to be sent callers", func(e *Entry) int64 { return boolToInt(e.Ready()) }},
+		{"cicadagrade.entry.isolated", "1 if neither the store nor any VM answers", func(e *Entry) int64 { return boolToInt(e.isolated.Load()) }},
+		{"cicadagrade.entry.configuration.version", "version of the configuration in force, 0 without any", (*Entry).configurationVersion},
 		{"cicadagrade.entry.view.age", "time since the store answered this VM or the one it follows, in milliseconds", func(e *Entry) int64 { return int64(e.viewAge()) }},
-		{"cicadagrade.entry.view.revision", "revision of the store up to which the VM has read", locked(func(e *Entry) int64 { return e.relayer.Revision() })},
-		{"cicadagrade.entry.leafs", "registrations of leafs, usable or not", locked(func(e *Entry) int64 { return int64(e.core.Lister().Len()) })},
-		{"cicadagrade.entry.leafs.usable", "leafs that calls may go to", locked(func(e *Entry) int64 { return int64(e.core.Lister().Usable()) })},
-		{"cicadagrade.entry.store.away", "1 if the store did not answer this VM's last call", func(e *Entry) int64 { return flag(e.away.Load()) }},
-		{"cicadagrade.entry.vms", "VMs known, with this one", locked(func(e *Entry) int64 { return int64(e.core.Sharer().Len()) })},
-		{"cicadagrade.entry.vms.sound", "other VMs that answer", locked(func(e *Entry) int64 { return int64(len(e.core.Sharer().Sound())) })},
-		{"cicadagrade.entry.parts.waiting", "parts that wait for room at a leaf", locked(func(e *Entry) int64 { return int64(e.core.Waiting()) })},
-		{"cicadagrade.entry.calls", "calls to leafs, also those that other VMs made for this one", func(e *Entry) int64 { return e.sent.Load() }},
-		{"cicadagrade.entry.calls.extra", "hedges and retries among them", func(e *Entry) int64 { return e.extra.Load() }},
-		{"cicadagrade.entry.calls.denied", "hedges and retries that the budget did not grant", locked(func(e *Entry) int64 { return e.core.Budgeter().Denied() })},
-		{"cicadagrade.entry.budget.least", "extra calls left to the service that has the fewest", locked(func(e *Entry) int64 { return int64(e.core.Budgeter().Least()) })},
-		{"cicadagrade.entry.bytes.far", "bytes of replies from other regions, of leafs and of VMs", func(e *Entry) int64 { return e.far.Load() }},
-		{"cicadagrade.entry.parts.missing", "parts that were not in when their request ended", func(e *Entry) int64 { return e.missing.Load() }},
-		{"cicadagrade.entry.connections.opened", "connections opened to leafs", func(e *Entry) int64 { return e.courier.Counts().Dials }},
-		{"cicadagrade.entry.connections.spoiled", "connections dropped for bytes that belong to no request", func(e *Entry) int64 { return e.courier.Counts().Spoiled }},
-		{"cicadagrade.entry.replies.stray", "replies to earlier requests that were skipped", func(e *Entry) int64 { return e.courier.Counts().Strays }},
-		{"cicadagrade.entry.memory", "memory of the process, in bytes", func(*Entry) int64 { return sample("/memory/classes/total:bytes") }},
-		{"cicadagrade.entry.processor.time", "processor time of the process, in milliseconds", func(*Entry) int64 { return processorTime() }},
-		{"cicadagrade.entry.goroutines", "goroutines", func(*Entry) int64 { return sample("/sched/goroutines:goroutines") }},
+		{"cicadagrade.entry.view.revision", "revision of the store up to which the VM has read", withLock(func(e *Entry) int64 { return e.relayer.Revision() })},
+		{"cicadagrade.entry.leafs", "registrations of leafs, usable or not", withLock(func(e *Entry) int64 { return int64(e.core.Lister().Len()) })},
+		{"cicadagrade.entry.leafs.usable", "leafs that calls may go to", withLock(func(e *Entry) int64 { return int64(e.core.Lister().Usable()) })},
+		{"cicadagrade.entry.store.away", "1 if the store did not answer this VM's last call", func(e *Entry) int64 { return boolToInt(e.storeUnreachable.Load()) }},
+		{"cicadagrade.entry.vms", "VMs known, with this one", withLock(func(e *Entry) int64 { return int64(e.core.Sharer().Len()) })},
+		{"cicadagrade.entry.vms.sound", "other VMs that answer", withLock(func(e *Entry) int64 { return int64(len(e.core.Sharer().Sound())) })},
+		{"cicadagrade.entry.parts.waiting", "parts that wait for room at a leaf", withLock(func(e *Entry) int64 { return int64(e.core.Waiting()) })},
+		{"cicadagrade.entry.calls", "calls to leafs, also those that other VMs made for this one", func(e *Entry) int64 { return e.leafCalls.Load() }},
+		{"cicadagrade.entry.calls.extra", "hedges and retries among them", func(e *Entry) int64 { return e.extraCalls.Load() }},
+		{"cicadagrade.entry.calls.denied", "hedges and retries that the budget did not grant", withLock(func(e *Entry) int64 { return e.core.Budgeter().Denied() })},
+		{"cicadagrade.entry.budget.least", "extra calls left to the service that has the fewest", withLock(func(e *Entry) int64 { return int64(e.core.Budgeter().Least()) })},
+		{"cicadagrade.entry.bytes.far", "bytes of replies from other regions, of leafs and of VMs", func(e *Entry) int64 { return e.crossRegionBytes.Load() }},
+		{"cicadagrade.entry.parts.missing", "parts that were not in when their request ended", func(e *Entry) int64 { return e.missingParts.Load() }},
+		{"cicadagrade.entry.connections.opened", "connections opened to leafs", func(e *Entry) int64 { return e.leafClient.Counts().Dials }},
+		{"cicadagrade.entry.connections.spoiled", "connections dropped for bytes that belong to no request", func(e *Entry) int64 { return e.leafClient.Counts().Spoiled }},
+		{"cicadagrade.entry.replies.stray", "replies to earlier requests that were skipped", func(e *Entry) int64 { return e.leafClient.Counts().Strays }},
+		{"cicadagrade.entry.memory", "memory of the process, in bytes", func(*Entry) int64 { return readRuntimeMetric("/memory/classes/total:bytes") }},
+		{"cicadagrade.entry.processor.time", "processor time of the process, in milliseconds", func(*Entry) int64 { return processCPUTime() }},
+		{"cicadagrade.entry.goroutines", "goroutines", func(*Entry) int64 { return readRuntimeMetric("/sched/goroutines:goroutines") }},
 	}
 }
 
-func flag(b bool) int64 {
+func boolToInt(b bool) int64 {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-func locked(read func(*Entry) int64) func(*Entry) int64 {
+// withLock wraps read to hold the lock of the Entry.
+func withLock(read func(*Entry) int64) func(*Entry) int64 {
 	return func(e *Entry) int64 {
 		e.mu.Lock()
 		defer e.mu.Unlock()
@@ -65,25 +65,27 @@
 	}
 }
 
-func (e *Entry) version() int64 {
+// configurationVersion is the version of the configuration in force, or 0 if there is none.
+func (e *Entry) configurationVersion() int64 {
 	if t := e.table.Load(); t != nil {
 		return t.Version()
 	}
 	return 0
 }
 
-func sample(name string) int64 {
+// readRuntimeMetric reads a metric of the Go runtime, or 0 if it is not supported.
+func readRuntimeMetric(name string) int64 {
 	s := []metrics.Sample{{Name: name}}
 	metrics.Read(s)
 	if s[0].Value.Kind() != metrics.KindUint64 {
-		return 0 // not known to this runtime
+		return 0 // not supported by this version of the runtime
 	}
 	return int64(s[0].Value.Uint64())
 }
 
-// processorTime is what the system has charged the process, in milliseconds, or
-// 0 if it does not say.
-func processorTime() int64 {
+// processCPUTime is the CPU time that the process has used, user and system, in
+// milliseconds, or 0 if it can't be read.
+func processCPUTime() int64 {
 	var u unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -91,30 +93,30 @@
 	return (u.Utime.Nano() + u.Stime.Nano()) / int64(time.Millisecond)
 }
 
-// observe registers the gauges.
-func (e *Entry) observe() error {
+// registerGauges registers all gauges with the meter.
+func (e *Entry) registerGauges() error {
 	for _, g := range gauges() {
 		read := g.read
 		if err := e.meter.Observe(g.name, g.description, func() []meter.Point {
 			return []meter.Point{meter.NewPoint(read(e))}
 		}); err != nil {
-			return errors.Wrap(err, "Entry.observe")
+			return errors.Wrap(err, "Entry.registerGauges")
 		}
 	}
 	return nil
 }
 
-// count adds up what the ends of searches tell.
-func (e *Entry) count(o searcher.Outcome) {
-	e.sent.Add(int64(o.Sent()))
-	e.extra.Add(int64(o.Extra()))
-	e.missing.Add(int64(o.Missing()))
+// countCalls adds the calls and missing parts of a finished search to the totals.
+func (e *Entry) countCalls(o searcher.Outcome) {
+	e.leafCalls.Add(int64(o.Sent()))
+	e.extraCalls.Add(int64(o.Extra()))
+	e.missingParts.Add(int64(o.Missing()))
 }
 
-// MetricsPath is where the metrics are served.
+// MetricsPath is the path of the metrics.
 const MetricsPath = "/metrics"
 
-// Metrics serves the metrics in the Prometheus format.
+// Metrics returns a handler that serves the metrics in the Prometheus format.
 func (e *Entry) Metrics() http.Handler {
 	m := http.NewServeMux()
 	m.Handle(MetricsPath, e.meter.Handler())
--- a/cicadagraded/entry/metrics_test.go
+++ b/cicadagraded/entry/metrics_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The operators' page lists every gauge with its meaning.
+// The operators' documentation must list every gauge with its description.
 func TestOperatorsPageListsEveryGauge(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	if err != nil {
--- a/cicadagraded/entry/ready.go
+++ b/cicadagraded/entry/ready.go
@@ -6,7 +6,8 @@
 	"cicadagrade.example/platform"
 )
 
-// Readiness answers the balancer's check.
+// Readiness returns the handler of the balancer's readiness check: 200 if the VM is ready,
+// 503 otherwise.
 func (e *Entry) Readiness() http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc(platform.ReadinessCall, func(w http.ResponseWriter, _ *http.Request) {
@@ -17,5 +18,5 @@
 	return m
 }
 
-// Cut says that the stop's time ran out with requests in flight.
+// Cut logs that the grace period of a shutdown ended with requests still in flight.
 func (e *Entry) Cut(err error) { e.log.Fault("requests-cut", "error", err) }
--- a/cicadagraded/entry/run.go
+++ b/cicadagraded/entry/run.go
@@ -15,60 +15,61 @@
 	"cicadagrade.example/tier/sharer"
 )
 
-// freshConnection is the longest idle time of a connection for a request that
-// must not run twice: on an older one the leaf's close may cross it.
-const freshConnection = 400 * tier.Millisecond
+// nonIdempotentMaxIdle is the longest idle time of a connection that is reused for a
+// request that must not run twice. The leaf may close a connection that was idle for
+// longer just as the request is sent, which leaves unknown whether the request ran.
+const nonIdempotentMaxIdle = 400 * tier.Millisecond
 
-// event is a step of a search that something outside it has caused.
-type event func(s *searcher.Search, now tier.Millis) []searcher.Action
+// searchEvent is a step of a search that handles an external event, such as a reply.
+type searchEvent func(s *searcher.Search, now tier.Millis) []searcher.Action
 
-// run carries out the actions of one search.
-type run struct {
-	entry      *Entry
-	attempt    string
-	repeatable bool
-	message    *courier.Message
-	search     *searcher.Search
-	shared     sharedTerms
-	flush      func(searcher.Flush) error
-	events     chan event
-	woken      chan struct{}
-	cancels    map[int]context.CancelFunc
-	recalls    map[int]context.CancelFunc
-	outcome    searcher.Outcome
-	done       bool
+// searchRun executes the actions that one search asks for.
+type searchRun struct {
+	entry       *Entry
+	attemptID   string
+	idempotent  bool
+	template    *courier.Message
+	search      *searcher.Search
+	delegation  delegationTerms
+	flush       func(searcher.Flush) error // sends partial results to the delegating VM
+	events      chan searchEvent
+	wakeup      chan struct{}
+	cancelCall  map[int]context.CancelFunc
+	cancelShare map[int]context.CancelFunc
+	outcome     searcher.Outcome
+	done        bool
 }
 
-// eventBuffer is how many events of one search wait without holding their
-// senders up.
+// eventBuffer is how many events a search can queue, beyond one for each service, before
+// posting blocks.
 const eventBuffer = 32
 
-// newRun returns a run of a search over services.
-func (e *Entry) newRun(attempt string, repeatable bool, m *courier.Message, terms searcher.Terms,
+// newRun returns a run of a new search over services.
+func (e *Entry) newRun(attemptID string, idempotent bool, template *courier.Message, terms searcher.Terms,
 	services []string, shares []sharer.Share,
-) *run {
-	r := &run{
-		entry: e, attempt: attempt, repeatable: repeatable, message: m,
-		search:  searcher.New(e.core, terms, services, shares),
-		events:  make(chan event, len(services)+eventBuffer),
-		woken:   make(chan struct{}, 1),
-		cancels: make(map[int]context.CancelFunc, len(services)),
+) *searchRun {
+	r := &searchRun{
+		entry: e, attemptID: attemptID, idempotent: idempotent, template: template,
+		search:     searcher.New(e.core, terms, services, shares),
+		events:     make(chan searchEvent, len(services)+eventBuffer),
+		wakeup:     make(chan struct{}, 1),
+		cancelCall: make(map[int]context.CancelFunc, len(services)),
 	}
 	r.search.Attach(r)
 	return r
 }
 
-// wake has the run look for actions that another search's step has caused.
-func (r *run) wake() {
+// wake makes the run collect actions that a step of another search has caused.
+func (r *searchRun) wake() {
 	select {
-	case r.woken <- struct{}{}:
+	case r.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// drive runs the search to its end; the second result says that the caller
-// has left.
-func (r *run) drive(ctx context.Context) (searcher.Outcome, bool) {
+// execute runs the search to its end. The second result reports whether ctx ended first,
+// which means that the caller has disconnected.
+func (r *searchRun) execute(ctx context.Context) (searcher.Outcome, bool) {
 	e := r.entry
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -78,9 +79,9 @@
 	for !r.done {
 		timer.Reset(max(0, r.search.Next()-e.clock.Now()).Duration() + time.Millisecond/2)
 		select {
-		case advance := <-r.events:
-			r.step(ctx, advance)
-		case <-r.woken:
+		case event := <-r.events:
+			r.step(ctx, event)
+		case <-r.wakeup:
 			r.step(ctx, (*searcher.Search).Resume)
 		case <-timer.C:
 			r.step(ctx, (*searcher.Search).Tick)
@@ -92,47 +93,47 @@
 	return r.outcome, false
 }
 
-// tell hands an event to the search unless it has ended.
-func (r *run) tell(ctx context.Context, advance event) {
+// post queues an event for the search, unless the search has ended.
+func (r *searchRun) post(ctx context.Context, event searchEvent) {
 	select {
-	case r.events <- advance:
+	case r.events <- event:
 	case <-ctx.Done():
 	}
 }
 
-// step advances the search and carries out what it asks for.
-func (r *run) step(ctx context.Context, advance event) {
+// step advances the search by an event and carries out the resulting actions.
+func (r *searchRun) step(ctx context.Context, event searchEvent) {
 	e := r.entry
 	e.mu.Lock()
-	actions := advance(r.search, e.clock.Now())
+	actions := event(r.search, e.clock.Now())
 	woken := e.core.TakeWoken()
 	e.mu.Unlock()
 	for _, s := range woken {
-		s.Attached().(*run).wake()
+		s.Attached().(*searchRun).wake()
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
 		case searcher.Send:
-			r.send(ctx, a)
+			r.sendCall(ctx, a)
 		case searcher.Cancel:
-			if cancel, ok := r.cancels[a.Call]; ok {
+			if cancel, ok := r.cancelCall[a.Call]; ok {
 				cancel()
-				delete(r.cancels, a.Call)
+				delete(r.cancelCall, a.Call)
 			}
 		case searcher.Delegate:
 			r.delegate(ctx, a)
 		case searcher.Recall:
-			if recall, ok := r.recalls[a.Share]; ok {
-				recall()
-				delete(r.recalls, a.Share)
+			if cancel, ok := r.cancelShare[a.Share]; ok {
+				cancel()
+				delete(r.cancelShare, a.Share)
 				if a.Silent {
 					e.peers.drop(a.Member.VM().Address())
-					e.log.Request("share-taken-back", "request", r.attempt, "peer", a.Member.VM().Name(), "had-got-it", a.Got)
+					e.log.Request("share-taken-back", "request", r.attemptID, "peer", a.Member.VM().Name(), "had-got-it", a.Got)
 				}
 			}
 		case searcher.Flush:
 			if err := r.flush(a); err != nil {
-				e.log.Request("share-not-reported", "request", r.attempt, "error", err)
+				e.log.Request("share-not-reported", "request", r.attemptID, "error", err)
 			}
 		case searcher.Finish:
 			r.outcome, r.done = a.Outcome, true
@@ -140,37 +141,38 @@
 	}
 }
 
-func (r *run) send(searching context.Context, a searcher.Send) {
-	ctx, cancel := context.WithTimeout(searching, a.TimeLeft.Duration())
-	r.cancels[a.Call] = cancel
+// sendCall calls a leaf in the background and posts the result to the search.
+func (r *searchRun) sendCall(searchCtx context.Context, a searcher.Send) {
+	ctx, cancel := context.WithTimeout(searchCtx, a.TimeLeft.Duration())
+	r.cancelCall[a.Call] = cancel
 	headers := platform.CallHeaders(a.Leaf.ID(), a.TimeLeft)
-	call := courier.Call{Method: r.message.Method(), Message: r.message.With(headers[:]...)}
-	if id := r.attempt; id != "" {
+	call := courier.Call{Method: r.template.Method(), Message: r.template.With(headers[:]...)}
+	if id := r.attemptID; id != "" {
 		call.Ours = func(h http.Header) bool {
 			echoed := platform.ReadLeafReply(0, h).Attempt()
 			return echoed == "" || echoed == id
 		}
 	}
-	if !r.repeatable {
-		call.MaxIdle = freshConnection
+	if !r.idempotent {
+		call.MaxIdle = nonIdempotentMaxIdle
 	}
 	address := a.Leaf.Address()
-	near := r.entry.place(a.Leaf.DataCentre()) != balancer.OtherRegion
-	r.entry.calls.Go(func() {
+	sameRegion := r.entry.proximity(a.Leaf.DataCentre()) != balancer.OtherRegion
+	r.entry.background.Go(func() {
 		defer cancel()
-		reply, err := r.entry.courier.Do(ctx, address, call)
-		if err == nil && !near {
-			r.entry.far.Add(int64(len(reply.Body())))
+		reply, err := r.entry.leafClient.Do(ctx, address, call)
+		if err == nil && !sameRegion {
+			r.entry.crossRegionBytes.Add(int64(len(reply.Body())))
 		}
-		result := classify(reply, err)
-		r.tell(searching, func(s *searcher.Search, now tier.Millis) []searcher.Action {
+		result := classifyResult(reply, err)
+		r.post(searchCtx, func(s *searcher.Search, now tier.Millis) []searcher.Action {
 			return s.Ended(now, a.Call, result)
 		})
 	})
 }
 
-// classify says what a call's end proves.
-func classify(reply *courier.Reply, err error) searcher.Result {
+// classifyResult converts the reply or error of a leaf call to the search's result.
+func classifyResult(reply *courier.Reply, err error) searcher.Result {
 	var notSent *courier.NotSentError
 	var lost *courier.LostError
 	switch {
@@ -182,17 +184,17 @@
 	case errors.As(err, &lost):
 		return searcher.Lost{Cause: err.Error(), Fresh: lost.Fresh()}
 	}
-	head := platform.ReadLeafReply(reply.Status(), reply.Header())
+	response := platform.ReadLeafReply(reply.Status(), reply.Header())
 	switch {
-	case head.WrongServer():
+	case response.WrongServer():
 		return searcher.NotRun{Reason: searcher.WrongServer}
-	case head.NotRun() && reply.Status() == http.StatusBadRequest:
+	case response.NotRun() && reply.Status() == http.StatusBadRequest:
 		return searcher.NotRun{Reason: searcher.Declined}
-	case head.NotRun():
+	case response.NotRun():
 		return searcher.NotRun{Reason: searcher.Shed}
-	case head.Success():
+	case response.Success():
 		return searcher.Answered{Reply: reply}
-	case head.Usable():
+	case response.Usable():
 		return searcher.FailedReply{Reply: reply}
 	}
 	return searcher.Lost{Cause: "the reply is in an encoding that nobody asked for"}
--- a/cicadagraded/entry/session_test.go
+++ b/cicadagraded/entry/session_test.go
@@ -26,12 +26,12 @@
 	"cicadagrade.example/tier"
 )
 
-// TestSessions plays whole sessions: callers, an entry VM, the store's stand-in
-// and leafs, over loopback.
+// TestSessions runs the scripts in testdata and compares the output with golden files.
+// Callers, an entry VM, a stand-in of the store and leafs communicate over loopback.
 func TestSessions(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no sessions: %v", err)
+		t.Fatalf("no session scripts found: %v", err)
 	}
 	for _, f := range files {
 		name := strings.TrimSuffix(filepath.Base(f), ".txt")
@@ -51,38 +51,45 @@
 	}
 }
 
-// session is one deployment. Its words:
+// session is a deployment that a script controls. The script's commands, one a line:
 //
-//	configuration FILE              the operator writes it, the VM takes it
-//	leaf ID SERVICE ANSWER          a leaf that gives one answer to all: records
-//	                                as letters, or a status such as 500 or 503!
-//	                                (not run), or mute
-//	unreadable ID                   an entry that can't be read
-//	ask METHOD PATH [HEADER=VALUE]  what a caller gets; expect=LEAF has it name one
-//	raw TEXT                        bytes from a caller, and the answer's status
-//	header BYTES PATH               the status of a GET with a header that long
-//	idle PATH                       a connection is kept silent: after a GET,
-//	                                after half of a header, and before any byte
-//	seen ID                         requests that the leaf has run
-//	hold ID                         the leaf keeps what it runs
-//	begin METHOD PATH               a caller asks, while the session goes on once
-//	                                the leaf that holds has got its part
-//	release                         the leaf goes on; what the caller gets
+//	configuration FILE              store FILE as the configuration, and wait until
+//	                                the VM has applied it
+//	leaf ID SERVICE ANSWER          start a leaf that gives ANSWER to all requests:
+//	                                a letter for each record, or a status such as 500
+//	                                or 503! (not executed), or mute (executes the
+//	                                request and breaks the connection)
+//	unreadable ID                   store a registration that can't be decoded
+//	ask METHOD PATH [HEADER=VALUE]  send a request and print the response; expect=LEAF
+//	                                sets the header that names the expected leaf
+//	raw TEXT                        send bytes and print the response's status
+//	header BYTES PATH               send a GET with a header of BYTES bytes and print
+//	                                the response's status
+//	idle PATH                       open three connections that go idle after a GET,
+//	                                in the middle of a header, and without sending
+//	                                anything, and print what came before the VM
+//	                                closed them
+//	seen ID                         print the requests that the leaf has executed
+//	hold ID                         make the leaf delay its replies until release
+//	begin METHOD PATH               send a request in the background, and wait until
+//	                                the held leaf has received it
+//	release                         let the held leaf reply, and print the response to
+//	                                the request sent by begin
 type session struct {
-	t     *testing.T
-	out   strings.Builder
-	store *platform.Store
-	entry *Entry
-	front net.Listener
-	leafs map[string]*responder.Leaf
-	group sync.WaitGroup
-	holds string      // the leaf that keeps what it runs
-	free  func()      // has it go on
-	begun chan string // what the caller gets
+	t           *testing.T
+	out         strings.Builder
+	store       *platform.Store
+	entry       *Entry
+	front       net.Listener
+	leafs       map[string]*responder.Leaf
+	group       sync.WaitGroup
+	heldLeaf    string      // id of the leaf that delays its replies
+	releaseHeld func()      // lets the held leaf reply
+	pending     chan string // response to the request sent by begin
 }
 
-// patience is how long callers wait, in milliseconds: longer than any session.
-const patience = 120_000
+// callerTimeoutMs is how long callers wait. It is longer than any session.
+const callerTimeoutMs = 120_000
 
 func newSession(t *testing.T) *session {
 	t.Helper()
@@ -123,6 +130,7 @@
 	return s
 }
 
+// play runs one line of a script and records it with its output.
 func (s *session) play(line string) {
 	s.out.WriteString(line + "\n")
 	words := strings.Fields(line)
@@ -136,12 +144,12 @@
 			s.t.Fatal(err)
 		}
 		s.put(platform.ConfigurationKey, raw)
-		s.settled()
+		s.waitForView()
 	case "leaf":
-		s.leaf(words[1], words[2], words[3])
+		s.addLeaf(words[1], words[2], words[3])
 	case "unreadable":
 		s.put(platform.LeafsPrefix+words[1], responder.Unreadable())
-		s.settled()
+		s.waitForView()
 	case "ask":
 		s.ask(words[1], words[2], words[3:])
 	case "raw":
@@ -157,20 +165,20 @@
 		s.idle("GET " + words[1] + " HTTP/1.1\r\nHost:")
 		s.idle("")
 	case "hold":
-		s.holds, s.free = words[1], s.leafs[words[1]].Hold()
+		s.heldLeaf, s.releaseHeld = words[1], s.leafs[words[1]].Hold()
 	case "begin":
-		s.begun = make(chan string, 1)
-		s.group.Go(func() { s.begun <- s.get(words[1], words[2], nil) })
-		for len(s.leafs[s.holds].Seen()) == 0 {
+		s.pending = make(chan string, 1)
+		s.group.Go(func() { s.pending <- s.sendRequest(words[1], words[2], nil) })
+		for len(s.leafs[s.heldLeaf].Seen()) == 0 {
 			time.Sleep(time.Millisecond)
 		}
 	case "release":
-		s.free()
-		s.out.WriteString(<-s.begun)
+		s.releaseHeld()
+		s.out.WriteString(<-s.pending)
 	case "seen":
 		fmt.Fprintf(&s.out, "  %s\n", strings.Join(s.leafs[words[1]].Seen(), ", "))
 	default:
-		s.t.Fatalf("no word %q", words[0])
+		s.t.Fatalf("unknown command %q", words[0])
 	}
 }
 
@@ -180,8 +188,8 @@
 	}
 }
 
-// settled waits until the VM has read everything that is in the store.
-func (s *session) settled() {
+// waitForView waits until the VM has read the store's present revision.
+func (s *session) waitForView() {
 	_, at, err := s.store.GetAt(context.Background(), "none")
 	if err != nil {
 		s.t.Fatal(err)
@@ -197,7 +205,7 @@
 	}
 }
 
-func (s *session) leaf(id, service, answer string) {
+func (s *session) addLeaf(id, service, answer string) {
 	l := responder.New(id, answer)
 	s.leafs[id] = l
 	server := httptest.NewServer(l)
@@ -207,15 +215,15 @@
 		s.t.Fatal(err)
 	}
 	s.put(platform.LeafsPrefix+id, raw)
-	s.settled()
+	s.waitForView()
 }
 
 func (s *session) ask(method, path string, headers []string) {
-	s.out.WriteString(s.get(method, path, headers))
+	s.out.WriteString(s.sendRequest(method, path, headers))
 }
 
-// get asks, and tells what comes.
-func (s *session) get(method, path string, headers []string) string {
+// sendRequest sends a request and returns a line that describes the response.
+func (s *session) sendRequest(method, path string, headers []string) string {
 	var out strings.Builder
 	var body io.Reader
 	if method == http.MethodPost {
@@ -226,7 +234,7 @@
 		s.t.Fatal(err)
 	}
 	q.Host = "search.example"
-	responder.Address(q.Header, "a1", patience)
+	responder.Address(q.Header, "a1", callerTimeoutMs)
 	for _, h := range headers {
 		k, v, _ := strings.Cut(h, "=")
 		if k == "expect" {
@@ -273,8 +281,8 @@
 	return out.String()
 }
 
-// idle sends a text and then nothing, until the VM closes the connection. It
-// notes the bytes that come before that.
+// idle sends a text, waits until the VM closes the connection, and records the first line
+// received until then.
 func (s *session) idle(text string) {
 	c, err := net.Dial("tcp", s.front.Addr().String())
 	if err != nil {
@@ -292,7 +300,8 @@
 	fmt.Fprintf(&s.out, "  closed after %q\n", first)
 }
 
-// raw sends bytes as they are; \r\n stands for the ends of lines.
+// raw sends a text, in which \r\n stands for a line break, and records the status of the
+// response.
 func (s *session) raw(text string) {
 	c, err := net.Dial("tcp", s.front.Addr().String())
 	if err != nil {
--- a/cicadagraded/entry/view.go
+++ b/cicadagraded/entry/view.go
@@ -17,48 +17,48 @@
 	"cicadagrade.example/tier/storer"
 )
 
-// Times of the view.
+// Intervals and timeouts for keeping the view up to date.
 const (
-	// pollInterval is how often the store, or the VM that is followed, is
-	// asked for changes: leafs write all the time, so that a waiting call
-	// would return at once anyhow.
+	// pollInterval is how often the store, or a VM that watches it, is polled for
+	// changes. Long polling would save nothing: leafs write so often that a waiting
+	// call would return at once.
 	pollInterval = 450 * tier.Millisecond
-	// pollJitter spreads the VMs' calls.
+	// pollJitter bounds the random delay that spreads the polls of all VMs.
 	pollJitter = 100 * tier.Millisecond
-	// retryInterval is the pause after a call that failed.
-	retryInterval = 200 * tier.Millisecond
-	// callTimeout takes a connection for silent: many times the store's
-	// usual 4 ms, and short beside the time in which a change has to hold.
-	callTimeout = 900 * tier.Millisecond
-	// fetchTimeout is the same for another VM.
+	// pollRetryInterval is the pause after a failed poll.
+	pollRetryInterval = 200 * tier.Millisecond
+	// storeCallTimeout bounds a call to the store. It is many times the usual 4 ms, and
+	// short compared to the time within which a change must take effect.
+	storeCallTimeout = 900 * tier.Millisecond
+	// fetchTimeout bounds a call that fetches another VM's view.
 	fetchTimeout = 300 * tier.Millisecond
-	// fetchTries is how many VMs are asked if the store does not answer.
-	fetchTries = 3
-	// staleAfter is the age of the view from which on an unknown route is no
-	// proof that there is none.
-	staleAfter = 2 * tier.Second
-	// followedAge is the oldest view that a followed VM may have: with it and
-	// the own interval, changes are still in force in time.
-	followedAge = 1600 * tier.Millisecond
-	// isolatedAfter is the age of the view from which on a VM that no other VM
-	// answers asks not to be sent callers.
-	isolatedAfter = 2500 * tier.Millisecond
+	// maxFetchPeers is how many VMs are asked for their view if the store does not answer.
+	maxFetchPeers = 3
+	// staleViewAge is the age above which the view may miss a new route, so that a
+	// request without a matching route gets a 503 instead of a 404.
+	staleViewAge = 2 * tier.Second
+	// maxPeerViewAge is the greatest age at which another VM's view is accepted.
+	// Together with this VM's poll interval, changes still take effect in time.
+	maxPeerViewAge = 1600 * tier.Millisecond
+	// isolationViewAge is the age of the view above which a VM fails its readiness
+	// check if no other VM answers it.
+	isolationViewAge = 2500 * tier.Millisecond
 )
 
-// view is what the loop remembers of its sources.
-type view struct {
-	read bool // everything has been read once
+// refreshState is the state that the refresh loop keeps between rounds.
+type refreshState struct {
+	loaded bool // the whole view has been read once
 }
 
-// RunView keeps the view until ctx ends.
+// RunView keeps the view up to date until ctx ends.
 func (e *Entry) RunView(ctx context.Context) error {
-	v := &view{}
+	state := &refreshState{}
 	for ctx.Err() == nil {
 		pause := pollInterval
-		if err := e.refresh(ctx, v); err != nil && ctx.Err() == nil {
-			pause = retryInterval
+		if err := e.refresh(ctx, state); err != nil && ctx.Err() == nil {
+			pause = pollRetryInterval
 		}
-		e.settleView()
+		e.finishRefresh()
 		select {
 		case <-ctx.Done():
 		case <-time.After((pause + tier.Millis(rand.Int64N(int64(pollJitter)))).Duration()):
@@ -67,28 +67,29 @@
 	return nil
 }
 
-// refresh brings the view up to date: from a VM that watches the store, from
-// the store, or, if it does not answer, from any VM.
-func (e *Entry) refresh(ctx context.Context, v *view) error {
-	if v.read {
-		if m, ok := e.followed(); ok && e.follow(ctx, m, followedAge) == nil {
+// refresh updates the view from another VM that watches the store. It reads the store if
+// this VM is itself a watcher, nothing has been read yet, or the other VM fails. If that
+// fails too, it asks up to maxFetchPeers other VMs.
+func (e *Entry) refresh(ctx context.Context, state *refreshState) error {
+	if state.loaded {
+		if m, ok := e.pickWatcher(); ok && e.fetchFrom(ctx, m, maxPeerViewAge) == nil {
 			return nil
 		}
 	}
-	err := e.poll(ctx, v)
+	err := e.poll(ctx, state)
 	if err == nil {
 		return nil
 	}
-	if ctx.Err() == nil && !e.away.Swap(true) {
+	if ctx.Err() == nil && !e.storeUnreachable.Swap(true) {
 		e.log.Fault("store-lost", "error", err, "view-age-ms", int64(e.viewAge()))
 	}
 	e.mu.Lock()
-	sound := e.core.Sharer().Sound()
+	healthy := e.core.Sharer().Sound()
 	e.mu.Unlock()
-	rand.Shuffle(len(sound), func(i, j int) { sound[i], sound[j] = sound[j], sound[i] })
-	for _, m := range sound[:min(len(sound), fetchTries)] {
-		if e.follow(ctx, m, followedAge) == nil {
-			v.read = true
+	rand.Shuffle(len(healthy), func(i, j int) { healthy[i], healthy[j] = healthy[j], healthy[i] })
+	for _, m := range healthy[:min(len(healthy), maxFetchPeers)] {
+		if e.fetchFrom(ctx, m, maxPeerViewAge) == nil {
+			state.loaded = true
 			return nil
 		}
 	}
@@ -98,23 +99,24 @@
 	return err
 }
 
-// followed picks the VM to follow, unless this one watches the store itself.
-func (e *Entry) followed() (sharer.Member, bool) {
+// pickWatcher picks at random a VM that watches the store, preferably in this VM's region.
+// It returns false if this VM is a watcher itself or none is known.
+func (e *Entry) pickWatcher() (sharer.Member, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s := e.core.Sharer()
 	list := s.Watchers()
-	var near []sharer.Member
+	var sameRegion []sharer.Member
 	for _, m := range list {
 		if m.VM().Name() == s.Self().VM().Name() {
 			return sharer.Member{}, false
 		}
 		if m.Region() == s.Self().Region() {
-			near = append(near, m)
+			sameRegion = append(sameRegion, m)
 		}
 	}
-	if len(near) > 0 {
-		list = near
+	if len(sameRegion) > 0 {
+		list = sameRegion
 	}
 	if len(list) == 0 {
 		return sharer.Member{}, false
@@ -122,36 +124,37 @@
 	return list[rand.IntN(len(list))], true
 }
 
-// poll asks the store for what has changed, or for everything.
-func (e *Entry) poll(ctx context.Context, v *view) error {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout.Duration())
+// poll reads the changes since the last read from the store, or the whole view if nothing
+// has been read or the store no longer has the history.
+func (e *Entry) poll(ctx context.Context, state *refreshState) error {
+	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout.Duration())
 	defer cancel()
 	e.mu.Lock()
 	after := e.relayer.Revision()
 	e.mu.Unlock()
 	if after == 0 {
-		return e.readAll(ctx, v)
+		return e.readAll(ctx, state)
 	}
 	changes, at, err := e.store.Changes(ctx, "", after, 0)
-	var gone *platform.HistoryLostError
-	if errors.As(err, &gone) {
-		e.log.State("history-lost", "after", gone.After())
-		return e.readAll(ctx, v)
+	var lost *platform.HistoryLostError
+	if errors.As(err, &lost) {
+		e.log.State("history-lost", "after", lost.After())
+		return e.readAll(ctx, state)
 	}
 	if err != nil {
 		return errors.Wrap(err, "Entry.poll")
 	}
-	e.regained()
+	e.markStoreReachable()
 	for _, c := range changes {
-		e.apply(c, at)
+		e.applyChange(c, at)
 	}
-	e.reached(at, 0)
+	e.advanceView(at, 0)
 	return nil
 }
 
-// readAll reads the configuration, the leafs and the VMs, and goes on with the
-// changes since the first of these reads.
-func (e *Entry) readAll(ctx context.Context, v *view) error {
+// readAll reads the configuration, the leafs and the VMs from the store. The three reads
+// are not atomic, so that later polls start at the revision of the earliest one.
+func (e *Entry) readAll(ctx context.Context, state *refreshState) error {
 	configuration, at, err := e.store.GetAt(ctx, platform.ConfigurationKey)
 	if err != nil {
 		return errors.Wrap(err, "Entry.readAll")
@@ -160,13 +163,13 @@
 	if err != nil {
 		return errors.Wrap(err, "Entry.readAll")
 	}
-	members, _, err := e.store.ListAt(ctx, membersPrefix)
+	members, _, err := e.store.ListAt(ctx, vmsPrefix)
 	if err != nil {
 		return errors.Wrap(err, "Entry.readAll")
 	}
-	lapsed := e.away.Load()
-	e.regained()
-	v.read = true
+	afterOutage := e.storeUnreachable.Load()
+	e.markStoreReachable()
+	state.loaded = true
 	list = append(list, members...)
 	if configuration.Present() {
 		list = append(list, configuration)
@@ -174,19 +177,20 @@
 	if at == 0 {
 		at = listAt
 	}
-	e.replace(list, min(at, listAt), lapsed)
-	e.reached(min(at, listAt), 0)
+	e.replaceView(list, min(at, listAt), afterOutage)
+	e.advanceView(min(at, listAt), 0)
 	return nil
 }
 
-// follow takes what another VM has read since, if that is fresh enough.
-func (e *Entry) follow(ctx context.Context, m sharer.Member, oldest tier.Millis) error {
+// fetchFrom applies the changes that another VM has read since this VM's revision, unless
+// the other VM's view is older than maxAge.
+func (e *Entry) fetchFrom(ctx context.Context, m sharer.Member, maxAge tier.Millis) error {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout.Duration())
 	defer cancel()
 	e.mu.Lock()
 	after := e.relayer.Revision()
 	e.mu.Unlock()
-	p, err := e.peers.at(m.VM().Address()).Fetch(ctx, connect.NewRequest(&gatherv1.FetchRequest{After: after}))
+	p, err := e.peers.clientOf(m.VM().Address()).Fetch(ctx, connect.NewRequest(&gatherv1.FetchRequest{After: after}))
 	if err != nil {
 		if ctx.Err() != nil {
 			e.peers.drop(m.VM().Address())
@@ -195,12 +199,12 @@
 		e.core.Sharer().Failed(e.clock.Now(), m.VM().Name())
 		e.mu.Unlock()
 		e.log.Request("fetch-failed", "peer", m.VM().Name(), "error", err)
-		return errors.Wrap(err, "Entry.follow")
+		return errors.Wrap(err, "Entry.fetchFrom")
 	}
 	reply := p.Msg
 	age := tier.Millis(reply.GetAgeMs())
-	if age > oldest {
-		return errors.Errorf("Entry.follow: the view of %s is %d ms old", m.VM().Name(), age)
+	if age > maxAge {
+		return errors.Errorf("Entry.fetchFrom: the view of %s is %d ms old", m.VM().Name(), age)
 	}
 	if reply.GetRevision() >= after {
 		list := make([]storer.Value, 0, len(reply.GetItems()))
@@ -208,19 +212,19 @@
 			list = append(list, storer.NewValue(i.GetKey(), i.GetValue(), i.GetRevision()))
 		}
 		if reply.GetWhole() {
-			e.replace(list, reply.GetRevision(), true)
+			e.replaceView(list, reply.GetRevision(), true)
 		} else {
 			for _, c := range list {
-				e.apply(c, reply.GetRevision())
+				e.applyChange(c, reply.GetRevision())
 			}
 		}
 	}
-	e.reached(reply.GetRevision(), age)
+	e.advanceView(reply.GetRevision(), age)
 	return nil
 }
 
-// Fetch tells another VM what this one has read.
-func (g *gatherer) Fetch(_ context.Context, c *connect.Request[gatherv1.FetchRequest]) (*connect.Response[gatherv1.FetchReply], error) {
+// Fetch returns the changes that this VM has read since the revision that the caller has.
+func (g *peerService) Fetch(_ context.Context, c *connect.Request[gatherv1.FetchRequest]) (*connect.Response[gatherv1.FetchReply], error) {
 	e := g.entry
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -236,9 +240,9 @@
 	return connect.NewResponse(reply), nil
 }
 
-// replace takes everything as of a revision. lapsed says that entries may be
-// missing only because the store was away.
-func (e *Entry) replace(list []storer.Value, revision int64, lapsed bool) {
+// replaceView replaces the whole view by a list read at a revision. afterOutage says that
+// entries may be missing because they could not be renewed while the store was unreachable.
+func (e *Entry) replaceView(list []storer.Value, revision int64, afterOutage bool) {
 	var entries []lister.Entry
 	var members []storer.Value
 	for _, c := range list {
@@ -247,7 +251,7 @@
 			e.applyConfiguration(c)
 		case strings.HasPrefix(c.Key(), platform.LeafsPrefix):
 			entries = append(entries, e.decodeLeaf(c))
-		case strings.HasPrefix(c.Key(), membersPrefix):
+		case strings.HasPrefix(c.Key(), vmsPrefix):
 			members = append(members, c)
 		}
 	}
@@ -255,26 +259,26 @@
 	e.relayer.Replace(list, revision)
 	e.core.Lister().Replace(e.clock.Now(), entries)
 	e.mu.Unlock()
-	e.replaceMembers(members, lapsed)
+	e.replaceMembers(members, afterOutage)
 }
 
-// apply takes one change, read at a revision.
-func (e *Entry) apply(c storer.Value, revision int64) {
-	notable := true
+// applyChange applies one changed key, read at a revision, to the view.
+func (e *Entry) applyChange(c storer.Value, revision int64) {
+	affectsUse := true
 	switch {
 	case c.Key() == platform.ConfigurationKey:
 		if c.Present() {
 			e.applyConfiguration(c)
 		}
 	case strings.HasPrefix(c.Key(), platform.LeafsPrefix):
-		notable = e.applyLeaf(c)
-	case strings.HasPrefix(c.Key(), membersPrefix):
+		affectsUse = e.applyLeaf(c)
+	case strings.HasPrefix(c.Key(), vmsPrefix):
 		e.applyMember(c)
 	default:
 		return
 	}
 	e.mu.Lock()
-	e.relayer.Put(c, revision, notable)
+	e.relayer.Put(c, revision, affectsUse)
 	e.mu.Unlock()
 }
 
@@ -292,11 +296,11 @@
 	e.mu.Lock()
 	e.core.Budgeter().Forget(e.clock.Now(), t.Uses)
 	e.mu.Unlock()
-	from := int64(0)
+	previous := int64(0)
 	if old != nil {
-		from = old.Version()
+		previous = old.Version()
 	}
-	e.log.State("configuration-in-force", "version", t.Version(), "previous", from,
+	e.log.State("configuration-in-force", "version", t.Version(), "previous", previous,
 		"routes", t.Routes(), "revision", c.Revision())
 }
 
@@ -308,7 +312,8 @@
 	return entry
 }
 
-// applyLeaf reports whether the change matters to what may be used.
+// applyLeaf applies the change of a leaf's registration and reports whether it affects
+// which leafs can be called, and how.
 func (e *Entry) applyLeaf(c storer.Value) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -325,9 +330,9 @@
 	return changed
 }
 
-// settleView logs what has changed, and drops what was kept of leafs that are
-// gone.
-func (e *Entry) settleView() {
+// finishRefresh expires old entries, drops the state of removed leafs, updates whether this
+// VM is isolated, and logs the changes of leafs.
+func (e *Entry) finishRefresh() {
 	e.mu.Lock()
 	e.core.Lister().Tick(e.clock.Now())
 	e.core.Sharer().Tick(e.clock.Now())
@@ -337,26 +342,26 @@
 			e.core.Balancer().Forget(c.Leaf().ID())
 		}
 	}
-	isolated := e.viewAge() > isolatedAfter && e.core.Sharer().Len() > 1 && len(e.core.Sharer().Sound()) == 0
+	isolated := e.viewAge() > isolationViewAge && e.core.Sharer().Len() > 1 && len(e.core.Sharer().Sound()) == 0
 	e.mu.Unlock()
-	e.courier.Sweep()
+	e.leafClient.Sweep()
 	if e.isolated.Swap(isolated) != isolated {
 		e.log.State("isolation", "isolated", isolated, "view-age-ms", int64(e.viewAge()))
 	}
 	for _, c := range changes {
 		if c.State() != lister.StateReady {
-			e.courier.Drop(c.Leaf().Address())
+			e.leafClient.Drop(c.Leaf().Address())
 		}
 	}
-	e.logLeafs(changes)
+	e.logLeafChanges(changes)
 }
 
-// maxLeafLines is how many leafs of one state have a log line each at a time.
+// maxLeafLines is how many leafs of one state get their own log line in one refresh.
 const maxLeafLines = 8
 
-// logLeafs says what has become of leafs. Many at once, as when an index is cut
-// anew, share a line.
-func (e *Entry) logLeafs(changes []lister.Change) {
+// logLeafChanges logs the new states of leafs. Many leafs with the same state, as after a
+// resharding of an index, share a line.
+func (e *Entry) logLeafChanges(changes []lister.Change) {
 	byState := map[string][]lister.Leaf{}
 	for _, c := range changes {
 		byState[c.State()] = append(byState[c.State()], c.Leaf())
@@ -377,23 +382,24 @@
 	}
 }
 
-// regained says that the store has answered.
-func (e *Entry) regained() {
-	if e.away.Swap(false) {
+// markStoreReachable records that the store has answered, and logs the end of an outage.
+func (e *Entry) markStoreReachable() {
+	if e.storeUnreachable.Swap(false) {
 		e.log.State("store-regained", "view-age-ms", int64(e.viewAge()))
 	}
 }
 
-// reached says that the view holds everything up to a revision, as of an age.
-func (e *Entry) reached(revision int64, age tier.Millis) {
+// advanceView records that the view holds all changes up to a revision, as the store had
+// them age ago.
+func (e *Entry) advanceView(revision int64, age tier.Millis) {
 	e.mu.Lock()
 	e.relayer.Reached(revision)
 	e.mu.Unlock()
-	if at := int64(e.clock.Now() - age); at > e.seen.Load() {
-		e.seen.Store(at)
+	if at := int64(e.clock.Now() - age); at > e.storeAnsweredAt.Load() {
+		e.storeAnsweredAt.Store(at)
 	}
 }
 
-// viewAge is the time since the store last answered this VM, or the one that
-// it follows.
-func (e *Entry) viewAge() tier.Millis { return e.clock.Now() - tier.Millis(e.seen.Load()) }
+// viewAge is the time since the store last answered this VM, or the VM from which this one
+// fetched its view.
+func (e *Entry) viewAge() tier.Millis { return e.clock.Now() - tier.Millis(e.storeAnsweredAt.Load()) }
