--- /dev/null
+++ b/cicadagraded/courier/client.go
@@ -0,0 +1,361 @@
+// Package courier is an HTTP/1.1 client for calls to leafs. It reports whether a request
+// was written, whether the complete reply was received, and whether the connection was
+// new. It never retries a request.
+//
+// The Transport of net/http does not fit: it retries a GET if a reused connection fails,
+// needs two goroutines for each connection, and takes whatever bytes come next on a
+// connection as the reply. So this package pools its own connections, and uses net/http
+// only to parse replies.
+package courier
+
+import (
+	"bufio"
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"cicadagrade.example/tier"
+)
+
+// Limits of connections and replies.
+const (
+	// dialTimeout bounds the opening of a connection. It is below one second, after which
+	// TCP retransmits a lost SYN, since a connection that late would not help.
+	dialTimeout = 900 * tier.Millisecond
+	// maxIdleTime is how long a connection may be idle before reuse. The server's
+	// Keep-Alive header can only shorten it.
+	maxIdleTime = 4 * tier.Second
+	// keepAliveFraction is the part of the server's Keep-Alive timeout within which a
+	// connection is reused.
+	keepAliveFraction = 0.8
+	// maxIdlePerAddress bounds the idle connections to one address. Servers accept few
+	// connections from all VMs together.
+	maxIdlePerAddress = 3
+	// maxReplyBytes bounds the body of a reply.
+	maxReplyBytes = 8 << 20
+	// maxRepliesPerCall bounds the replies that are read for one request, including
+	// interim replies and late replies to earlier requests.
+	maxRepliesPerCall = 4
+	bufferSize        = 4 << 10
+)
+
+// NotSentError reports that no byte of the request was written.
+type NotSentError struct {
+	address   string
+	connected bool
+	cause     error
+}
+
+// Dialled reports whether a connection had been established.
+func (e *NotSentError) Dialled() bool { return e.connected }
+
+// Unwrap returns the cause.
+func (e *NotSentError) Unwrap() error { return e.cause }
+
+// Error includes the address and the cause.
+func (e *NotSentError) Error() string {
+	return "request not sent to " + e.address + ": " + e.cause.Error()
+}
+
+// LostError reports that the request was written, at least in part, and no complete reply
+// was received. The server may have executed the request.
+type LostError struct {
+	address  string
+	rejected bool
+	cause    error
+}
+
+// Fresh reports whether the server closed or reset a new connection instead of replying,
+// as servers do that have reached their limit of connections.
+func (e *LostError) Fresh() bool { return e.rejected }
+
+// Unwrap returns the cause.
+func (e *LostError) Unwrap() error { return e.cause }
+
+// Error includes the address and the cause.
+func (e *LostError) Error() string { return "no full reply from " + e.address + ": " + e.cause.Error() }
+
+// Reply is a complete reply of a server.
+type Reply struct {
+	status int
+	header http.Header
+	body   []byte
+}
+
+// Status is the status code.
+func (r *Reply) Status() int { return r.status }
+
+// Header is the reply's header.
+func (r *Reply) Header() http.Header { return r.header }
+
+// Body is the complete body.
+func (r *Reply) Body() []byte { return r.body }
+
+// Counts are totals since the client was created.
+type Counts struct {
+	Dials   int64 // attempts to open a connection
+	Calls   int64 // requests written
+	Strays  int64 // skipped replies to earlier requests
+	Spoiled int64 // connections closed because of bytes that no request asked for
+}
+
+// Courier is an HTTP client with a pool of connections to many addresses. It is safe for
+// concurrent use.
+type Courier struct {
+	dialer net.Dialer
+	mu     sync.Mutex
+	idle   map[string][]*conn
+	closed bool
+
+	dials, requests, staleReplies, outOfSync atomic.Int64
+}
+
+// New returns a client without connections.
+func New() *Courier {
+	return &Courier{
+		dialer: net.Dialer{Timeout: dialTimeout.Duration(), KeepAlive: -1},
+		idle:   map[string][]*conn{},
+	}
+}
+
+// Counts returns the totals.
+func (c *Courier) Counts() Counts {
+	return Counts{
+		Dials: c.dials.Load(), Calls: c.requests.Load(),
+		Strays: c.staleReplies.Load(), Spoiled: c.outOfSync.Load(),
+	}
+}
+
+// conn is a connection to a server with its buffered reader.
+type conn struct {
+	net.Conn
+	reader      *bufio.Reader
+	idleSince   time.Time
+	idleTimeout time.Duration
+	hasReplied  bool
+}
+
+// Call is a request and the conditions for sending it.
+type Call struct {
+	// Method is the request's method; a reply to HEAD has no body.
+	Method string
+	// Message is the complete request as it is sent.
+	Message []byte
+	// Ours reports, from a reply's header, whether it is the reply to this request and
+	// not a late one to an earlier request. If nil, any reply is accepted.
+	Ours func(http.Header) bool
+	// MaxIdle is the longest idle time of a connection reused for this request; 0 sets
+	// no limit beyond the client's.
+	MaxIdle tier.Millis
+}
+
+// Do sends a request to an address and waits for the complete reply until ctx ends. The
+// error is a *NotSentError or a *NoReplyError.
+func (c *Courier) Do(ctx context.Context, address string, q Call) (*Reply, error) {
+	n, err := c.acquire(ctx, address, q.MaxIdle)
+	if err != nil {
+		return nil, &NotSentError{address: address, cause: err}
+	}
+	if at, ok := ctx.Deadline(); ok {
+		_ = n.SetDeadline(at)
+	}
+	stopWatching := context.AfterFunc(ctx, func() { _ = n.Close() })
+	if written, err := n.Write(q.Message); err != nil {
+		stopWatching()
+		_ = n.Close()
+		if written == 0 {
+			return nil, &NotSentError{address: address, connected: true, cause: err}
+		}
+		return nil, &LostError{address: address, cause: err}
+	}
+	c.requests.Add(1)
+	r, keep, err := c.readReply(n, q)
+	if !stopWatching() && err == nil {
+		keep = false // the end of ctx has closed the connection
+	}
+	if err != nil {
+		_ = n.Close()
+		rejected := !n.hasReplied && ctx.Err() == nil && (errors.Is(err, syscall.ECONNRESET) || errors.Is(err, io.EOF))
+		return nil, &LostError{address: address, rejected: rejected, cause: err}
+	}
+	n.hasReplied = true
+	if keep {
+		c.release(address, n)
+	} else {
+		_ = n.Close()
+	}
+	return r, nil
+}
+
+// readReply reads the reply to the request just written. The second result reports whether
+// the connection can be reused.
+func (c *Courier) readReply(n *conn, q Call) (*Reply, bool, error) {
+	request := &http.Request{Method: q.Method}
+	for range maxRepliesPerCall {
+		p, err := http.ReadResponse(n.reader, request)
+		if err != nil {
+			return nil, false, errors.Wrap(err, "Client.readReply")
+		}
+		body, err := readBody(q.Method, p)
+		if err != nil {
+			return nil, false, errors.Wrap(err, "Client.readReply")
+		}
+		if p.StatusCode < 200 {
+			continue // an interim (1xx) reply
+		}
+		if q.Ours != nil && !q.Ours(p.Header) {
+			c.staleReplies.Add(1)
+			if p.Close {
+				return nil, false, errors.New("Client.readReply: the reply is to another request")
+			}
+			continue
+		}
+		keep := !p.Close
+		if n.reader.Buffered() > 0 {
+			c.outOfSync.Add(1)
+			keep = false
+		}
+		n.idleTimeout = keepAliveTimeout(p.Header)
+		return &Reply{status: p.StatusCode, header: p.Header, body: body}, keep, nil
+	}
+	return nil, false, errors.New("Client.readReply: too many interim replies or replies to other requests")
+}
+
+// acquire returns an idle connection that is still open, or a new one.
+func (c *Courier) acquire(ctx context.Context, address string, maxIdleTime tier.Millis) (*conn, error) {
+	for {
+		n := c.popIdle(address)
+		if n == nil {
+			break
+		}
+		age := time.Since(n.idleSince)
+		stale := age > n.idleTimeout || maxIdleTime > 0 && age > maxIdleTime.Duration()
+		if !stale && c.isAlive(n) {
+			return n, nil
+		}
+		_ = n.Close()
+	}
+	c.dials.Add(1)
+	raw, err := c.dialer.DialContext(ctx, "tcp", address)
+	if err != nil {
+		return nil, errors.Wrap(err, "Client.acquire")
+	}
+	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, bufferSize), idleTimeout: maxIdleTime.Duration()}, nil
+}
+
+// popIdle removes and returns the most recently used idle connection to an address, or nil.
+func (c *Courier) popIdle(address string) *conn {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	list := c.idle[address]
+	if len(list) == 0 {
+		return nil
+	}
+	n := list[len(list)-1]
+	list[len(list)-1] = nil
+	c.idle[address] = list[:len(list)-1]
+	return n
+}
+
+// release returns a connection to the pool, or closes it if the pool is full or closed.
+func (c *Courier) release(address string, n *conn) {
+	n.idleSince = time.Now()
+	_ = n.SetDeadline(time.Time{})
+	c.mu.Lock()
+	list := c.idle[address]
+	full := c.closed || len(list) >= maxIdlePerAddress
+	if !full {
+		c.idle[address] = append(list, n)
+	}
+	c.mu.Unlock()
+	if full {
+		_ = n.Close()
+	}
+}
+
+// isAlive reports whether an idle connection is open and has no unread bytes, which would
+// belong to no request. It does not block.
+func (c *Courier) isAlive(n *conn) bool {
+	if n.reader.Buffered() > 0 {
+		return false
+	}
+	s, ok := n.Conn.(syscall.Conn)
+	if !ok {
+		return true
+	}
+	raw, err := s.SyscallConn()
+	if err != nil {
+		return false
+	}
+	noData := false
+	var one [1]byte
+	err = raw.Read(func(fd uintptr) bool {
+		count, err := syscall.Read(int(fd), one[:])
+		noData = count < 0 && (err == syscall.EAGAIN || err == syscall.EWOULDBLOCK) //nolint:errorlint // a bare errno
+		if count > 0 {
+			c.outOfSync.Add(1)
+		}
+		return true
+	})
+	return err == nil && noData
+}
+
+// Sweep closes the connections that have been idle for too long to be reused, so that they
+// do not count towards the servers' limits of connections.
+func (c *Courier) Sweep() {
+	now := time.Now()
+	var expired []*conn
+	c.mu.Lock()
+	for address, list := range c.idle {
+		kept := list[:0]
+		for _, n := range list {
+			if now.Sub(n.idleSince) > n.idleTimeout {
+				expired = append(expired, n)
+				continue
+			}
+			kept = append(kept, n)
+		}
+		clear(list[len(kept):])
+		if len(kept) == 0 {
+			delete(c.idle, address)
+			continue
+		}
+		c.idle[address] = kept
+	}
+	c.mu.Unlock()
+	for _, n := range expired {
+		_ = n.Close()
+	}
+}
+
+// Drop closes the idle connections to an address.
+func (c *Courier) Drop(address string) {
+	c.mu.Lock()
+	list := c.idle[address]
+	delete(c.idle, address)
+	c.mu.Unlock()
+	for _, n := range list {
+		_ = n.Close()
+	}
+}
+
+// Close closes all idle connections. Connections in use are closed after their call.
+func (c *Courier) Close() {
+	c.mu.Lock()
+	c.closed = true
+	all := c.idle
+	c.idle = map[string][]*conn{}
+	c.mu.Unlock()
+	for _, list := range all {
+		for _, n := range list {
+			_ = n.Close()
+		}
+	}
+}
--- /dev/null
+++ b/cicadagraded/courier/client_test.go
@@ -0,0 +1,264 @@
+package courier
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/pkg/errors"
+)
+
+// server writes scripted replies on each connection and counts connections and requests.
+type server struct {
+	listener    net.Listener
+	group       sync.WaitGroup
+	connections atomic.Int64
+	requests    atomic.Int64
+}
+
+// startServer starts a server that handles one step for each request on a connection. A
+// step is a list separated by "|", of texts to write and the commands "close" and "reset",
+// which end the connection.
+func startServer(t *testing.T, steps ...string) *server {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := &server{listener: l}
+	s.group.Go(func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			s.connections.Add(1)
+			s.group.Go(func() { s.serve(c, steps) })
+		}
+	})
+	t.Cleanup(func() {
+		_ = l.Close()
+		s.group.Wait()
+	})
+	return s
+}
+
+func (s *server) serve(c net.Conn, steps []string) {
+	defer func() { _ = c.Close() }()
+	_ = c.SetDeadline(time.Now().Add(10 * time.Second))
+	r := bufio.NewReader(c)
+	for _, step := range steps {
+		if _, err := http.ReadRequest(r); err != nil {
+			return
+		}
+		s.requests.Add(1)
+		for _, word := range strings.Split(step, "|") {
+			switch word {
+			case "close":
+				return
+			case "reset":
+				_ = c.(*net.TCPConn).SetLinger(0)
+				return
+			default:
+				_, _ = c.Write([]byte(word))
+			}
+		}
+	}
+	// Wait until the client closes the connection.
+	_, _ = r.ReadByte()
+}
+
+func (s *server) address() string { return s.listener.Addr().String() }
+
+func newReply(id, body string) string {
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
+}
+
+func newCall(id string) Call {
+	m := NewMessage(http.MethodGet, "/x", "h", http.Header{"Id": {id}}, nil)
+	return Call{
+		Method: http.MethodGet, Message: m.With(),
+		Ours: func(h http.Header) bool { return h.Get("Id") == id },
+	}
+}
+
+func do(t *testing.T, c *Courier, s *server, id string) (string, error) {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+	defer cancel()
+	r, err := c.Do(ctx, s.address(), newCall(id))
+	if err != nil {
+		return "", err
+	}
+	return string(r.Body()), nil
+}
+
+func newTestClient(t *testing.T) *Courier {
+	c := New()
+	t.Cleanup(c.Close)
+	return c
+}
+
+func expectBody(t *testing.T, c *Courier, s *server, id, want string) {
+	t.Helper()
+	if got, err := do(t, c, s, id); err != nil || got != want {
+		t.Errorf("call %s: got %q, %v, expected %q", id, got, err, want)
+	}
+}
+
+func TestConnectionsAreReused(t *testing.T) {
+	s := startServer(t, newReply("1", "one"), newReply("2", "two"))
+	c := newTestClient(t)
+	expectBody(t, c, s, "1", "one")
+	expectBody(t, c, s, "2", "two")
+	if n := s.connections.Load(); n != 1 {
+		t.Errorf("%d connections, expected 1", n)
+	}
+}
+
+// A duplicate reply to an earlier request precedes the reply to the next request.
+func TestStaleRepliesAreSkipped(t *testing.T) {
+	s := startServer(t, newReply("1", "one"), newReply("1", "again")+newReply("2", "two"))
+	c := newTestClient(t)
+	expectBody(t, c, s, "1", "one")
+	expectBody(t, c, s, "2", "two")
+	if n := c.Counts().Strays; n != 1 {
+		t.Errorf("%d stale replies, expected 1", n)
+	}
+}
+
+// Bytes after a complete reply belong to no request. The connection must not be reused,
+// whether they were received with the reply or while it was idle.
+func TestConnectionWithExtraBytesIsNotReused(t *testing.T) {
+	s := startServer(t, newReply("1", "one")+newReply("1", "again"), newReply("x", "wrong"))
+	c := newTestClient(t)
+	expectBody(t, c, s, "1", "one")
+	expectBody(t, c, s, "1", "one")
+	if n := s.connections.Load(); n != 2 {
+		t.Errorf("%d connections, expected 2", n)
+	}
+}
+
+func TestReplyWithoutLengthEndsWithItsConnection(t *testing.T) {
+	s := startServer(t, "HTTP/1.1 200 OK\r\nId: 1\r\n\r\nall of it|close")
+	c := newTestClient(t)
+	expectBody(t, c, s, "1", "all of it")
+}
+
+func TestIncompleteRepliesAreErrors(t *testing.T) {
+	for name, step := range map[string]string{
+		"truncated body":   "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\ncut|close",
+		"truncated header": "HTTP/1.1 200 OK\r\nId|close",
+		"no reply":         "close",
+		"not HTTP":         "what is this\r\n\r\n|close",
+		"reset, no length": "HTTP/1.1 200 OK\r\nId: 1\r\n\r\nhalf|reset",
+	} {
+		t.Run(name, func(t *testing.T) {
+			s := startServer(t, step)
+			_, err := do(t, newTestClient(t), s, "1")
+			var lost *LostError
+			if !errors.As(err, &lost) {
+				t.Errorf("got error %v, expected a *NoReplyError", err)
+			}
+			if n := s.requests.Load(); n != 1 {
+				t.Errorf("%d requests, expected 1", n)
+			}
+		})
+	}
+}
+
+func TestResetOfANewConnectionIsReported(t *testing.T) {
+	s := startServer(t, "reset")
+	_, err := do(t, newTestClient(t), s, "1")
+	var lost *LostError
+	if !errors.As(err, &lost) || !lost.Fresh() {
+		t.Errorf("got error %v, expected a *NoReplyError with ConnectionRejected", err)
+	}
+}
+
+func TestNothingIsSentWithoutAConnection(t *testing.T) {
+	s := startServer(t)
+	_ = s.listener.Close()
+	_, err := do(t, newTestClient(t), s, "1")
+	var notSent *NotSentError
+	if !errors.As(err, &notSent) || notSent.Dialled() {
+		t.Errorf("got error %v, expected a *NotSentError without Connected", err)
+	}
+}
+
+// No request may be sent on an idle connection that the server has closed.
+func TestClosedIdleConnectionsAreNotReused(t *testing.T) {
+	s := startServer(t, newReply("1", "one")+"|close")
+	c := newTestClient(t)
+	for range 3 {
+		expectBody(t, c, s, "1", "one")
+		// Wait until the client can see the close. A request sent before that would be lost.
+		for c.idleIsAlive(s.address()) {
+			time.Sleep(time.Millisecond)
+		}
+	}
+	if n := s.requests.Load(); n != 3 {
+		t.Errorf("%d requests, expected 3", n)
+	}
+}
+
+// idleIsAlive reports whether there is an idle connection to an address that is alive.
+func (c *Courier) idleIsAlive(address string) bool {
+	n := c.popIdle(address)
+	if n == nil {
+		return false
+	}
+	defer c.release(address, n)
+	return c.isAlive(n)
+}
+
+func TestKeepAliveTimeout(t *testing.T) {
+	for text, want := range map[string]time.Duration{
+		"timeout=2":         1600 * time.Millisecond,
+		"max=9, timeout=1":  800 * time.Millisecond,
+		"timeout=0":         0,
+		"":                  maxIdleTime.Duration(),
+		"timeout=nonsense":  maxIdleTime.Duration(),
+		"timeout=100000000": maxIdleTime.Duration(),
+	} {
+		if got := keepAliveTimeout(http.Header{"Keep-Alive": {text}}); got != want {
+			t.Errorf("%q: %v, expected %v", text, got, want)
+		}
+	}
+}
+
+// BenchmarkLeafCall measures the time and allocations of a call over loopback.
+func BenchmarkLeafCall(b *testing.B) {
+	body := strings.Repeat("0123456789abcdef", 62)
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		b.Fatal(err)
+	}
+	h := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		w.Header().Set("Id", r.Header.Get("Id"))
+		_, _ = w.Write([]byte(body))
+	}), ReadHeaderTimeout: time.Second}
+	var group sync.WaitGroup
+	group.Go(func() { _ = h.Serve(l) })
+	defer func() {
+		_ = h.Close()
+		group.Wait()
+	}()
+	c := New()
+	defer c.Close()
+	b.ReportAllocs()
+	for b.Loop() {
+		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+		if _, err := c.Do(ctx, l.Addr().String(), newCall("1")); err != nil {
+			b.Fatal(err)
+		}
+		cancel()
+	}
+}
--- a/cicadagraded/courier/message.go
+++ b/cicadagraded/courier/template.go
@@ -11,16 +11,16 @@
 	"github.com/pkg/errors"
 )
 
-// Message is a request that is sent to several servers with few differences.
-// Its common head is built once.
+// Message is a template of a request that goes to several servers with a few different
+// headers. The common part is encoded once.
 type Message struct {
 	method string
 	head   []byte
 	body   []byte
 }
 
-// NewMessage builds the common part. The headers must hold none that frame
-// the body or concern the connection.
+// NewMessage returns a template with the common part of a request. The header must contain
+// neither Content-Length nor hop-by-hop headers.
 func NewMessage(method, uri, host string, header http.Header, body []byte) *Message {
 	var b bytes.Buffer
 	b.Grow(512)
@@ -39,21 +39,21 @@
 	return &Message{method: method, head: b.Bytes(), body: body}
 }
 
-// RestoreMessage returns a message from another VM's Head and Body.
+// RestoreMessage returns the template with another VM's Method, Head and Body.
 func RestoreMessage(method string, head, body []byte) *Message {
 	return &Message{method: method, head: head, body: body}
 }
 
-// Head is the common part as it goes over the wire, without its end.
+// Head is the encoded request line and common headers, without the final empty line.
 func (m *Message) Head() []byte { return m.head }
 
-// Body is the body.
+// Body is the request's body.
 func (m *Message) Body() []byte { return m.body }
 
 // Method is the request's method.
 func (m *Message) Method() string { return m.method }
 
-// With returns the whole request with further headers.
+// With returns the complete request, with the given headers added.
 func (m *Message) With(headers ...[2]string) []byte {
 	n := len(m.head) + len(m.body) + 2
 	for _, h := range headers {
@@ -71,15 +71,15 @@
 	return append(b, m.body...)
 }
 
-// readBody reads a whole body. One without a length is whole if its
-// connection ends in order.
+// readBody reads the complete body of a response to a method. A body without a length ends
+// with the connection; a reset makes it incomplete.
 func readBody(method string, p *http.Response) ([]byte, error) {
 	defer func() { _ = p.Body.Close() }()
 	if method == http.MethodHead {
 		return nil, nil
 	}
 	if p.ContentLength > maxReplyBytes {
-		return nil, errors.Errorf("readBody: %d bytes are too many", p.ContentLength)
+		return nil, errors.Errorf("readBody: the body has %d bytes, more than allowed", p.ContentLength)
 	}
 	if p.ContentLength >= 0 {
 		b := make([]byte, p.ContentLength)
@@ -88,21 +88,22 @@
 	}
 	b, err := io.ReadAll(io.LimitReader(p.Body, maxReplyBytes+1))
 	if err == nil && len(b) > maxReplyBytes {
-		err = errors.New("too many bytes")
+		err = errors.New("the body has more bytes than allowed")
 	}
 	return b, errors.Wrap(err, "readBody")
 }
 
-// keepAlive is how long a server keeps an idle connection, less a margin.
-func keepAlive(h http.Header) time.Duration {
+// keepAliveTimeout returns how long an idle connection may be reused: a fraction of the
+// timeout in the server's Keep-Alive header, and at most maxIdleTime.
+func keepAliveTimeout(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
 		if !ok || !strings.EqualFold(name, "timeout") {
 			continue
 		}
 		if s, err := strconv.Atoi(value); err == nil && s >= 0 {
-			return min(time.Duration(float64(s)*idleShare*float64(time.Second)), idleLimit.Duration())
+			return min(time.Duration(float64(s)*keepAliveFraction*float64(time.Second)), maxIdleTime.Duration())
 		}
 	}
-	return idleLimit.Duration()
+	return maxIdleTime.Duration()
 }
