--- a/cicadagraded/entry/entry.go
+++ b/cicadagraded/entry/entry.go
@@ -34,7 +34,7 @@
 	leafClient       *courier.Courier
 	store            *platform.Store
 	table            atomic.Pointer[router.Table]
-	storeAnsweredAt  atomic.Int64 // clock time of the last answer from the store, direct or through another VM
+	storeAnsweredAt  atomic.Int64 // time when the store last answered this VM or its source
 	registered       atomic.Bool  // this VM's registration is in the store
 	storeUnreachable atomic.Bool  // the last read of the store failed
 	isolated         atomic.Bool  // neither the store nor any other VM answers
