--- a/cicadagraded/eventlog/eventlog.go
+++ b/cicadagraded/eventlog/eventlog.go
@@ -1,6 +1,6 @@
-// Package eventlog writes structured log lines without ever blocking who logs:
-// lines go through a bounded ring, and what does not fit is counted and the
-// count written.
+// Package eventlog writes structured log lines asynchronously, so that logging never blocks
+// the caller. Lines go through a bounded queue. Lines that do not fit are dropped, and the
+// number of dropped lines is logged.
 package eventlog
 
 import (
@@ -13,68 +13,72 @@
 	"cicadagrade.example/tier"
 )
 
-// Defaults.
+// Limits of the queue and the rate of lines.
 const (
-	// ringLines is how many lines wait for the writer.
-	ringLines = 512
-	// ordinaryRate bounds the lines a second about single requests, so that a
-	// flood costs a bounded part of the processor.
-	ordinaryRate = 40.0
-	// ordinaryBurst is how many such lines may come at once.
-	ordinaryBurst = 80.0
+	// queueSize is how many lines can wait for the writer.
+	queueSize = 512
+	// requestLinesPerSecond is the rate limit of lines about single requests, so that a
+	// flood of them uses a bounded part of the CPU.
+	requestLinesPerSecond = 40.0
+	// requestLinesBurst is how many such lines can be logged at once.
+	requestLinesBurst = 80.0
 )
 
+// line is a queued log line.
 type line struct {
 	message string
-	pairs   []any
+	attrs   []any
 	level   log.Level
 }
 
-// Log is the log of one process.
+// Log is the log of one process. It is safe for concurrent use.
 type Log struct {
 	clock  *tier.Clock
 	logger *log.Logger
-	lines  chan line
+	queue  chan line
 
-	mu      sync.Mutex
-	tokens  float64
-	filled  tier.Millis
-	dropped int64
+	mu         sync.Mutex
+	tokens     float64
+	refilledAt tier.Millis
+	dropped    int64
 }
 
-// New returns a log that writes to w once Run runs.
-func New(w io.Writer, clock *tier.Clock, pairs ...any) *Log {
+// New returns a log that adds attrs, alternating keys and values, to each line. Lines are
+// queued until Run writes them to w.
+func New(w io.Writer, clock *tier.Clock, attrs ...any) *Log {
 	l := log.NewWithOptions(w, log.Options{
 		ReportTimestamp: true,
 		TimeFormat:      "2006-01-02T15:04:05.000Z07:00",
 		Formatter:       log.LogfmtFormatter,
 	})
 	return &Log{
-		clock: clock, logger: l.With(pairs...), lines: make(chan line, ringLines),
-		tokens: ordinaryBurst,
+		clock: clock, logger: l.With(attrs...), queue: make(chan line, queueSize),
+		tokens: requestLinesBurst,
 	}
 }
 
-// State logs a change of what the process believes or depends on.
-func (l *Log) State(message string, pairs ...any) { l.offer(line{message, pairs, log.InfoLevel}) }
+// State logs a change in the state of the process or its dependencies, at level info.
+func (l *Log) State(message string, attrs ...any) { l.push(line{message, attrs, log.InfoLevel}) }
 
-// Fault logs something that needs a person's look.
-func (l *Log) Fault(message string, pairs ...any) { l.offer(line{message, pairs, log.WarnLevel}) }
+// Fault logs a fault that an operator should look at, at level warn.
+func (l *Log) Fault(message string, attrs ...any) { l.push(line{message, attrs, log.WarnLevel}) }
 
-// Request logs a decision about one request, as long as there are not too
-// many of them.
-func (l *Log) Request(message string, pairs ...any) {
-	if l.admit() {
-		l.offer(line{message, pairs, log.InfoLevel})
+// Request logs an event of a single request at level info. It is rate-limited: lines above
+// the limit are dropped and counted.
+func (l *Log) Request(message string, attrs ...any) {
+	if l.takeToken() {
+		l.push(line{message, attrs, log.InfoLevel})
 	}
 }
 
-func (l *Log) admit() bool {
+// takeToken takes a token of the rate limit. If none is left, it counts a dropped line and
+// returns false.
+func (l *Log) takeToken() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
-	l.tokens = min(ordinaryBurst, l.tokens+ordinaryRate*float64(now-l.filled)/float64(tier.Second))
-	l.filled = now
+	l.tokens = min(requestLinesBurst, l.tokens+requestLinesPerSecond*float64(now-l.refilledAt)/float64(tier.Second))
+	l.refilledAt = now
 	if l.tokens < 1 {
 		l.dropped++
 		return false
@@ -83,9 +87,10 @@
 	return true
 }
 
-func (l *Log) offer(n line) {
+// push queues a line, or counts it as dropped if the queue is full.
+func (l *Log) push(n line) {
 	select {
-	case l.lines <- n:
+	case l.queue <- n:
 	default:
 		l.mu.Lock()
 		l.dropped++
@@ -93,7 +98,7 @@
 	}
 }
 
-// takeDropped is the number of lines that were left out since the last call.
+// takeDropped returns the number of lines dropped since the last call.
 func (l *Log) takeDropped() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -102,16 +107,16 @@
 	return n
 }
 
-// Run writes lines until ctx ends, then those that are left.
+// Run writes queued lines until ctx ends, and then those that are still queued.
 func (l *Log) Run(ctx context.Context) error {
 	for {
 		select {
-		case n := <-l.lines:
+		case n := <-l.queue:
 			l.write(n)
 		case <-ctx.Done():
 			for {
 				select {
-				case n := <-l.lines:
+				case n := <-l.queue:
 					l.write(n)
 				default:
 					return nil
@@ -122,7 +127,7 @@
 }
 
 func (l *Log) write(n line) {
-	l.logger.Log(n.level, n.message, n.pairs...)
+	l.logger.Log(n.level, n.message, n.attrs...)
 	if dropped := l.takeDropped(); dropped > 0 {
 		l.logger.Log(log.WarnLevel, "lines-dropped", "count", dropped)
 	}
--- a/cicadagraded/eventlog/eventlog_test.go
+++ b/cicadagraded/eventlog/eventlog_test.go
@@ -9,27 +9,27 @@
 	"cicadagrade.example/tier"
 )
 
-// stuck blocks whoever writes to it, until it is let go.
-type stuck struct{ release chan struct{} }
+// blockingWriter blocks each write until release is closed.
+type blockingWriter struct{ release chan struct{} }
 
-func (s *stuck) Write(b []byte) (int, error) {
+func (s *blockingWriter) Write(b []byte) (int, error) {
 	<-s.release
 	return len(b), nil
 }
 
-// A flood of lines neither blocks who logs, though nobody takes them, nor takes
-// more memory than the ring.
-func TestAFloodBlocksNobody(t *testing.T) {
-	w := &stuck{release: make(chan struct{})}
+// If nothing writes the queued lines, a flood of lines must neither block the caller nor
+// use more memory than the queue.
+func TestFloodOfLinesDoesNotBlock(t *testing.T) {
+	w := &blockingWriter{release: make(chan struct{})}
 	clock := tier.NewManualClock(0)
 	l := New(w, clock.Clock())
-	for range 100 * ringLines {
+	for range 100 * queueSize {
 		clock.Advance(1)
 		l.Request("request-ended", "request", "x")
 		l.State("leaf-ready", "leaf", "y")
 	}
-	if n := len(l.lines); n > ringLines {
-		t.Errorf("%d lines wait", n)
+	if n := len(l.queue); n > queueSize {
+		t.Errorf("%d lines are queued", n)
 	}
 	close(w.release)
 }
@@ -46,8 +46,8 @@
 	if err := l.Run(ctx); err != nil {
 		t.Fatal(err)
 	}
-	if n := strings.Count(out.String(), "msg=request-ended"); n != ordinaryBurst {
-		t.Errorf("%d lines, expected %v", n, ordinaryBurst)
+	if n := strings.Count(out.String(), "msg=request-ended"); n != requestLinesBurst {
+		t.Errorf("%d lines, expected %v", n, requestLinesBurst)
 	}
 	if !strings.Contains(out.String(), "msg=lines-dropped count=120") {
 		t.Errorf("the dropped lines are not counted: %s", out.String()[max(0, out.Len()-200):])
--- a/cicadagraded/exchanger/exchanger.go
+++ b/cicadagraded/exchanger/exchanger.go
@@ -1,5 +1,6 @@
-// Package exchanger runs the gossip of a VM: it serves peers' exchanges,
-// sends its own, and shows the daemon the members and what they publish.
+// Package exchanger runs the gossip protocol of a VM over the network: it drives the state
+// machine of package gossiper, sends exchanges to peers and serves theirs. The rest of the
+// daemon reads the members and their published values from it, and publishes through it.
 package exchanger
 
 import (
@@ -25,13 +26,13 @@
 )
 
 const (
-	senders    = 16 // exchanges in flight at once
-	sendQueue  = 64
-	minWait    = tier.Millis(10)
-	maxMessage = 64 << 10 // bytes read of a peer's message
+	senderCount     = 16 // goroutines that send exchanges, and so exchanges in flight
+	sendQueueSize   = 64
+	minTickInterval = tier.Millis(10)
+	maxMessageBytes = 64 << 10 // largest message accepted from a peer
 )
 
-// TooLargeError says that a key or a value is too large to publish.
+// TooLargeError reports that a key or a value is too large to publish.
 type TooLargeError struct {
 	key  string
 	size int
@@ -40,13 +41,13 @@
 // Key is the key that was to be published.
 func (e *TooLargeError) Key() string { return e.key }
 
-// Error names the key and the sizes.
+// Error includes the key, the value's size and the allowed size.
 func (e *TooLargeError) Error() string {
 	return fmt.Sprintf("value of %q has %d bytes, %d allowed", e.key, e.size, gossiper.MaxValue)
 }
 
-// Traffic counts what the gossip sent and received, with headers as estimated
-// by the gossiper.
+// Traffic holds totals of the exchanges with peers. Bytes include an estimate of the
+// protocol headers by the gossiper.
 type Traffic struct {
 	exchanges uint64
 	failures  uint64
@@ -54,73 +55,73 @@
 	received  uint64
 }
 
-// Exchanges is how many exchanges were started.
+// Exchanges is the number of exchanges that this VM started.
 func (t Traffic) Exchanges() uint64 { return t.exchanges }
 
-// Failures is how many of them failed.
+// Failures is the number of them that failed.
 func (t Traffic) Failures() uint64 { return t.failures }
 
-// Sent is the bytes sent, requests and replies.
+// Sent is the number of bytes sent in requests and replies.
 func (t Traffic) Sent() uint64 { return t.sent }
 
-// Received is the bytes received, requests and replies.
+// Received is the number of bytes received in requests and replies.
 func (t Traffic) Received() uint64 { return t.received }
 
-// Exchanger is the gossip of one VM. It is safe for concurrent use.
+// Exchanger runs the gossip protocol of one VM. It is safe for concurrent use.
 type Exchanger struct {
-	clock     *tier.Clock
-	timeout   tier.Millis
-	addresses map[string]string
-	options   []gossiper.Option
-	client    *http.Client
-	changes   *ring.Ring[gossiper.Action]
-
-	lock     sync.Mutex
+	clock         *tier.Clock
+	timeout       tier.Millis
+	dialAddresses map[string]string
+	gossipOptions []gossiper.Option
+	client        *http.Client
+	changes       *ring.Ring[gossiper.Action]
+
+	mu       sync.Mutex
 	gossiper *gossiper.Gossiper
 
-	queue   *ring.Ring[*gossiper.SendExchange]
-	wake    *ring.Ring[struct{}]
-	dropped atomic.Uint64
+	sendQueue      *ring.Ring[*gossiper.SendExchange]
+	wake           *ring.Ring[struct{}]
+	droppedChanges atomic.Uint64
 
 	exchanges, failures, sent, received atomic.Uint64
 }
 
-// Option sets one field of an Exchanger.
+// Option sets an option of an Exchanger.
 type Option func(*Exchanger)
 
-// WithTimeout sets how long a peer may take to answer.
+// WithTimeout bounds an exchange with a peer.
 func WithTimeout(m tier.Millis) Option { return func(x *Exchanger) { x.timeout = m } }
 
-// WithAddresses sets other addresses to dial for the addresses that peers
-// publish, such as those of a relay.
+// WithAddresses maps addresses that peers publish to the addresses to dial instead, such
+// as those of a proxy.
 func WithAddresses(dial map[string]string) Option {
-	return func(x *Exchanger) { x.addresses = dial }
+	return func(x *Exchanger) { x.dialAddresses = dial }
 }
 
-// WithChanges sets the ring that takes each MemberChanged and EntryChanged.
-// When it is full they are dropped and counted by Dropped.
+// WithChanges sets the queue that receives each gossiper.MemberChanged and EntryChanged.
+// Changes that find the queue full are dropped, and counted by DroppedChanges.
 func WithChanges(r *ring.Ring[gossiper.Action]) Option {
 	return func(x *Exchanger) { x.changes = r }
 }
 
 // WithGossip passes options to the gossiper.
 func WithGossip(opts ...gossiper.Option) Option {
-	return func(x *Exchanger) { x.options = append(x.options, opts...) }
+	return func(x *Exchanger) { x.gossipOptions = append(x.gossipOptions, opts...) }
 }
 
-// New returns the exchanger of a VM, which starts joining. Its errors are of
-// type *tier.InvalidError.
+// New returns the exchanger of a VM in state joining. Its errors are of type
+// *tier.InvalidError.
 func New(self tier.VM, clock *tier.Clock, opts ...Option) (*Exchanger, error) {
 	x := &Exchanger{
-		clock: clock,
-		queue: ring.New[*gossiper.SendExchange](sendQueue),
-		wake:  ring.New[struct{}](1),
+		clock:     clock,
+		sendQueue: ring.New[*gossiper.SendExchange](sendQueueSize),
+		wake:      ring.New[struct{}](1),
 	}
 	x.Defaults()
 	for _, o := range opts {
 		o(x)
 	}
-	g, err := gossiper.New(self, x.options...)
+	g, err := gossiper.New(self, x.gossipOptions...)
 	if err != nil {
 		return nil, errors.Wrap(err, "New")
 	}
@@ -129,26 +130,26 @@
 	return x, nil
 }
 
-// Defaults sets the timeout.
+// Defaults sets the default timeout.
 func (x *Exchanger) Defaults() { x.timeout = tier.Second }
 
 func newClient(timeout tier.Millis) *http.Client {
 	dialer := &net.Dialer{Timeout: timeout.Duration()}
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         dialer.DialContext,
-		MaxIdleConns:        sendQueue,
+		MaxIdleConns:        sendQueueSize,
 		MaxIdleConnsPerHost: 1,
 		IdleConnTimeout:     time.Minute,
 		DisableCompression:  true,
 	}}
 }
 
-// Run sends exchanges until ctx ends. It is one duty of a run group.
+// Run sends exchanges until ctx ends, and then returns nil.
 func (x *Exchanger) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return x.tick(ctx) })
-	for range senders {
-		group.Go(func() error { return x.send(ctx) })
+	group.Go(func() error { return x.runTicker(ctx) })
+	for range senderCount {
+		group.Go(func() error { return x.sendExchanges(ctx) })
 	}
 	err := group.Wait()
 	x.client.CloseIdleConnections()
@@ -158,22 +159,23 @@
 	return errors.Wrap(err, "Run")
 }
 
-// tick steps the gossiper whenever it is due.
-func (x *Exchanger) tick(ctx context.Context) error {
-	return ticker.Run(ctx, x.wake, func() { x.step(&gossiper.Tick{}) }, x.wait)
+// runTicker sends a tick to the gossiper whenever it is due, or sooner if woken.
+func (x *Exchanger) runTicker(ctx context.Context) error {
+	return ticker.Run(ctx, x.wake, func() { x.step(&gossiper.Tick{}) }, x.untilNextTick)
 }
 
-func (x *Exchanger) wait() tier.Millis {
-	x.lock.Lock()
-	defer x.lock.Unlock()
-	next, _ := x.gossiper.Next()
-	return max(next-x.clock.Now(), minWait)
+// untilNextTick returns the time until the gossiper's next tick is due.
+func (x *Exchanger) untilNextTick() tier.Millis {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	due, _ := x.gossiper.Next()
+	return max(due-x.clock.Now(), minTickInterval)
 }
 
-// send sends queued requests, one at a time.
-func (x *Exchanger) send(ctx context.Context) error {
+// sendExchanges sends queued exchanges, one at a time, until ctx ends.
+func (x *Exchanger) sendExchanges(ctx context.Context) error {
 	for {
-		a, err := x.queue.Pop(ctx)
+		a, err := x.sendQueue.Pop(ctx)
 		if err != nil {
 			return err
 		}
@@ -181,12 +183,13 @@
 	}
 }
 
+// exchangeWith sends one exchange to a peer and passes the result to the gossiper.
 func (x *Exchanger) exchangeWith(ctx context.Context, a *gossiper.SendExchange) {
 	ctx, cancel := context.WithTimeout(ctx, x.timeout.Duration())
 	defer cancel()
 	x.exchanges.Add(1)
 	x.sent.Add(uint64(a.Message().Size()))
-	reply, err := x.peer(a.Address()).Exchange(ctx, connect.NewRequest(encodeRequest(a.Message())))
+	reply, err := x.clientOf(a.Address()).Exchange(ctx, connect.NewRequest(encodeRequest(a.Message())))
 	if err != nil {
 		x.failures.Add(1)
 		x.step(gossiper.NewPeerFailed(a.Number()))
@@ -198,15 +201,16 @@
 	x.step(gossiper.NewReplyReceived(a.Number(), m))
 }
 
-func (x *Exchanger) peer(address string) peerv1connect.PeerServiceClient {
-	if dial, ok := x.addresses[address]; ok {
+// clientOf returns a client of the peer that publishes an address.
+func (x *Exchanger) clientOf(address string) peerv1connect.PeerServiceClient {
+	if dial, ok := x.dialAddresses[address]; ok {
 		address = dial
 	}
 	return peerv1connect.NewPeerServiceClient(x.client, "http://"+address,
-		connect.WithAcceptCompression("gzip", nil, nil), connect.WithReadMaxBytes(maxMessage))
+		connect.WithAcceptCompression("gzip", nil, nil), connect.WithReadMaxBytes(maxMessageBytes))
 }
 
-// Exchange serves a peer's request. It is a method of the peer service.
+// Exchange serves a peer's exchange. It implements a method of the PeerService.
 func (x *Exchanger) Exchange(_ context.Context, r *connect.Request[peerv1.ExchangeRequest]) (*connect.Response[peerv1.ExchangeReply], error) {
 	q := r.Msg
 	m := decodeMessage(q.GetSender(), q.GetIncarnation(), q.GetDigests(), q.GetEntries())
@@ -216,31 +220,33 @@
 	return connect.NewResponse(encodeReply(reply)), nil
 }
 
-// step drives the gossiper, passes its actions on, and returns its reply if
-// there is one.
+// step passes an event to the gossiper and carries out the resulting actions. It returns
+// the reply to the peer, or nil if there is none. Exchanges that find the queue full are
+// dropped.
 func (x *Exchanger) step(e gossiper.Event) *gossiper.Message {
-	x.lock.Lock()
-	defer x.lock.Unlock()
-	before, _ := x.gossiper.Next()
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	previousDue, _ := x.gossiper.Next()
 	var reply *gossiper.Message
 	for _, a := range x.gossiper.Step(x.clock.Now(), e) {
 		switch a := a.(type) {
 		case *gossiper.SendExchange:
-			x.queue.TryPush(a)
+			x.sendQueue.TryPush(a)
 		case *gossiper.Reply:
 			reply = a.Message()
 		default:
-			x.tell(a)
+			x.pushChange(a)
 		}
 	}
-	if next, _ := x.gossiper.Next(); next < before {
+	if due, _ := x.gossiper.Next(); due < previousDue {
 		x.wake.TryPush(struct{}{})
 	}
 	return reply
 }
 
-func (x *Exchanger) tell(a gossiper.Action) {
+// pushChange queues a change for the reader set by WithChanges, or counts it as dropped.
+func (x *Exchanger) pushChange(a gossiper.Action) {
 	if x.changes != nil && !x.changes.TryPush(a) {
-		x.dropped.Add(1)
+		x.droppedChanges.Add(1)
 	}
 }
--- a/cicadagraded/exchanger/exchanger_test.go
+++ b/cicadagraded/exchanger/exchanger_test.go
@@ -19,42 +19,43 @@
 	"cicadagrade.example/api/peer/v1/peerv1connect"
 )
 
-// peer is the peer service with only the exchange.
-type peer struct {
+// peerHandler implements only the Exchange method of the PeerService.
+type peerHandler struct {
 	peerv1connect.UnimplementedPeerServiceHandler
-	x *Exchanger
+	exchanger *Exchanger
 }
 
-func (p peer) Exchange(ctx context.Context, r *connect.Request[peerv1.ExchangeRequest]) (*connect.Response[peerv1.ExchangeReply], error) {
-	return p.x.Exchange(ctx, r)
+func (p peerHandler) Exchange(ctx context.Context, r *connect.Request[peerv1.ExchangeRequest]) (*connect.Response[peerv1.ExchangeReply], error) {
+	return p.exchanger.Exchange(ctx, r)
 }
 
-// fleet is VMs that exchange over loopback.
-type fleet struct {
-	vms   []*Exchanger
-	stops []context.CancelFunc
-	group errgroup.Group
-	bytes atomic.Int64 // on the wire, both ways
+// cluster is a set of VMs that gossip over loopback.
+type cluster struct {
+	vms       []*Exchanger
+	stops     []context.CancelFunc
+	group     errgroup.Group
+	wireBytes atomic.Int64 // on the wire, both ways
 }
 
-func (f *fleet) add(tb testing.TB, dataCentre string, seeds ...string) string {
+// add starts a VM with the given seeds and returns its address.
+func (c *cluster) add(tb testing.TB, dataCentre string, seeds ...string) string {
 	mux := http.NewServeMux()
 	server := httptest.NewUnstartedServer(mux)
-	server.Listener = countingListener{Listener: server.Listener, bytes: &f.bytes}
+	server.Listener = countingListener{Listener: server.Listener, bytes: &c.wireBytes}
 	server.Start()
 	address := server.Listener.Addr().String()
-	self := tier.NewVM(fmt.Sprintf("vm-%d", len(f.vms)), dataCentre, address, tier.WithIncarnation(tier.Incarnation(len(f.vms)+1)))
-	x, err := New(self, tier.NewClock(), WithGossip(gossiper.WithSeed(uint64(len(f.vms)))))
+	self := tier.NewVM(fmt.Sprintf("vm-%d", len(c.vms)), dataCentre, address, tier.WithIncarnation(tier.Incarnation(len(c.vms)+1)))
+	x, err := New(self, tier.NewClock(), WithGossip(gossiper.WithSeed(uint64(len(c.vms)))))
 	if err != nil {
 		tb.Fatal(err)
 	}
-	mux.Handle(peerv1connect.NewPeerServiceHandler(peer{x: x}))
+	mux.Handle(peerv1connect.NewPeerServiceHandler(peerHandler{exchanger: x}))
 	x.SetSeeds(seeds)
 	x.SetState(tier.VMLive)
 	ctx, stop := context.WithCancel(context.Background())
-	f.group.Go(func() error { return x.Run(ctx) })
-	f.vms = append(f.vms, x)
-	f.stops = append(f.stops, func() {
+	c.group.Go(func() error { return x.Run(ctx) })
+	c.vms = append(c.vms, x)
+	c.stops = append(c.stops, func() {
 		stop()
 		server.CloseClientConnections()
 		server.Close()
@@ -62,25 +63,28 @@
 	return address
 }
 
-func (f *fleet) stop(tb testing.TB) {
-	for _, s := range f.stops {
-		s()
+// stop stops all VMs.
+func (c *cluster) stop(tb testing.TB) {
+	for _, stop := range c.stops {
+		stop()
 	}
-	if err := f.group.Wait(); err != nil {
+	if err := c.group.Wait(); err != nil {
 		tb.Error(err)
 	}
 }
 
-func eventually(tb testing.TB, what string, done func() bool) {
+// waitFor polls done until it returns true. The test fails if that takes a minute.
+func waitFor(tb testing.TB, what string, done func() bool) {
 	tb.Helper()
 	for end := time.Now().Add(time.Minute); !done(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			tb.Fatalf("never: %s", what)
+			tb.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-func live(x *Exchanger) int {
+// countLive is the number of members that a VM sees in state live.
+func countLive(x *Exchanger) int {
 	n := 0
 	for _, v := range x.Members() {
 		if v.State() == tier.VMLive {
@@ -90,9 +94,10 @@
 	return n
 }
 
-func (f *fleet) all(is func(x *Exchanger) bool) func() bool {
+// allVMs returns a condition that holds if it holds on every VM.
+func (c *cluster) allVMs(is func(x *Exchanger) bool) func() bool {
 	return func() bool {
-		for _, x := range f.vms {
+		for _, x := range c.vms {
 			if !is(x) {
 				return false
 			}
@@ -102,34 +107,34 @@
 }
 
 func TestExchangeOverLoopback(t *testing.T) {
-	var f fleet
-	seed := f.add(t, "caxias")
-	f.add(t, "caxias", seed)
-	f.add(t, "itajai", seed)
-	defer f.stop(t)
-	eventually(t, "all live and fresh", f.all(func(x *Exchanger) bool { return live(x) == 3 && x.Fresh() }))
-	if err := f.vms[0].Publish("set/portao", []byte("queue 3")); err != nil {
+	var c cluster
+	seed := c.add(t, "caxias")
+	c.add(t, "caxias", seed)
+	c.add(t, "itajai", seed)
+	defer c.stop(t)
+	waitFor(t, "all VMs live and fresh", c.allVMs(func(x *Exchanger) bool { return countLive(x) == 3 && x.Fresh() }))
+	if err := c.vms[0].Publish("set/portao", []byte("queue 3")); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.vms[2].Announce("profiles", 1, 4, []byte("digest")); err != nil {
+	if err := c.vms[2].Announce("profiles", 1, 4, []byte("digest")); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "values everywhere", f.all(func(x *Exchanger) bool {
+	waitFor(t, "values published on all VMs", c.allVMs(func(x *Exchanger) bool {
 		_, revision, _, _ := x.Shared("profiles")
 		return len(x.Entries("set/portao")) == 1 && revision == 4
 	}))
-	eventually(t, "data centres reached", f.all(func(x *Exchanger) bool { return x.Reachable("caxias") && x.Reachable("itajai") }))
-	f.vms[1].SetState(tier.VMLeaving)
-	eventually(t, "leaving known", f.all(func(x *Exchanger) bool { return live(x) == 2 }))
+	waitFor(t, "all data centres reachable", c.allVMs(func(x *Exchanger) bool { return x.Reachable("caxias") && x.Reachable("itajai") }))
+	c.vms[1].SetState(tier.VMLeaving)
+	waitFor(t, "leaving VM known on all VMs", c.allVMs(func(x *Exchanger) bool { return countLive(x) == 2 }))
 }
 
-func TestTooLargeToPublish(t *testing.T) {
+func TestPublishRejectsTooLargeValues(t *testing.T) {
 	x, err := New(tier.NewVM("vm-0", "caxias", "127.0.0.1:7000"), tier.NewClock())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := x.Publish("k", make([]byte, gossiper.MaxValue+1)); err == nil {
-		t.Fatal("no error")
+		t.Fatal("a value above the size limit was accepted")
 	}
 	if err := x.Publish("k", make([]byte, gossiper.MaxValue)); err != nil {
 		t.Fatal(err)
--- a/cicadagraded/exchanger/view.go
+++ b/cicadagraded/exchanger/view.go
@@ -7,8 +7,8 @@
 	"cicadagrade.example/tier/gossiper"
 )
 
-// Publish writes a value of this VM, which all members read. An empty value
-// takes the key back. Its error is a *TooLargeError.
+// Publish sets a key of this VM to a value that all members can read. An empty value removes
+// the key. The error is a *TooLargeError.
 func (x *Exchanger) Publish(key string, value []byte) error {
 	if len(key) > gossiper.MaxKey || len(value) > gossiper.MaxValue {
 		return errors.Wrap(&TooLargeError{key: key, size: len(value)}, "Publish")
@@ -17,8 +17,9 @@
 	return nil
 }
 
-// Announce writes a shared value: the highest (epoch, revision) of a key is
-// kept on all VMs. Its error is a *TooLargeError.
+// Announce sets a shared key to a value. Shared keys belong to no VM; all VMs keep the value
+// with the highest epoch and, within it, the highest revision. The error is a
+// *TooLargeError.
 func (x *Exchanger) Announce(key string, epoch, revision uint64, value []byte) error {
 	if len(key) > gossiper.MaxKey || len(value) > gossiper.MaxValue {
 		return errors.Wrap(&TooLargeError{key: key, size: len(value)}, "Announce")
@@ -27,75 +28,75 @@
 	return nil
 }
 
-// SetState changes what this VM says of itself.
+// SetState changes the state that this VM publishes.
 func (x *Exchanger) SetState(s tier.VMState) { x.step(gossiper.NewSetState(s)) }
 
-// SetSeeds replaces the addresses where unknown peers may be found.
+// SetSeeds replaces the addresses that are contacted to discover unknown peers.
 func (x *Exchanger) SetSeeds(addresses []string) { x.step(gossiper.NewSeedsChanged(addresses)) }
 
-// Self is this VM, with its life and state as published.
+// Self is this VM with its published incarnation and state.
 func (x *Exchanger) Self() tier.VM {
-	x.lock.Lock()
-	defer x.lock.Unlock()
+	x.mu.Lock()
+	defer x.mu.Unlock()
 	return x.gossiper.Self()
 }
 
-// Generation counts the changes of Members, so that readers can tell whether
-// to read them again.
+// Generation is a counter that increases with each change of Members, so that readers can
+// tell whether to read them again.
 func (x *Exchanger) Generation() uint64 {
-	x.lock.Lock()
-	defer x.lock.Unlock()
+	x.mu.Lock()
+	defer x.mu.Unlock()
 	return x.gossiper.Generation()
 }
 
-// Members lists the VMs known, with their states.
+// Members lists the known VMs with their states.
 func (x *Exchanger) Members() []tier.VM {
-	x.lock.Lock()
-	defer x.lock.Unlock()
+	x.mu.Lock()
+	defer x.mu.Unlock()
 	return x.gossiper.Members()
 }
 
-// Entries lists what the VMs that are not dead published under a key.
+// Entries lists the values published under a key by VMs that are not dead.
 func (x *Exchanger) Entries(key string) []gossiper.Published {
-	x.lock.Lock()
-	defer x.lock.Unlock()
+	x.mu.Lock()
+	defer x.mu.Unlock()
 	return x.gossiper.Entries(key)
 }
 
-// Shared is the highest shared value of a key.
+// Shared returns the value of a shared key with the highest epoch and revision. See Announce.
 func (x *Exchanger) Shared(key string) (epoch, revision uint64, value []byte, ok bool) {
-	x.lock.Lock()
-	defer x.lock.Unlock()
+	x.mu.Lock()
+	defer x.mu.Unlock()
 	return x.gossiper.Shared(key)
 }
 
-// Reachable reports whether a data centre can be reached from here.
+// Reachable reports whether a data centre can be reached from this VM.
 func (x *Exchanger) Reachable(dataCentre string) bool {
-	x.lock.Lock()
-	defer x.lock.Unlock()
+	x.mu.Lock()
+	defer x.mu.Unlock()
 	return x.gossiper.Reachable(dataCentre)
 }
 
-// ReplacedBy is the VM that runs under this VM's name in a later life, if there
-// is one.
+// ReplacedBy returns the VM that runs under this VM's name with a later incarnation, if
+// there is one.
 func (x *Exchanger) ReplacedBy() (tier.VM, bool) {
-	x.lock.Lock()
-	defer x.lock.Unlock()
+	x.mu.Lock()
+	defer x.mu.Unlock()
 	return x.gossiper.ReplacedBy()
 }
 
-// Fresh reports whether this VM may act on what it holds: false after a start
-// or a pause until it has exchanged with a peer.
+// Fresh reports whether this VM's data is recent enough to act on. After a start or a pause
+// of the process it is false until an exchange with a peer succeeds or no peer is left.
 func (x *Exchanger) Fresh() bool {
-	x.lock.Lock()
-	defer x.lock.Unlock()
+	x.mu.Lock()
+	defer x.mu.Unlock()
 	return x.gossiper.Fresh(x.clock.Now())
 }
 
-// Dropped counts the changes that found their ring full.
-func (x *Exchanger) Dropped() uint64 { return x.dropped.Load() }
+// Dropped is the number of changes dropped because the queue of WithChanges was full.
+func (x *Exchanger) Dropped() uint64 { return x.droppedChanges.Load() }
 
-// Traffic counts what was sent and received.
+// Traffic returns the totals of the exchanges with peers.
 func (x *Exchanger) Traffic() Traffic {
 	return Traffic{
 		exchanges: x.exchanges.Load(),
--- a/cicadagraded/meter/meter.go
+++ b/cicadagraded/meter/meter.go
@@ -1,5 +1,5 @@
-// Package meter counts what a VM does, by OpenTelemetry, and exposes it in
-// the Prometheus format.
+// Package meter records the metrics of a VM with OpenTelemetry and exposes them in the
+// Prometheus format.
 package meter
 
 import (
@@ -17,12 +17,12 @@
 	"cicadagrade.example/tier"
 )
 
-const scope = "cicadagrade.example/cicadagraded"
+const instrumentationScope = "cicadagrade.example/cicadagraded"
 
-// latencyBounds are the bucket bounds of request latency, in milliseconds.
-var latencyBounds = []float64{1, 2, 5, 10, 20, 50, 100, 180, 250, 500, 1000, 2000, 5000, 10000}
+// latencyBucketsMs are the upper bounds of the buckets of request latency.
+var latencyBucketsMs = []float64{1, 2, 5, 10, 20, 50, 100, 180, 250, 500, 1000, 2000, 5000, 10000}
 
-// Meter holds the instruments of one VM.
+// Meter holds the metric instruments of one VM.
 type Meter struct {
 	provider *sdk.MeterProvider
 	registry *prometheus.Registry
@@ -31,7 +31,7 @@
 	latency  metric.Int64Histogram
 }
 
-// New returns the meter of a VM.
+// New returns a meter with the instruments of callers' requests.
 func New() (*Meter, error) {
 	registry := prometheus.NewRegistry()
 	e, err := exporter.New(exporter.WithRegisterer(registry), exporter.WithoutScopeInfo())
@@ -39,23 +39,23 @@
 		return nil, errors.Wrap(err, "New")
 	}
 	provider := sdk.NewMeterProvider(sdk.WithReader(e))
-	m := &Meter{provider: provider, registry: registry, meter: provider.Meter(scope)}
+	m := &Meter{provider: provider, registry: registry, meter: provider.Meter(instrumentationScope)}
 	m.requests, err = m.meter.Int64Counter("cicadagrade.requests",
-		metric.WithDescription("Callers' requests that ended, by route, rank and outcome"))
+		metric.WithDescription("Completed requests of callers, by route, rank and outcome"))
 	if err != nil {
 		return nil, errors.Wrap(err, "New")
 	}
 	m.latency, err = m.meter.Int64Histogram("cicadagrade.request.latency",
-		metric.WithDescription("Time from a caller's request to its answer"),
+		metric.WithDescription("Time from receiving a caller's request to its response"),
 		metric.WithUnit("ms"),
-		metric.WithExplicitBucketBoundaries(latencyBounds...))
+		metric.WithExplicitBucketBoundaries(latencyBucketsMs...))
 	if err != nil {
 		return nil, errors.Wrap(err, "New")
 	}
 	return m, nil
 }
 
-// Ended counts a caller's request that ended.
+// Ended records the outcome and latency of a caller's completed request.
 func (m *Meter) Ended(route, rank, outcome string, took tier.Millis) {
 	labels := metric.WithAttributes(
 		attribute.String("route", route),
@@ -66,13 +66,13 @@
 	m.latency.Record(context.Background(), int64(took), labels)
 }
 
-// Point is one value of a gauge, with its labels.
+// Point is a value of a gauge with its labels.
 type Point struct {
 	labels []attribute.KeyValue
 	value  int64
 }
 
-// NewPoint returns a value with labels given as pairs of name and value.
+// NewPoint returns a value with labels, which alternate between names and values.
 func NewPoint(value int64, labels ...string) Point {
 	p := Point{value: value}
 	for i := 0; i+1 < len(labels); i += 2 {
@@ -81,7 +81,8 @@
 	return p
 }
 
-// Observe registers a gauge whose points are read when the metrics are.
+// Observe registers a gauge. Its points are read by a callback whenever metrics are
+// collected.
 func (m *Meter) Observe(name, description string, read func() []Point) error {
 	_, err := m.meter.Int64ObservableGauge(name,
 		metric.WithDescription(description),
@@ -94,7 +95,7 @@
 	return errors.Wrap(err, "Meter.Observe")
 }
 
-// Handler serves the metrics.
+// Handler returns a handler that serves the metrics in the Prometheus format.
 func (m *Meter) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
