--- a/cicadagraded/courier/client.go
+++ b/cicadagraded/courier/client.go
@@ -72,15 +72,15 @@
 	cause    error
 }
 
-// Fresh reports whether the server closed or reset a new connection instead of replying,
-// as servers do that have reached their limit of connections.
+// Fresh reports whether the server closed or reset a new connection instead of
+// replying, as servers do that have reached their limit of connections.
 func (e *LostError) Fresh() bool { return e.rejected }
 
 // Unwrap returns the cause.
 func (e *LostError) Unwrap() error { return e.cause }
 
 // Error includes the address and the cause.
-func (e *LostError) Error() string { return "no full reply from " + e.address + ": " + e.cause.Error() }
+func (e *LostError) Error() string { return "no reply from " + e.address + ": " + e.cause.Error() }
 
 // Reply is a complete reply of a server.
 type Reply struct {
@@ -158,72 +158,72 @@
 
 // Do sends a request to an address and waits for the complete reply until ctx ends. The
 // error is a *NotSentError or a *NoReplyError.
-func (c *Courier) Do(ctx context.Context, address string, q Call) (*Reply, error) {
-	n, err := c.acquire(ctx, address, q.MaxIdle)
+func (c *Courier) Do(ctx context.Context, address string, call Call) (*Reply, error) {
+	cn, err := c.acquire(ctx, address, call.MaxIdle)
 	if err != nil {
 		return nil, &NotSentError{address: address, cause: err}
 	}
 	if at, ok := ctx.Deadline(); ok {
-		_ = n.SetDeadline(at)
+		_ = cn.SetDeadline(at)
 	}
-	stopWatching := context.AfterFunc(ctx, func() { _ = n.Close() })
-	if written, err := n.Write(q.Message); err != nil {
+	stopWatching := context.AfterFunc(ctx, func() { _ = cn.Close() })
+	if written, err := cn.Write(call.Message); err != nil {
 		stopWatching()
-		_ = n.Close()
+		_ = cn.Close()
 		if written == 0 {
 			return nil, &NotSentError{address: address, connected: true, cause: err}
 		}
 		return nil, &LostError{address: address, cause: err}
 	}
 	c.requests.Add(1)
-	r, keep, err := c.readReply(n, q)
+	r, keep, err := c.readReply(cn, call)
 	if !stopWatching() && err == nil {
 		keep = false // the end of ctx has closed the connection
 	}
 	if err != nil {
-		_ = n.Close()
-		rejected := !n.hasReplied && ctx.Err() == nil && (errors.Is(err, syscall.ECONNRESET) || errors.Is(err, io.EOF))
+		_ = cn.Close()
+		rejected := !cn.hasReplied && ctx.Err() == nil && (errors.Is(err, syscall.ECONNRESET) || errors.Is(err, io.EOF))
 		return nil, &LostError{address: address, rejected: rejected, cause: err}
 	}
-	n.hasReplied = true
+	cn.hasReplied = true
 	if keep {
-		c.release(address, n)
+		c.release(address, cn)
 	} else {
-		_ = n.Close()
+		_ = cn.Close()
 	}
 	return r, nil
 }
 
 // readReply reads the reply to the request just written. The second result reports whether
 // the connection can be reused.
-func (c *Courier) readReply(n *conn, q Call) (*Reply, bool, error) {
-	request := &http.Request{Method: q.Method}
+func (c *Courier) readReply(cn *conn, call Call) (*Reply, bool, error) {
+	request := &http.Request{Method: call.Method}
 	for range maxRepliesPerCall {
-		p, err := http.ReadResponse(n.reader, request)
+		response, err := http.ReadResponse(cn.reader, request)
 		if err != nil {
 			return nil, false, errors.Wrap(err, "Client.readReply")
 		}
-		body, err := readBody(q.Method, p)
+		body, err := readBody(call.Method, response)
 		if err != nil {
 			return nil, false, errors.Wrap(err, "Client.readReply")
 		}
-		if p.StatusCode < 200 {
+		if response.StatusCode < 200 {
 			continue // an interim (1xx) reply
 		}
-		if q.Ours != nil && !q.Ours(p.Header) {
+		if call.Ours != nil && !call.Ours(response.Header) {
 			c.staleReplies.Add(1)
-			if p.Close {
+			if response.Close {
 				return nil, false, errors.New("Client.readReply: the reply is to another request")
 			}
 			continue
 		}
-		keep := !p.Close
-		if n.reader.Buffered() > 0 {
+		keep := !response.Close
+		if cn.reader.Buffered() > 0 {
 			c.outOfSync.Add(1)
 			keep = false
 		}
-		n.idleTimeout = keepAliveTimeout(p.Header)
-		return &Reply{status: p.StatusCode, header: p.Header, body: body}, keep, nil
+		cn.idleTimeout = keepAliveTimeout(response.Header)
+		return &Reply{status: response.StatusCode, header: response.Header, body: body}, keep, nil
 	}
 	return nil, false, errors.New("Client.readReply: too many interim replies or replies to other requests")
 }
@@ -231,16 +231,16 @@
 // acquire returns an idle connection that is still open, or a new one.
 func (c *Courier) acquire(ctx context.Context, address string, maxIdleTime tier.Millis) (*conn, error) {
 	for {
-		n := c.popIdle(address)
-		if n == nil {
+		cn := c.popIdle(address)
+		if cn == nil {
 			break
 		}
-		age := time.Since(n.idleSince)
-		stale := age > n.idleTimeout || maxIdleTime > 0 && age > maxIdleTime.Duration()
-		if !stale && c.isAlive(n) {
-			return n, nil
+		age := time.Since(cn.idleSince)
+		stale := age > cn.idleTimeout || maxIdleTime > 0 && age > maxIdleTime.Duration()
+		if !stale && c.isAlive(cn) {
+			return cn, nil
 		}
-		_ = n.Close()
+		_ = cn.Close()
 	}
 	c.dials.Add(1)
 	raw, err := c.dialer.DialContext(ctx, "tcp", address)
@@ -258,35 +258,35 @@
 	if len(list) == 0 {
 		return nil
 	}
-	n := list[len(list)-1]
+	cn := list[len(list)-1]
 	list[len(list)-1] = nil
 	c.idle[address] = list[:len(list)-1]
-	return n
+	return cn
 }
 
 // release returns a connection to the pool, or closes it if the pool is full or closed.
-func (c *Courier) release(address string, n *conn) {
-	n.idleSince = time.Now()
-	_ = n.SetDeadline(time.Time{})
+func (c *Courier) release(address string, cn *conn) {
+	cn.idleSince = time.Now()
+	_ = cn.SetDeadline(time.Time{})
 	c.mu.Lock()
 	list := c.idle[address]
 	full := c.closed || len(list) >= maxIdlePerAddress
 	if !full {
-		c.idle[address] = append(list, n)
+		c.idle[address] = append(list, cn)
 	}
 	c.mu.Unlock()
 	if full {
-		_ = n.Close()
+		_ = cn.Close()
 	}
 }
 
 // isAlive reports whether an idle connection is open and has no unread bytes, which would
 // belong to no request. It does not block.
-func (c *Courier) isAlive(n *conn) bool {
-	if n.reader.Buffered() > 0 {
+func (c *Courier) isAlive(cn *conn) bool {
+	if cn.reader.Buffered() > 0 {
 		return false
 	}
-	s, ok := n.Conn.(syscall.Conn)
+	s, ok := cn.Conn.(syscall.Conn)
 	if !ok {
 		return true
 	}
@@ -307,20 +307,20 @@
 	return err == nil && noData
 }
 
-// Sweep closes the connections that have been idle for too long to be reused, so that they
-// do not count towards the servers' limits of connections.
+// Sweep closes the connections that have been idle for too long to be reused, so
+// that they do not count towards the servers' limits of connections.
 func (c *Courier) Sweep() {
 	now := time.Now()
 	var expired []*conn
 	c.mu.Lock()
 	for address, list := range c.idle {
 		kept := list[:0]
-		for _, n := range list {
-			if now.Sub(n.idleSince) > n.idleTimeout {
-				expired = append(expired, n)
+		for _, cn := range list {
+			if now.Sub(cn.idleSince) > cn.idleTimeout {
+				expired = append(expired, cn)
 				continue
 			}
-			kept = append(kept, n)
+			kept = append(kept, cn)
 		}
 		clear(list[len(kept):])
 		if len(kept) == 0 {
@@ -330,8 +330,8 @@
 		c.idle[address] = kept
 	}
 	c.mu.Unlock()
-	for _, n := range expired {
-		_ = n.Close()
+	for _, cn := range expired {
+		_ = cn.Close()
 	}
 }
 
@@ -341,8 +341,8 @@
 	list := c.idle[address]
 	delete(c.idle, address)
 	c.mu.Unlock()
-	for _, n := range list {
-		_ = n.Close()
+	for _, cn := range list {
+		_ = cn.Close()
 	}
 }
 
@@ -354,8 +354,8 @@
 	c.idle = map[string][]*conn{}
 	c.mu.Unlock()
 	for _, list := range all {
-		for _, n := range list {
-			_ = n.Close()
+		for _, cn := range list {
+			_ = cn.Close()
 		}
 	}
 }
--- a/cicadagraded/courier/template.go
+++ b/cicadagraded/courier/template.go
@@ -73,20 +73,20 @@
 
 // readBody reads the complete body of a response to a method. A body without a length ends
 // with the connection; a reset makes it incomplete.
-func readBody(method string, p *http.Response) ([]byte, error) {
-	defer func() { _ = p.Body.Close() }()
+func readBody(method string, response *http.Response) ([]byte, error) {
+	defer func() { _ = response.Body.Close() }()
 	if method == http.MethodHead {
 		return nil, nil
 	}
-	if p.ContentLength > maxReplyBytes {
-		return nil, errors.Errorf("readBody: the body has %d bytes, more than allowed", p.ContentLength)
+	if response.ContentLength > maxReplyBytes {
+		return nil, errors.Errorf("readBody: the body has %d bytes, more than allowed", response.ContentLength)
 	}
-	if p.ContentLength >= 0 {
-		b := make([]byte, p.ContentLength)
-		_, err := io.ReadFull(p.Body, b)
+	if response.ContentLength >= 0 {
+		b := make([]byte, response.ContentLength)
+		_, err := io.ReadFull(response.Body, b)
 		return b, errors.Wrap(err, "readBody")
 	}
-	b, err := io.ReadAll(io.LimitReader(p.Body, maxReplyBytes+1))
+	b, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes+1))
 	if err == nil && len(b) > maxReplyBytes {
 		err = errors.New("the body has more bytes than allowed")
 	}
--- a/cicadagraded/entry/callers.go
+++ b/cicadagraded/entry/callers.go
@@ -104,7 +104,7 @@
 	var firstErr error
 	for _, s := range c.stopAccepting() {
 		if err := s.http.Shutdown(ctx); err != nil && firstErr == nil {
-			firstErr = errors.Wrap(err, "Callers.Shutdown")
+			firstErr = errors.Wrap(err, "CallerServer.Shutdown")
 		}
 	}
 	return firstErr
--- a/cicadagraded/entry/entry.go
+++ b/cicadagraded/entry/entry.go
@@ -108,8 +108,8 @@
 	return e.table.Load() != nil && !e.stopping.Load() && !e.isolated.Load()
 }
 
-// Stop makes the readiness check fail and closes each caller's connection after its next
-// response. Requests are still served.
+// Stop makes the readiness check fail, and closes each caller's connection after its
+// next response. Requests are still served.
 func (e *Entry) Stop() {
 	e.stopping.Store(true)
 	close(e.shutdown)
--- a/cicadagraded/entry/gather.go
+++ b/cicadagraded/entry/gather.go
@@ -125,8 +125,8 @@
 
 // readShareReplies posts each reply to a share to the search, until the last one. The first
 // reply only acknowledges the share.
-func (r *searchRun) readShareReplies(ctx, searchCtx context.Context, a searcher.Delegate, q *gatherv1.GatherRequest) error {
-	stream, err := r.entry.peers.clientOf(a.Member.VM().Address()).Gather(ctx, connect.NewRequest(q))
+func (r *searchRun) readShareReplies(ctx, searchCtx context.Context, a searcher.Delegate, request *gatherv1.GatherRequest) error {
+	stream, err := r.entry.peers.clientOf(a.Member.VM().Address()).Gather(ctx, connect.NewRequest(request))
 	if err != nil {
 		return errors.Wrap(err, "searchRun.readShareReplies")
 	}
@@ -239,45 +239,45 @@
 // Gather searches a share of another VM's request. It acknowledges the share with an empty
 // reply and then streams partial results as they come in.
 func (g *peerService) Gather(ctx context.Context, c *connect.Request[gatherv1.GatherRequest], stream *connect.ServerStream[gatherv1.GatherReply]) error {
-	e, q := g.entry, c.Msg
+	e, request := g.entry, c.Msg
 	if err := stream.Send(&gatherv1.GatherReply{}); err != nil {
 		return errors.Wrap(err, "peerService.Gather")
 	}
 	now := e.clock.Now()
-	terms := searcher.NewTerms(q.GetRoute(), now+tier.Millis(q.GetAimMs()), now+tier.Millis(q.GetEndMs()),
-		searcher.Repeatable(), searcher.WithAttempts(int(q.GetAttempts())),
-		searcher.WithMinimum(int(q.GetMinimum())), searcher.WithRank(int(q.GetRank())),
+	terms := searcher.NewTerms(request.GetRoute(), now+tier.Millis(request.GetAimMs()), now+tier.Millis(request.GetEndMs()),
+		searcher.Repeatable(), searcher.WithAttempts(int(request.GetAttempts())),
+		searcher.WithMinimum(int(request.GetMinimum())), searcher.WithRank(int(request.GetRank())),
 		searcher.ForAnotherVM())
 	var shares []sharer.Share
-	if q.GetSpread() {
-		shares = e.divideShards(q.GetRoute(), q.GetShards())
+	if request.GetSpread() {
+		shares = e.divideShards(request.GetRoute(), request.GetShards())
 	}
-	run := e.newRun(q.GetAttempt(), true, courier.RestoreMessage(q.GetMethod(), q.GetHead(), q.GetBody()),
-		terms, q.GetShards(), shares)
+	run := e.newRun(request.GetAttempt(), true, courier.RestoreMessage(request.GetMethod(), request.GetHead(), request.GetBody()),
+		terms, request.GetShards(), shares)
 	run.delegation = delegationTerms{
-		route: q.GetRoute(), topK: int(q.GetTop()), maxAttempts: int(q.GetAttempts()), rank: int(q.GetRank()),
-		minimumParts: func(n int) int { return n * int(q.GetMinimum()) / max(1, len(q.GetShards())) }, shards: q.GetShards(),
+		route: request.GetRoute(), topK: int(request.GetTop()), maxAttempts: int(request.GetAttempts()), rank: int(request.GetRank()),
+		minimumParts: func(n int) int { return n * int(request.GetMinimum()) / max(1, len(request.GetShards())) }, shards: request.GetShards(),
 	}
-	run.flush = func(f searcher.Flush) error { return stream.Send(shareReply(q, f)) }
-	o, cancelled := run.execute(ctx)
-	e.countCalls(o)
-	if o.Missing() > 0 {
-		e.log.Request("share-ended", "request", q.GetAttempt(), "route", q.GetRoute(), "recalled", cancelled,
-			"took-ms", int64(e.clock.Now()-now), "aim-ms", q.GetAimMs(), "missing", o.Missing(), "of", len(q.GetShards()),
-			"calls", o.Sent(), "extra", o.Extra(), "misses", describeMisses(o))
+	run.flush = func(f searcher.Flush) error { return stream.Send(shareReply(request, f)) }
+	outcome, cancelled := run.execute(ctx)
+	e.countCalls(outcome)
+	if outcome.Missing() > 0 {
+		e.log.Request("share-ended", "request", request.GetAttempt(), "route", request.GetRoute(), "recalled", cancelled,
+			"took-ms", int64(e.clock.Now()-now), "aim-ms", request.GetAimMs(), "missing", outcome.Missing(), "of", len(request.GetShards()),
+			"calls", outcome.Sent(), "extra", outcome.Extra(), "misses", describeMisses(outcome))
 	}
 	if cancelled {
 		return ctx.Err()
 	}
 	return errors.Wrap(stream.Send(&gatherv1.GatherReply{
-		Last: true, MayHaveRun: o.MayHaveRun(), Calls: uint32(o.Sent()), Extra: uint32(o.Extra()),
+		Last: true, MayHaveRun: outcome.MayHaveRun(), Calls: uint32(outcome.Sent()), Extra: uint32(outcome.Extra()),
 	}), "peerService.Gather")
 }
 
 // shareReply merges the parts received since the last reply, for the VM that delegated them.
-func shareReply(q *gatherv1.GatherRequest, f searcher.Flush) *gatherv1.GatherReply {
-	top := ranker.New(int(q.GetTop()))
-	signatures := make([]string, 0, len(q.GetShards()))
+func shareReply(request *gatherv1.GatherRequest, f searcher.Flush) *gatherv1.GatherReply {
+	top := ranker.New(int(request.GetTop()))
+	signatures := make([]string, 0, len(request.GetShards()))
 	reply := &gatherv1.GatherReply{Proofs: mergeReplies(top, f.Parts, f.Shares, signatures)}
 	for _, i := range f.In {
 		reply.Parts = append(reply.Parts, uint32(i))
--- a/cicadagraded/entry/handler.go
+++ b/cicadagraded/entry/handler.go
@@ -176,21 +176,21 @@
 		route: q.route.Name(), topK: q.route.Top(), maxAttempts: q.route.Attempts(), rank: q.route.Rank(),
 		minimumParts: q.route.MinimumPartsOf, shards: shards,
 	}
-	o, callerGone := run.execute(r.Context())
+	outcome, callerGone := run.execute(r.Context())
 	if callerGone {
-		e.recordOutcome(q, o, 0, string(o.Cause()))
+		e.recordOutcome(q, outcome, 0, string(outcome.Cause()))
 		return
 	}
-	if !o.Success() {
-		e.writeFailure(w, q, o)
+	if !outcome.Success() {
+		e.writeFailure(w, q, outcome)
 		return
 	}
 	top := ranker.New(q.route.Top())
 	signatures := make([]string, 0, len(q.route.Shards()))
-	signatures = mergeReplies(top, o.Parts(), o.Shares(), signatures)
-	platform.WriteParts(w.Header(), signatures, o.Missing())
+	signatures = mergeReplies(top, outcome.Parts(), outcome.Shares(), signatures)
+	platform.WriteParts(w.Header(), signatures, outcome.Missing())
 	e.writeResponse(w, http.StatusOK, top.Bytes())
-	e.recordOutcome(q, o, http.StatusOK, string(o.Cause()))
+	e.recordOutcome(q, outcome, http.StatusOK, string(outcome.Cause()))
 }
 
 // mergeReplies merges the records in the replies of leafs and other VMs into top, and
@@ -212,19 +212,19 @@
 // serveSingle passes on the response of one leaf.
 func (e *Entry) serveSingle(w http.ResponseWriter, r *http.Request, q *request, template *courier.Message) {
 	service := q.route.Target(rand.Float64())
-	o, callerGone := e.newRun(q.attempt.Attempt(), q.route.Repeatable(), template, q.terms(), []string{service}, nil).execute(r.Context())
+	outcome, callerGone := e.newRun(q.attempt.Attempt(), q.route.Repeatable(), template, q.terms(), []string{service}, nil).execute(r.Context())
 	if callerGone {
-		e.recordOutcome(q, o, 0, string(o.Cause()))
+		e.recordOutcome(q, outcome, 0, string(outcome.Cause()))
 		return
 	}
 	var reply *courier.Reply
 	switch {
-	case o.Success():
-		reply = o.Parts()[0].Reply().(*courier.Reply)
-	case o.Failure() != nil:
-		reply = o.Failure().(*courier.Reply)
+	case outcome.Success():
+		reply = outcome.Parts()[0].Reply().(*courier.Reply)
+	case outcome.Failure() != nil:
+		reply = outcome.Failure().(*courier.Reply)
 	default:
-		e.writeFailure(w, q, o)
+		e.writeFailure(w, q, outcome)
 		return
 	}
 	h := w.Header()
@@ -232,7 +232,7 @@
 		h[k] = v
 	}
 	e.writeResponse(w, reply.Status(), reply.Body())
-	e.recordOutcome(q, o, reply.Status(), string(o.Cause()))
+	e.recordOutcome(q, outcome, reply.Status(), string(outcome.Cause()))
 }
 
 // writeResponse writes the status and body of a response.
@@ -245,41 +245,41 @@
 
 // writeFailure responds to a request whose search failed: 503 if it certainly did not run,
 // 504 if the time ran out, and 502 otherwise.
-func (e *Entry) writeFailure(w http.ResponseWriter, q *request, o searcher.Outcome) {
+func (e *Entry) writeFailure(w http.ResponseWriter, q *request, outcome searcher.Outcome) {
 	status := http.StatusBadGateway
 	switch {
-	case !o.MayHaveRun():
+	case !outcome.MayHaveRun():
 		status = http.StatusServiceUnavailable
 		platform.WriteRetryAfter(w.Header(), refusalRetryAfter+tier.Millis(rand.Int64N(int64(refusalRetryAfter))))
-	case o.Cause() == searcher.OutOfTime:
+	case outcome.Cause() == searcher.OutOfTime:
 		status = http.StatusGatewayTimeout
 	}
 	w.Header().Set("Content-Length", "0")
 	w.WriteHeader(status)
-	e.recordOutcome(q, o, status, string(o.Cause()))
+	e.recordOutcome(q, outcome, status, string(outcome.Cause()))
 }
 
 // recordOutcome updates the metrics for a finished request. It logs the request unless it
 // was served completely, on time and without hedges or retries.
-func (e *Entry) recordOutcome(q *request, o searcher.Outcome, status int, cause string) {
+func (e *Entry) recordOutcome(q *request, outcome searcher.Outcome, status int, cause string) {
 	took := e.clock.Now() - q.start
 	e.meter.Ended(q.route.Name(), strconv.Itoa(q.route.Rank()), cause, took)
-	e.countCalls(o)
-	if o.Cause() == searcher.Complete && o.Extra() == 0 && status < 300 && took <= q.route.Aim() {
+	e.countCalls(outcome)
+	if outcome.Cause() == searcher.Complete && outcome.Extra() == 0 && status < 300 && took <= q.route.Aim() {
 		return
 	}
 	e.log.Request("request-ended", "request", q.attempt.Attempt(), "route", q.route.Name(),
 		"version", q.table.Version(), "status", status, "cause", cause, "took-ms", int64(took),
 		"aim-ms", int64(q.route.Aim()), "spent-ms", int64(q.arrival.Spent()), "trip-ms", int64(q.arrival.Trip()),
-		"missing", o.Missing(), "of", max(1, len(q.route.Shards())),
-		"shares", len(o.Shares()), "calls", o.Sent(), "extra", o.Extra(),
-		"may-have-run", o.MayHaveRun(), "view-age-ms", int64(e.viewAge()), "misses", describeMisses(o))
+		"missing", outcome.Missing(), "of", max(1, len(q.route.Shards())),
+		"shares", len(outcome.Shares()), "calls", outcome.Sent(), "extra", outcome.Extra(),
+		"may-have-run", outcome.MayHaveRun(), "view-age-ms", int64(e.viewAge()), "misses", describeMisses(outcome))
 }
 
 // describeMisses lists the missing parts, as the value of a log key.
-func describeMisses(o searcher.Outcome) string {
-	texts := make([]string, len(o.Misses()))
-	for i, m := range o.Misses() {
+func describeMisses(outcome searcher.Outcome) string {
+	texts := make([]string, len(outcome.Misses()))
+	for i, m := range outcome.Misses() {
 		texts[i] = m.String()
 	}
 	return strings.Join(texts, " ")
--- a/cicadagraded/entry/metrics.go
+++ b/cicadagraded/entry/metrics.go
@@ -107,10 +107,10 @@
 }
 
 // countCalls adds the calls and missing parts of a finished search to the totals.
-func (e *Entry) countCalls(o searcher.Outcome) {
-	e.leafCalls.Add(int64(o.Sent()))
-	e.extraCalls.Add(int64(o.Extra()))
-	e.missingParts.Add(int64(o.Missing()))
+func (e *Entry) countCalls(outcome searcher.Outcome) {
+	e.leafCalls.Add(int64(outcome.Sent()))
+	e.extraCalls.Add(int64(outcome.Extra()))
+	e.missingParts.Add(int64(outcome.Missing()))
 }
 
 // MetricsPath is the path of the metrics.
--- a/cicadagraded/entry/session_test.go
+++ b/cicadagraded/entry/session_test.go
@@ -229,38 +229,38 @@
 	if method == http.MethodPost {
 		body = strings.NewReader("order 7")
 	}
-	q, err := http.NewRequest(method, "http://"+s.front.Addr().String()+path, body)
+	request, err := http.NewRequest(method, "http://"+s.front.Addr().String()+path, body)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	q.Host = "search.example"
-	responder.Address(q.Header, "a1", callerTimeoutMs)
+	request.Host = "search.example"
+	responder.Address(request.Header, "a1", callerTimeoutMs)
 	for _, h := range headers {
 		k, v, _ := strings.Cut(h, "=")
 		if k == "expect" {
-			responder.Expect(q.Header, v)
+			responder.Expect(request.Header, v)
 			continue
 		}
-		q.Header.Set(k, v)
+		request.Header.Set(k, v)
 	}
-	p, err := http.DefaultClient.Do(q)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	defer func() { _ = p.Body.Close() }()
-	got, err := io.ReadAll(p.Body)
+	defer func() { _ = response.Body.Close() }()
+	got, err := io.ReadAll(response.Body)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	fmt.Fprintf(&out, "  %d", p.StatusCode)
+	fmt.Fprintf(&out, "  %d", response.StatusCode)
 	var names []string
-	for k := range p.Header {
+	for k := range response.Header {
 		switch k {
 		case "Date", "Content-Length", "Content-Type":
 		case "Retry-After":
 			names = append(names, k+": set")
 		default:
-			value := p.Header.Get(k)
+			value := response.Header.Get(k)
 			if responder.IsProofs(k) {
 				list := strings.Split(value, ", ")
 				sort.Strings(list)
@@ -311,10 +311,10 @@
 	if _, err := c.Write([]byte(strings.ReplaceAll(text, `\r\n`, "\r\n"))); err != nil {
 		s.t.Fatal(err)
 	}
-	p, err := http.ReadResponse(bufio.NewReader(c), nil)
+	response, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	_ = p.Body.Close()
-	fmt.Fprintf(&s.out, "  %d\n", p.StatusCode)
+	_ = response.Body.Close()
+	fmt.Fprintf(&s.out, "  %d\n", response.StatusCode)
 }
--- a/cicadagraded/entry/view.go
+++ b/cicadagraded/entry/view.go
@@ -190,7 +190,7 @@
 	e.mu.Lock()
 	after := e.relayer.Revision()
 	e.mu.Unlock()
-	p, err := e.peers.clientOf(m.VM().Address()).Fetch(ctx, connect.NewRequest(&gatherv1.FetchRequest{After: after}))
+	response, err := e.peers.clientOf(m.VM().Address()).Fetch(ctx, connect.NewRequest(&gatherv1.FetchRequest{After: after}))
 	if err != nil {
 		if ctx.Err() != nil {
 			e.peers.drop(m.VM().Address())
@@ -201,7 +201,7 @@
 		e.log.Request("fetch-failed", "peer", m.VM().Name(), "error", err)
 		return errors.Wrap(err, "Entry.fetchFrom")
 	}
-	reply := p.Msg
+	reply := response.Msg
 	age := tier.Millis(reply.GetAgeMs())
 	if age > maxAge {
 		return errors.Errorf("Entry.fetchFrom: the view of %s is %d ms old", m.VM().Name(), age)
--- a/cicadagraded/eventlog/eventlog.go
+++ b/cicadagraded/eventlog/eventlog.go
@@ -63,8 +63,8 @@
 // Fault logs a fault that an operator should look at, at level warn.
 func (l *Log) Fault(message string, attrs ...any) { l.push(line{message, attrs, log.WarnLevel}) }
 
-// Request logs an event of a single request at level info. It is rate-limited: lines above
-// the limit are dropped and counted.
+// Request logs an event of a single request at level info. It is rate-limited: lines
+// above the limit are dropped and counted.
 func (l *Log) Request(message string, attrs ...any) {
 	if l.takeToken() {
 		l.push(line{message, attrs, log.InfoLevel})
--- a/cicadagraded/meter/meter.go
+++ b/cicadagraded/meter/meter.go
@@ -92,7 +92,7 @@
 			}
 			return nil
 		}))
-	return errors.Wrap(err, "Meter.Observe")
+	return errors.Wrap(err, "Meter.RegisterGauge")
 }
 
 // Handler returns a handler that serves the metrics in the Prometheus format.
