--- a/cicadagraded/control.go
+++ b/cicadagraded/control.go
@@ -238,7 +238,7 @@
 func (c *control) Withdraw(set string) {
 	c.locator.Reported(set, c.self.Name(), owner.Report{}, false)
 	c.publish(setPrefix+set, nil, nil)
-	c.Threshold(set, admitter.AllIn())
+	c.Threshold(set, admitter.AdmitAll())
 }
 
 // Backend logs a change of a backend server's state.
--- a/cicadagraded/entry/connection.go
+++ b/cicadagraded/entry/connection.go
@@ -11,8 +11,8 @@
 
 	"cicadagrade.example/platform"
 	"cicadagrade.example/tier"
+	"cicadagrade.example/tier/delayestimator"
 	"cicadagrade.example/tier/router"
-	"cicadagrade.example/tier/timekeeper"
 )
 
 // minConnectionLifetime is the least time after which a caller's connection is closed; a
@@ -26,8 +26,8 @@
 
 // connection is the state of one caller's connection.
 type connection struct {
-	expiresAt tier.Millis            // time after which the next response closes it
-	timing    *timekeeper.Connection // guarded by Entry.mu
+	expiresAt tier.Millis                // time after which the next response closes it
+	timing    *delayestimator.Connection // guarded by Entry.mu
 }
 
 // ConnectionContext adds the state of a caller's new connection to its context. It is the
@@ -39,7 +39,7 @@
 	if err != nil && !e.rttFaultLogged.Swap(true) {
 		e.log.Fault("round-trips-not-known", "error", err)
 	}
-	return context.WithValue(ctx, connectionKey{}, &connection{expiresAt: expiresAt, timing: timekeeper.NewConnection(now, rtt)})
+	return context.WithValue(ctx, connectionKey{}, &connection{expiresAt: expiresAt, timing: delayestimator.NewConnection(now, rtt)})
 }
 
 // roundTripTime returns the kernel's estimate of a connection's round-trip time, which for
@@ -78,13 +78,13 @@
 
 // recordArrival estimates how much time a caller had spent on a request by start, when the
 // request's header had been read, and how long the network needs for both ways.
-func (e *Entry) recordArrival(ctx context.Context, start tier.Millis, route *router.Route, attempt platform.Sender) timekeeper.Arrival {
+func (e *Entry) recordArrival(ctx context.Context, start tier.Millis, route *router.Route, attempt platform.Sender) delayestimator.Arrival {
 	c, ok := ctx.Value(connectionKey{}).(*connection)
 	if !ok {
-		c = &connection{timing: timekeeper.NewConnection(0, 0)}
+		c = &connection{timing: delayestimator.NewConnection(0, 0)}
 	}
 	left, limited := attempt.TimeLeft()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.timekeeper.Arrived(start, c.timing, route.Name(), left, limited)
+	return e.timekeeper.RequestArrived(start, c.timing, route.Name(), left, limited)
 }
--- a/cicadagraded/entry/connection_test.go
+++ b/cicadagraded/entry/connection_test.go
@@ -11,8 +11,8 @@
 	"cicadagrade.example/cicadagraded/eventlog"
 	"cicadagrade.example/platform"
 	"cicadagrade.example/tier"
+	"cicadagrade.example/tier/delayestimator"
 	"cicadagrade.example/tier/router"
-	"cicadagrade.example/tier/timekeeper"
 )
 
 // Callers that were sent to this data centre during a fault elsewhere would stay on their
@@ -56,10 +56,10 @@
 func TestTargetLatencyCountsFromTheCallersStart(t *testing.T) {
 	const roundTrip, target = 6 * tier.Millisecond, 100 * tier.Millisecond
 	route := router.NewRoute("check", "search.example", "/check/", router.WithTimes(tier.Second, target))
-	keeper, conn := timekeeper.New(), timekeeper.NewConnection(0, roundTrip)
+	keeper, conn := delayestimator.New(), delayestimator.NewConnection(0, roundTrip)
 	check := func(name string, want tier.Millis) {
-		q := &request{route: route, arrival: keeper.Arrived(0, conn, route.Name(), tier.Second, true)}
-		if got := q.terms().Aim(); got != want {
+		q := &request{route: route, arrival: keeper.RequestArrived(0, conn, route.Name(), tier.Second, true)}
+		if got := q.terms().Target(); got != want {
 			t.Errorf("%s: %d ms left until the target, want %d", name, got, want)
 		}
 	}
--- a/cicadagraded/entry/entry.go
+++ b/cicadagraded/entry/entry.go
@@ -17,12 +17,12 @@
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/balancer"
 	"cicadagrade.example/tier/budgeter"
+	"cicadagrade.example/tier/delayestimator"
 	"cicadagrade.example/tier/lister"
+	"cicadagrade.example/tier/partitioner"
 	"cicadagrade.example/tier/relayer"
 	"cicadagrade.example/tier/router"
 	"cicadagrade.example/tier/searcher"
-	"cicadagrade.example/tier/sharer"
-	"cicadagrade.example/tier/timekeeper"
 )
 
 // Entry is an entry VM: its view of the platform, its connections to leafs and other
@@ -51,11 +51,11 @@
 
 	// mu serialises the steps of all searches and guards the state they share.
 	mu   sync.Mutex
-	core *searcher.Core
+	core *searcher.Scheduler
 	// relayer caches what was read from the store and serves it to other VMs.
 	relayer *relayer.Relayer
 	// timekeeper estimates how long a caller has already waited for its request.
-	timekeeper *timekeeper.Timekeeper
+	timekeeper *delayestimator.Estimator
 }
 
 // New returns an entry VM that has read nothing from the store and serves no requests yet.
@@ -66,15 +66,15 @@
 	}
 	e := &Entry{
 		meter: m, clock: clock, log: log, leafClient: courier.New(), peers: newPeerClients(),
-		shutdown: make(chan struct{}), relayer: relayer.New(), timekeeper: timekeeper.New(),
+		shutdown: make(chan struct{}), relayer: relayer.New(), timekeeper: delayestimator.New(),
 	}
 	e.settings.Store(s)
 	e.store = platform.NewStore(s.StoreAddress(), platform.WithTimeout(storeCallTimeout))
 	vm := tier.NewVM(s.Name(), s.DataCentre(), s.PeerAddress(),
 		tier.WithIncarnation(tier.Incarnation(rand.Uint64())), tier.WithVMState(tier.VMLive))
-	self := sharer.NewMember(vm, s.Region(s.DataCentre()), s.Cores())
-	e.core = searcher.NewCore(lister.New(), balancer.New(e.proximity),
-		budgeter.New(s.RetryRatio(), s.RetrySlack(), assumedMembers), sharer.New(self))
+	self := partitioner.NewMember(vm, s.Region(s.DataCentre()), s.Cores())
+	e.core = searcher.NewScheduler(lister.New(), balancer.New(e.proximity),
+		budgeter.New(s.RetryRatio(), s.RetrySlack(), assumedMembers), partitioner.New(self))
 	return e, errors.Wrap(e.registerGauges(), "New")
 }
 
@@ -83,7 +83,7 @@
 const assumedMembers = 10
 
 // proximity returns how close a data centre is to this VM.
-func (e *Entry) proximity(dataCentre string) balancer.Place {
+func (e *Entry) proximity(dataCentre string) balancer.Distance {
 	s := e.settings.Load()
 	switch {
 	case dataCentre == s.DataCentre():
--- a/cicadagraded/entry/gather.go
+++ b/cicadagraded/entry/gather.go
@@ -16,9 +16,9 @@
 	"cicadagrade.example/api/gather/v1/gatherv1connect"
 	"cicadagrade.example/cicadagraded/courier"
 	"cicadagrade.example/tier"
+	"cicadagrade.example/tier/partitioner"
 	"cicadagrade.example/tier/ranker"
 	"cicadagrade.example/tier/searcher"
-	"cicadagrade.example/tier/sharer"
 )
 
 const (
@@ -79,18 +79,18 @@
 }
 
 // divideShards assigns the shards of a request to VMs near their leafs.
-func (e *Entry) divideShards(route string, shards []string) []sharer.Share {
+func (e *Entry) divideShards(route string, shards []string) []partitioner.Share {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s := e.settings.Load()
-	placesOf := func(shard string) []sharer.Place {
-		var list []sharer.Place
+	placesOf := func(shard string) []partitioner.Location {
+		var list []partitioner.Location
 		for _, f := range e.core.Lister().Leafs(shard) {
-			list = append(list, sharer.Place{DataCentre: f.DataCentre(), Region: s.Region(f.DataCentre())})
+			list = append(list, partitioner.Location{DataCentre: f.DataCentre(), Region: s.Region(f.DataCentre())})
 		}
 		return list
 	}
-	return e.core.Sharer().Divide(route, shards, placesOf, rand.Float64)
+	return e.core.Partitioner().Partition(route, shards, placesOf, rand.Float64)
 }
 
 // delegate sends a share, some of the request's shards, to another VM, and posts its
@@ -108,9 +108,9 @@
 	request := &gatherv1.GatherRequest{
 		Attempt: r.attemptID, Method: r.template.Method(), Head: r.template.Head(), Body: r.template.Body(),
 		Route: r.delegation.route, Shards: shards, Top: uint32(r.delegation.topK), Attempts: uint32(r.delegation.maxAttempts),
-		Rank: uint32(r.delegation.rank), Spread: a.Member.Region() != r.entry.core.Sharer().Self().Region(),
+		Rank: uint32(r.delegation.rank), Spread: a.Member.Region() != r.entry.core.Partitioner().Self().Region(),
 		Minimum: uint32(r.delegation.minimumParts(len(shards))),
-		AimMs:   int64(a.Aim), EndMs: int64(a.End),
+		AimMs:   int64(a.Target), EndMs: int64(a.Deadline),
 	}
 	r.entry.background.Go(func() {
 		defer cancel()
@@ -136,15 +136,15 @@
 		if !acknowledged {
 			acknowledged = true
 			r.post(searchCtx, func(s *searcher.Search, now tier.Millis) []searcher.Action {
-				return s.Accepted(now, a.Share)
+				return s.ShareAccepted(now, a.Share)
 			})
 			continue
 		}
 		reply := stream.Msg()
-		if a.Member.Region() != r.entry.core.Sharer().Self().Region() {
+		if a.Member.Region() != r.entry.core.Partitioner().Self().Region() {
 			r.entry.crossRegionBytes.Add(int64(proto.Size(reply)))
 		}
-		report := searcher.Brought{
+		report := searcher.ShareReport{
 			Reply: reply, Last: reply.GetLast(), MayHaveRun: reply.GetMayHaveRun(),
 			Calls: int(reply.GetCalls()), Extra: int(reply.GetExtra()),
 		}
@@ -155,7 +155,7 @@
 			report.Parts = append(report.Parts, a.Parts[i])
 		}
 		r.post(searchCtx, func(s *searcher.Search, now tier.Millis) []searcher.Action {
-			return s.Brought(now, a.Share, report)
+			return s.ShareReported(now, a.Share, report)
 		})
 		if report.Last {
 			return nil
@@ -204,7 +204,7 @@
 		case <-ticker.C:
 		}
 		e.mu.Lock()
-		due := append(e.core.Sharer().Probes(e.clock.Now()), e.core.Sharer().Unused(e.clock.Now())...)
+		due := append(e.core.Partitioner().Probes(e.clock.Now()), e.core.Partitioner().IdleGateways(e.clock.Now())...)
 		e.mu.Unlock()
 		for _, m := range due {
 			e.background.Go(func() { e.probe(ctx, m) })
@@ -213,7 +213,7 @@
 }
 
 // probe pings a VM and ends its suspicion if it answers.
-func (e *Entry) probe(ctx context.Context, m sharer.Member) {
+func (e *Entry) probe(ctx context.Context, m partitioner.Member) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout.Duration())
 	defer cancel()
 	if _, err := e.peers.clientOf(m.VM().Address()).Ping(ctx, connect.NewRequest(&gatherv1.PingRequest{})); err != nil {
@@ -221,7 +221,7 @@
 		return
 	}
 	e.mu.Lock()
-	recovered := e.core.Sharer().Found(e.clock.Now(), m.VM().Name())
+	recovered := e.core.Partitioner().Recovered(e.clock.Now(), m.VM().Name())
 	e.mu.Unlock()
 	if recovered {
 		e.log.State("vm-answers-again", "peer", m.VM().Name())
@@ -245,10 +245,10 @@
 	}
 	now := e.clock.Now()
 	terms := searcher.NewTerms(request.GetRoute(), now+tier.Millis(request.GetAimMs()), now+tier.Millis(request.GetEndMs()),
-		searcher.Repeatable(), searcher.WithAttempts(int(request.GetAttempts())),
-		searcher.WithMinimum(int(request.GetMinimum())), searcher.WithRank(int(request.GetRank())),
+		searcher.Idempotent(), searcher.WithMaxAttempts(int(request.GetAttempts())),
+		searcher.WithMinimumParts(int(request.GetMinimum())), searcher.WithRank(int(request.GetRank())),
 		searcher.ForAnotherVM())
-	var shares []sharer.Share
+	var shares []partitioner.Share
 	if request.GetSpread() {
 		shares = e.divideShards(request.GetRoute(), request.GetShards())
 	}
@@ -264,13 +264,13 @@
 	if outcome.Missing() > 0 {
 		e.log.Request("share-ended", "request", request.GetAttempt(), "route", request.GetRoute(), "recalled", cancelled,
 			"took-ms", int64(e.clock.Now()-now), "aim-ms", request.GetAimMs(), "missing", outcome.Missing(), "of", len(request.GetShards()),
-			"calls", outcome.Sent(), "extra", outcome.Extra(), "misses", describeMisses(outcome))
+			"calls", outcome.CallsSent(), "extra", outcome.ExtraCalls(), "misses", describeMisses(outcome))
 	}
 	if cancelled {
 		return ctx.Err()
 	}
 	return errors.Wrap(stream.Send(&gatherv1.GatherReply{
-		Last: true, MayHaveRun: outcome.MayHaveRun(), Calls: uint32(outcome.Sent()), Extra: uint32(outcome.Extra()),
+		Last: true, MayHaveRun: outcome.MayHaveRun(), Calls: uint32(outcome.CallsSent()), Extra: uint32(outcome.ExtraCalls()),
 	}), "peerService.Gather")
 }
 
@@ -279,10 +279,10 @@
 	top := ranker.New(int(request.GetTop()))
 	signatures := make([]string, 0, len(request.GetShards()))
 	reply := &gatherv1.GatherReply{Proofs: mergeReplies(top, f.Parts, f.Shares, signatures)}
-	for _, i := range f.In {
+	for _, i := range f.Arrived {
 		reply.Parts = append(reply.Parts, uint32(i))
 	}
 	reply.Records = top.Bytes()
-	reply.MayHaveRun = len(f.In) > 0
+	reply.MayHaveRun = len(f.Arrived) > 0
 	return reply
 }
--- a/cicadagraded/entry/handler.go
+++ b/cicadagraded/entry/handler.go
@@ -13,10 +13,10 @@
 	"cicadagrade.example/cicadagraded/courier"
 	"cicadagrade.example/platform"
 	"cicadagrade.example/tier"
+	"cicadagrade.example/tier/delayestimator"
 	"cicadagrade.example/tier/ranker"
 	"cicadagrade.example/tier/router"
 	"cicadagrade.example/tier/searcher"
-	"cicadagrade.example/tier/timekeeper"
 )
 
 const (
@@ -45,7 +45,7 @@
 	table   *router.Table
 	attempt platform.Sender
 	start   tier.Millis
-	arrival timekeeper.Arrival
+	arrival delayestimator.Arrival
 	body    []byte
 }
 
@@ -133,25 +133,25 @@
 	if !limited {
 		left = defaultCallerTimeout
 	}
-	roundTrip := q.arrival.Trip()
+	roundTrip := q.arrival.RoundTrip()
 	end := q.start + left - roundTrip - deadlineMargin
 	if t := q.route.Timeout(); t > 0 {
 		end = min(end, q.start+t)
 	}
 	target := end
 	if a := q.route.Aim(); a > 0 {
-		target = q.start + a - q.arrival.Spent() - roundTrip - responseMargin
+		target = q.start + a - q.arrival.Elapsed() - roundTrip - responseMargin
 	}
 	options := []searcher.TermsOption{
-		searcher.WithAttempts(q.route.Attempts()), searcher.WithRank(q.route.Rank()),
+		searcher.WithMaxAttempts(q.route.Attempts()), searcher.WithRank(q.route.Rank()),
 	}
 	if q.route.Repeatable() {
-		options = append(options, searcher.Repeatable())
+		options = append(options, searcher.Idempotent())
 	}
 	if q.route.Scattered() {
-		options = append(options, searcher.WithMinimum(q.route.MinimumParts()))
+		options = append(options, searcher.WithMinimumParts(q.route.MinimumParts()))
 	} else {
-		options = append(options, searcher.PassFailures())
+		options = append(options, searcher.ForwardFailures())
 	}
 	return searcher.NewTerms(q.route.Name(), target, end, options...)
 }
@@ -160,7 +160,7 @@
 func (e *Entry) serveScattered(w http.ResponseWriter, r *http.Request, q *request, template *courier.Message) {
 	shards := q.route.Shards()
 	e.mu.Lock()
-	likelyToFail := e.core.Forecaster().Hopeless(q.start, shards, q.route.MinimumParts(), q.arrival.CameBack(), rand.Float64())
+	likelyToFail := e.core.Forecaster().LikelyToFail(q.start, shards, q.route.MinimumParts(), q.arrival.IsRetry(), rand.Float64())
 	e.mu.Unlock()
 	if likelyToFail {
 		e.meter.Ended(q.route.Name(), strconv.Itoa(q.route.Rank()), "shards-missing", 0)
@@ -265,14 +265,14 @@
 	took := e.clock.Now() - q.start
 	e.meter.Ended(q.route.Name(), strconv.Itoa(q.route.Rank()), cause, took)
 	e.countCalls(outcome)
-	if outcome.Cause() == searcher.Complete && outcome.Extra() == 0 && status < 300 && took <= q.route.Aim() {
+	if outcome.Cause() == searcher.Complete && outcome.ExtraCalls() == 0 && status < 300 && took <= q.route.Aim() {
 		return
 	}
 	e.log.Request("request-ended", "request", q.attempt.Attempt(), "route", q.route.Name(),
 		"version", q.table.Version(), "status", status, "cause", cause, "took-ms", int64(took),
-		"aim-ms", int64(q.route.Aim()), "spent-ms", int64(q.arrival.Spent()), "trip-ms", int64(q.arrival.Trip()),
+		"aim-ms", int64(q.route.Aim()), "spent-ms", int64(q.arrival.Elapsed()), "trip-ms", int64(q.arrival.RoundTrip()),
 		"missing", outcome.Missing(), "of", max(1, len(q.route.Shards())),
-		"shares", len(outcome.Shares()), "calls", outcome.Sent(), "extra", outcome.Extra(),
+		"shares", len(outcome.Shares()), "calls", outcome.CallsSent(), "extra", outcome.ExtraCalls(),
 		"may-have-run", outcome.MayHaveRun(), "view-age-ms", int64(e.viewAge()), "misses", describeMisses(outcome))
 }
 
--- a/cicadagraded/entry/members.go
+++ b/cicadagraded/entry/members.go
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 
 	"cicadagrade.example/tier"
-	"cicadagrade.example/tier/sharer"
+	"cicadagrade.example/tier/partitioner"
 	"cicadagrade.example/tier/storer"
 )
 
@@ -37,7 +37,7 @@
 
 // encodeRegistration returns this VM's registration as JSON.
 func (e *Entry) encodeRegistration() ([]byte, error) {
-	self := e.core.Sharer().Self()
+	self := e.core.Partitioner().Self()
 	raw, err := json.Marshal(registration{
 		Address: self.VM().Address(), DataCentre: self.VM().DataCentre(), Region: self.Region(),
 		Cores: self.Cores(), Incarnation: uint64(self.VM().Incarnation()),
@@ -46,15 +46,15 @@
 }
 
 // decodeMember decodes a VM's registration.
-func decodeMember(v storer.Value) (sharer.Member, error) {
+func decodeMember(v storer.Value) (partitioner.Member, error) {
 	var r registration
 	if err := json.Unmarshal(v.Data(), &r); err != nil {
-		return sharer.Member{}, errors.Wrapf(err, "decodeMember %q", v.Key())
+		return partitioner.Member{}, errors.Wrapf(err, "decodeMember %q", v.Key())
 	}
 	name := strings.TrimPrefix(v.Key(), vmsPrefix)
 	vm := tier.NewVM(name, r.DataCentre, r.Address,
 		tier.WithIncarnation(tier.Incarnation(r.Incarnation)), tier.WithVMState(tier.VMLive))
-	return sharer.NewMember(vm, r.Region, r.Cores), nil
+	return partitioner.NewMember(vm, r.Region, r.Cores), nil
 }
 
 // RunMembership keeps this VM registered in the store until shutdown begins, removes the
@@ -107,7 +107,7 @@
 	if err != nil {
 		return errors.Wrap(err, "Entry.renewRegistration")
 	}
-	if _, err := e.store.Put(ctx, vmsPrefix+e.core.Sharer().Self().VM().Name(), raw, id); err != nil {
+	if _, err := e.store.Put(ctx, vmsPrefix+e.core.Partitioner().Self().VM().Name(), raw, id); err != nil {
 		return errors.Wrap(err, "Entry.renewRegistration")
 	}
 	e.registered.Store(true)
@@ -119,7 +119,7 @@
 // replaceMembers replaces the list of VMs by the registrations in the store. afterOutage has
 // the same meaning as in replaceView.
 func (e *Entry) replaceMembers(list []storer.Value, afterOutage bool) {
-	var members []sharer.Member
+	var members []partitioner.Member
 	selfListed := false
 	for _, v := range list {
 		m, err := decodeMember(v)
@@ -127,7 +127,7 @@
 			e.log.Fault("vm-entry-skipped", "key", v.Key(), "error", err)
 			continue
 		}
-		selfListed = selfListed || m.VM().Name() == e.core.Sharer().Self().VM().Name()
+		selfListed = selfListed || m.VM().Name() == e.core.Partitioner().Self().VM().Name()
 		members = append(members, m)
 	}
 	if !selfListed {
@@ -135,21 +135,21 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.core.Sharer().SetMembers(e.clock.Now(), members, afterOutage)
-	e.core.Budgeter().SetMembers(max(assumedMembers, e.core.Sharer().Len()))
+	e.core.Partitioner().SetMembers(e.clock.Now(), members, afterOutage)
+	e.core.Budgeter().SetVMs(max(assumedMembers, e.core.Partitioner().MemberCount()))
 }
 
 // applyMember applies the change of one VM's registration.
 func (e *Entry) applyMember(v storer.Value) {
 	name := strings.TrimPrefix(v.Key(), vmsPrefix)
-	isSelf := name == e.core.Sharer().Self().VM().Name()
+	isSelf := name == e.core.Partitioner().Self().VM().Name()
 	if !v.Present() {
 		if isSelf {
 			e.registered.Store(false)
 			return
 		}
 		e.mu.Lock()
-		e.core.Sharer().Remove(name)
+		e.core.Partitioner().Remove(name)
 		e.mu.Unlock()
 		e.log.State("vm-gone", "peer", name)
 		return
@@ -160,8 +160,8 @@
 		return
 	}
 	e.mu.Lock()
-	e.core.Sharer().Put(m)
-	e.core.Budgeter().SetMembers(max(assumedMembers, e.core.Sharer().Len()))
+	e.core.Partitioner().Put(m)
+	e.core.Budgeter().SetVMs(max(assumedMembers, e.core.Partitioner().MemberCount()))
 	e.mu.Unlock()
 	if !isSelf {
 		e.log.State("vm-listed", "peer", name, "address", m.VM().Address(), "data-centre", m.VM().DataCentre())
--- a/cicadagraded/entry/metrics.go
+++ b/cicadagraded/entry/metrics.go
@@ -29,15 +29,15 @@
 		{"cicadagrade.entry.view.age", "time since the store answered this VM or the one it follows, in milliseconds", func(e *Entry) int64 { return int64(e.viewAge()) }},
 		{"cicadagrade.entry.view.revision", "revision of the store up to which the VM has read", withLock(func(e *Entry) int64 { return e.relayer.Revision() })},
 		{"cicadagrade.entry.leafs", "registrations of leafs, usable or not", withLock(func(e *Entry) int64 { return int64(e.core.Lister().Len()) })},
-		{"cicadagrade.entry.leafs.usable", "leafs that calls may go to", withLock(func(e *Entry) int64 { return int64(e.core.Lister().Usable()) })},
+		{"cicadagrade.entry.leafs.usable", "leafs that calls may go to", withLock(func(e *Entry) int64 { return int64(e.core.Lister().UsableCount()) })},
 		{"cicadagrade.entry.store.away", "1 if the store did not answer this VM's last call", func(e *Entry) int64 { return boolToInt(e.storeUnreachable.Load()) }},
-		{"cicadagrade.entry.vms", "VMs known, with this one", withLock(func(e *Entry) int64 { return int64(e.core.Sharer().Len()) })},
-		{"cicadagrade.entry.vms.sound", "other VMs that answer", withLock(func(e *Entry) int64 { return int64(len(e.core.Sharer().Sound())) })},
-		{"cicadagrade.entry.parts.waiting", "parts that wait for room at a leaf", withLock(func(e *Entry) int64 { return int64(e.core.Waiting()) })},
+		{"cicadagrade.entry.vms", "VMs known, with this one", withLock(func(e *Entry) int64 { return int64(e.core.Partitioner().MemberCount()) })},
+		{"cicadagrade.entry.vms.sound", "other VMs that answer", withLock(func(e *Entry) int64 { return int64(len(e.core.Partitioner().HealthyPeers())) })},
+		{"cicadagrade.entry.parts.waiting", "parts that wait for room at a leaf", withLock(func(e *Entry) int64 { return int64(e.core.QueueLength()) })},
 		{"cicadagrade.entry.calls", "calls to leafs, also those that other VMs made for this one", func(e *Entry) int64 { return e.leafCalls.Load() }},
 		{"cicadagrade.entry.calls.extra", "hedges and retries among them", func(e *Entry) int64 { return e.extraCalls.Load() }},
 		{"cicadagrade.entry.calls.denied", "hedges and retries that the budget did not grant", withLock(func(e *Entry) int64 { return e.core.Budgeter().Denied() })},
-		{"cicadagrade.entry.budget.least", "extra calls left to the service that has the fewest", withLock(func(e *Entry) int64 { return int64(e.core.Budgeter().Least()) })},
+		{"cicadagrade.entry.budget.least", "extra calls left to the service that has the fewest", withLock(func(e *Entry) int64 { return int64(e.core.Budgeter().FewestTokens()) })},
 		{"cicadagrade.entry.bytes.far", "bytes of replies from other regions, of leafs and of VMs", func(e *Entry) int64 { return e.crossRegionBytes.Load() }},
 		{"cicadagrade.entry.parts.missing", "parts that were not in when their request ended", func(e *Entry) int64 { return e.missingParts.Load() }},
 		{"cicadagrade.entry.connections.opened", "connections opened to leafs", func(e *Entry) int64 { return e.leafClient.Counts().Dials }},
@@ -108,8 +108,8 @@
 
 // countCalls adds the calls and missing parts of a finished search to the totals.
 func (e *Entry) countCalls(outcome searcher.Outcome) {
-	e.leafCalls.Add(int64(outcome.Sent()))
-	e.extraCalls.Add(int64(outcome.Extra()))
+	e.leafCalls.Add(int64(outcome.CallsSent()))
+	e.extraCalls.Add(int64(outcome.ExtraCalls()))
 	e.missingParts.Add(int64(outcome.Missing()))
 }
 
--- a/cicadagraded/entry/run.go
+++ b/cicadagraded/entry/run.go
@@ -11,8 +11,8 @@
 	"cicadagrade.example/platform"
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/balancer"
+	"cicadagrade.example/tier/partitioner"
 	"cicadagrade.example/tier/searcher"
-	"cicadagrade.example/tier/sharer"
 )
 
 // nonIdempotentMaxIdle is the longest idle time of a connection that is reused for a
@@ -46,16 +46,16 @@
 
 // newRun returns a run of a new search over services.
 func (e *Entry) newRun(attemptID string, idempotent bool, template *courier.Message, terms searcher.Terms,
-	services []string, shares []sharer.Share,
+	services []string, shares []partitioner.Share,
 ) *searchRun {
 	r := &searchRun{
 		entry: e, attemptID: attemptID, idempotent: idempotent, template: template,
-		search:     searcher.New(e.core, terms, services, shares),
+		search:     searcher.NewSearch(e.core, terms, services, shares),
 		events:     make(chan searchEvent, len(services)+eventBuffer),
 		wakeup:     make(chan struct{}, 1),
 		cancelCall: make(map[int]context.CancelFunc, len(services)),
 	}
-	r.search.Attach(r)
+	r.search.SetUserData(r)
 	return r
 }
 
@@ -77,7 +77,7 @@
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for !r.done {
-		timer.Reset(max(0, r.search.Next()-e.clock.Now()).Duration() + time.Millisecond/2)
+		timer.Reset(max(0, r.search.NextTick()-e.clock.Now()).Duration() + time.Millisecond/2)
 		select {
 		case event := <-r.events:
 			r.step(ctx, event)
@@ -109,7 +109,7 @@
 	woken := e.core.TakeWoken()
 	e.mu.Unlock()
 	for _, s := range woken {
-		s.Attached().(*searchRun).wake()
+		s.UserData().(*searchRun).wake()
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -126,9 +126,9 @@
 			if cancel, ok := r.cancelShare[a.Share]; ok {
 				cancel()
 				delete(r.cancelShare, a.Share)
-				if a.Silent {
+				if a.TimedOut {
 					e.peers.drop(a.Member.VM().Address())
-					e.log.Request("share-taken-back", "request", r.attemptID, "peer", a.Member.VM().Name(), "had-got-it", a.Got)
+					e.log.Request("share-taken-back", "request", r.attemptID, "peer", a.Member.VM().Name(), "had-got-it", a.Accepted)
 				}
 			}
 		case searcher.Flush:
@@ -166,7 +166,7 @@
 		}
 		result := classifyResult(reply, err)
 		r.post(searchCtx, func(s *searcher.Search, now tier.Millis) []searcher.Action {
-			return s.Ended(now, a.Call, result)
+			return s.CallEnded(now, a.Call, result)
 		})
 	})
 }
@@ -178,11 +178,11 @@
 	switch {
 	case errors.As(err, &notSent):
 		if notSent.Dialled() {
-			return searcher.NotRun{Reason: searcher.BrokenAtStart}
+			return searcher.NotRun{Reason: searcher.DeadConnection}
 		}
 		return searcher.NotRun{Reason: searcher.NoConnection}
 	case errors.As(err, &lost):
-		return searcher.Lost{Cause: err.Error(), Fresh: lost.Fresh()}
+		return searcher.Lost{Cause: err.Error(), NewConnection: lost.Fresh()}
 	}
 	response := platform.ReadLeafReply(reply.Status(), reply.Header())
 	switch {
--- a/cicadagraded/entry/view.go
+++ b/cicadagraded/entry/view.go
@@ -13,7 +13,7 @@
 	"cicadagrade.example/platform"
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/lister"
-	"cicadagrade.example/tier/sharer"
+	"cicadagrade.example/tier/partitioner"
 	"cicadagrade.example/tier/storer"
 )
 
@@ -84,7 +84,7 @@
 		e.log.Fault("store-lost", "error", err, "view-age-ms", int64(e.viewAge()))
 	}
 	e.mu.Lock()
-	healthy := e.core.Sharer().Sound()
+	healthy := e.core.Partitioner().HealthyPeers()
 	e.mu.Unlock()
 	rand.Shuffle(len(healthy), func(i, j int) { healthy[i], healthy[j] = healthy[j], healthy[i] })
 	for _, m := range healthy[:min(len(healthy), maxFetchPeers)] {
@@ -94,22 +94,22 @@
 		}
 	}
 	e.mu.Lock()
-	e.core.Lister().Lost()
+	e.core.Lister().StoreUnavailable()
 	e.mu.Unlock()
 	return err
 }
 
 // pickWatcher picks at random a VM that watches the store, preferably in this VM's region.
 // It returns false if this VM is a watcher itself or none is known.
-func (e *Entry) pickWatcher() (sharer.Member, bool) {
+func (e *Entry) pickWatcher() (partitioner.Member, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s := e.core.Sharer()
-	list := s.Watchers()
-	var sameRegion []sharer.Member
+	s := e.core.Partitioner()
+	list := s.StoreWatchers()
+	var sameRegion []partitioner.Member
 	for _, m := range list {
 		if m.VM().Name() == s.Self().VM().Name() {
-			return sharer.Member{}, false
+			return partitioner.Member{}, false
 		}
 		if m.Region() == s.Self().Region() {
 			sameRegion = append(sameRegion, m)
@@ -119,7 +119,7 @@
 		list = sameRegion
 	}
 	if len(list) == 0 {
-		return sharer.Member{}, false
+		return partitioner.Member{}, false
 	}
 	return list[rand.IntN(len(list))], true
 }
@@ -184,7 +184,7 @@
 
 // fetchFrom applies the changes that another VM has read since this VM's revision, unless
 // the other VM's view is older than maxAge.
-func (e *Entry) fetchFrom(ctx context.Context, m sharer.Member, maxAge tier.Millis) error {
+func (e *Entry) fetchFrom(ctx context.Context, m partitioner.Member, maxAge tier.Millis) error {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout.Duration())
 	defer cancel()
 	e.mu.Lock()
@@ -196,7 +196,7 @@
 			e.peers.drop(m.VM().Address())
 		}
 		e.mu.Lock()
-		e.core.Sharer().Failed(e.clock.Now(), m.VM().Name())
+		e.core.Partitioner().Failed(e.clock.Now(), m.VM().Name())
 		e.mu.Unlock()
 		e.log.Request("fetch-failed", "peer", m.VM().Name(), "error", err)
 		return errors.Wrap(err, "Entry.fetchFrom")
@@ -232,7 +232,7 @@
 	if reply.Revision == 0 || c.Msg.GetAfter() > reply.Revision {
 		return connect.NewResponse(reply), nil
 	}
-	list, whole := e.relayer.Since(c.Msg.GetAfter())
+	list, whole := e.relayer.ChangesSince(c.Msg.GetAfter())
 	reply.Whole = whole
 	for _, v := range list {
 		reply.Items = append(reply.Items, &gatherv1.Item{Key: v.Key(), Value: v.Data(), Revision: v.Revision()})
@@ -294,7 +294,7 @@
 	}
 	e.table.Store(t)
 	e.mu.Lock()
-	e.core.Budgeter().Forget(e.clock.Now(), t.Uses)
+	e.core.Budgeter().ForgetUnused(e.clock.Now(), t.Uses)
 	e.mu.Unlock()
 	previous := int64(0)
 	if old != nil {
@@ -325,7 +325,7 @@
 	entry := e.decodeLeaf(c)
 	changed := e.core.Lister().Put(now, entry)
 	if entry.Readable() {
-		e.core.Balancer().Heard(now, entry.Leaf())
+		e.core.Balancer().Registered(now, entry.Leaf())
 	}
 	return changed
 }
@@ -335,14 +335,14 @@
 func (e *Entry) finishRefresh() {
 	e.mu.Lock()
 	e.core.Lister().Tick(e.clock.Now())
-	e.core.Sharer().Tick(e.clock.Now())
-	changes := e.core.Lister().Changes()
+	e.core.Partitioner().Tick(e.clock.Now())
+	changes := e.core.Lister().TakeChanges()
 	for _, c := range changes {
 		if c.State() == lister.StateGone {
 			e.core.Balancer().Forget(c.Leaf().ID())
 		}
 	}
-	isolated := e.viewAge() > isolationViewAge && e.core.Sharer().Len() > 1 && len(e.core.Sharer().Sound()) == 0
+	isolated := e.viewAge() > isolationViewAge && e.core.Partitioner().MemberCount() > 1 && len(e.core.Partitioner().HealthyPeers()) == 0
 	e.mu.Unlock()
 	e.leafClient.Sweep()
 	if e.isolated.Swap(isolated) != isolated {
@@ -393,7 +393,7 @@
 // them age ago.
 func (e *Entry) advanceView(revision int64, age tier.Millis) {
 	e.mu.Lock()
-	e.relayer.Reached(revision)
+	e.relayer.AdvanceTo(revision)
 	e.mu.Unlock()
 	if at := int64(e.clock.Now() - age); at > e.storeAnsweredAt.Load() {
 		e.storeAnsweredAt.Store(at)
--- a/tier/planner/finish.go
+++ b/tier/planner/finish.go
@@ -35,7 +35,7 @@
 func (p *Plan) giveUpOpen() {
 	for _, t := range p.parts {
 		for _, id := range t.shards {
-			t.round.merge.Miss(id, tier.MissCancelled)
+			t.round.merge.RecordMiss(id, tier.MissCancelled)
 		}
 	}
 }
--- a/tier/planner/round.go
+++ b/tier/planner/round.go
@@ -36,7 +36,7 @@
 
 func (r *round) miss(shard string, reason tier.MissReason) {
 	r.lost[shard] = reason
-	r.merge.Miss(shard, reason)
+	r.merge.RecordMiss(shard, reason)
 }
 
 // part is a group of shards that one data centre was asked for.
