--- a/cicadagraded/control.go
+++ b/cicadagraded/control.go
@@ -125,7 +125,7 @@
 
 // sync passes on members and sets, and has the registry follow them.
 func (c *control) sync(ctx context.Context) error {
-	if d := c.gossip.Dropped(); d != c.dropped {
+	if d := c.gossip.DroppedChanges(); d != c.dropped {
 		c.dropped = d
 		c.reread()
 	}
--- a/cicadagraded/daemon.go
+++ b/cicadagraded/daemon.go
@@ -177,7 +177,7 @@
 	front := asker.New(d.self.DataCentre(), d.clock, d.locator, d.client, c)
 	h := handler.New(d.self.Name(), d.clock, d.config, front, d.inflight, d,
 		handler.WithMetrics(m.Handler()),
-		handler.WithEnded(m.Ended),
+		handler.WithEnded(m.RecordRequest),
 		handler.WithMaxBody(int64(d.settings.maxBodyBytes)))
 	d.api = &http.Server{Addr: d.settings.apiAddress, Handler: h.Routes(), ReadHeaderTimeout: headerTimeout.Duration(), IdleTimeout: idleTimeout.Duration()}
 	protocols := &http.Protocols{}
--- a/cicadagraded/entry/callers.go
+++ b/cicadagraded/entry/callers.go
@@ -25,10 +25,10 @@
 	acceptPause = 5 * time.Millisecond
 )
 
-// Callers serves callers' connections. The limits of an http.Server are fixed once it
+// CallerServer serves callers' connections. The limits of an http.Server are fixed once it
 // serves, but the configuration's limits can change, so there is one http.Server for each
 // set of limits. A connection keeps the limits in force when it was accepted.
-type Callers struct {
+type CallerServer struct {
 	entry *Entry
 	group sync.WaitGroup
 
@@ -37,20 +37,20 @@
 	closed  bool
 }
 
-// NewCallers returns a server of callers' connections for an entry VM.
-func NewCallers(e *Entry) *Callers {
-	return &Callers{entry: e, servers: map[router.Limits]*limitsServer{}}
+// NewCallerServer returns a server of callers' connections for an entry VM.
+func NewCallerServer(e *Entry) *CallerServer {
+	return &CallerServer{entry: e, servers: map[router.Limits]*limitsServer{}}
 }
 
 // Serve accepts connections until the listener is closed.
-func (c *Callers) Serve(l net.Listener) error {
+func (c *CallerServer) Serve(l net.Listener) error {
 	for {
 		conn, err := l.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		case err != nil:
-			c.entry.log.Fault("connection-not-accepted", "error", err)
+			c.entry.log.Warn("connection-not-accepted", "error", err)
 			time.Sleep(acceptPause)
 			continue
 		}
@@ -63,7 +63,7 @@
 
 // currentServer returns the server for the limits in force, and starts it if needed. It
 // returns nil after stopAccepting.
-func (c *Callers) currentServer() *limitsServer {
+func (c *CallerServer) currentServer() *limitsServer {
 	var limits router.Limits
 	if t := c.entry.table.Load(); t != nil {
 		limits = t.Limits()
@@ -79,7 +79,7 @@
 		c.servers[limits] = s
 		c.group.Go(func() {
 			if err := s.http.Serve(s); !errors.Is(err, http.ErrServerClosed) {
-				c.entry.log.Fault("callers-not-served", "error", err)
+				c.entry.log.Warn("callers-not-served", "error", err)
 			}
 		})
 	}
@@ -87,7 +87,7 @@
 }
 
 // stopAccepting makes currentServer return nil from now on, and returns all servers.
-func (c *Callers) stopAccepting() []*limitsServer {
+func (c *CallerServer) stopAccepting() []*limitsServer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
@@ -100,7 +100,7 @@
 
 // Shutdown waits until no request is in flight or ctx ends. The listener passed to Serve
 // must be closed firstErr.
-func (c *Callers) Shutdown(ctx context.Context) error {
+func (c *CallerServer) Shutdown(ctx context.Context) error {
 	var firstErr error
 	for _, s := range c.stopAccepting() {
 		if err := s.http.Shutdown(ctx); err != nil && firstErr == nil {
@@ -111,10 +111,10 @@
 }
 
 // Close closes all connections, also those with requests in flight.
-func (c *Callers) Close() {
+func (c *CallerServer) Close() {
 	for _, s := range c.stopAccepting() {
 		if err := s.http.Close(); err != nil {
-			c.entry.log.Fault("callers-not-closed", "error", err)
+			c.entry.log.Warn("callers-not-closed", "error", err)
 		}
 	}
 	c.group.Wait()
@@ -136,7 +136,7 @@
 		close: sync.OnceFunc(func() { close(closed) }),
 	}
 	s.http = &http.Server{
-		Handler: e, ConnContext: e.ConnectionContext,
+		Handler: e, ConnContext: e.ConnContext,
 		MaxHeaderBytes:    limits.HeaderBytes(), // 0 selects the default of net/http
 		ReadHeaderTimeout: valueOrDefault(limits.HeaderTime(), defaultHeaderTimeout).Duration(),
 		IdleTimeout:       valueOrDefault(limits.IdleTime(), defaultIdleTimeout).Duration(),
--- a/cicadagraded/entry/connection.go
+++ b/cicadagraded/entry/connection.go
@@ -30,14 +30,14 @@
 	timing    *delayestimator.Connection // guarded by Entry.mu
 }
 
-// ConnectionContext adds the state of a caller's new connection to its context. It is the
+// ConnContext adds the state of a caller's new connection to its context. It is the
 // ConnContext hook of an http.Server.
-func (e *Entry) ConnectionContext(ctx context.Context, c net.Conn) context.Context {
+func (e *Entry) ConnContext(ctx context.Context, c net.Conn) context.Context {
 	now := e.clock.Now()
 	expiresAt := now + minConnectionLifetime + tier.Millis(rand.Int64N(int64(minConnectionLifetime/2)))
 	rtt, err := roundTripTime(c)
 	if err != nil && !e.rttFaultLogged.Swap(true) {
-		e.log.Fault("round-trips-not-known", "error", err)
+		e.log.Warn("round-trips-not-known", "error", err)
 	}
 	return context.WithValue(ctx, connectionKey{}, &connection{expiresAt: expiresAt, timing: delayestimator.NewConnection(now, rtt)})
 }
@@ -78,7 +78,7 @@
 
 // recordArrival estimates how much time a caller had spent on a request by start, when the
 // request's header had been read, and how long the network needs for both ways.
-func (e *Entry) recordArrival(ctx context.Context, start tier.Millis, route *router.Route, attempt platform.Sender) delayestimator.Arrival {
+func (e *Entry) recordArrival(ctx context.Context, start tier.Millis, route *router.Route, attempt platform.Attempt) delayestimator.Arrival {
 	c, ok := ctx.Value(connectionKey{}).(*connection)
 	if !ok {
 		c = &connection{timing: delayestimator.NewConnection(0, 0)}
--- a/cicadagraded/entry/connection_test.go
+++ b/cicadagraded/entry/connection_test.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx := e.ConnectionContext(context.Background(), nil)
+	ctx := e.ConnContext(context.Background(), nil)
 	connectionHeader := func() string {
 		w := httptest.NewRecorder()
 		e.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/x", nil).WithContext(ctx))
--- a/cicadagraded/entry/entry.go
+++ b/cicadagraded/entry/entry.go
@@ -10,8 +10,8 @@
 
 	"github.com/pkg/errors"
 
-	"cicadagrade.example/cicadagraded/courier"
 	"cicadagrade.example/cicadagraded/eventlog"
+	"cicadagrade.example/cicadagraded/leafclient"
 	"cicadagrade.example/cicadagraded/meter"
 	"cicadagrade.example/platform"
 	"cicadagrade.example/tier"
@@ -31,7 +31,7 @@
 	settings         atomic.Pointer[platform.Settings]
 	clock            *tier.Clock
 	log              *eventlog.Log
-	leafClient       *courier.Courier
+	leafClient       *leafclient.Client
 	store            *platform.Store
 	table            atomic.Pointer[router.Table]
 	storeAnsweredAt  atomic.Int64 // time when the store last answered this VM or its source
@@ -65,7 +65,7 @@
 		return nil, errors.Wrap(err, "New")
 	}
 	e := &Entry{
-		meter: m, clock: clock, log: log, leafClient: courier.New(), peers: newPeerClients(),
+		meter: m, clock: clock, log: log, leafClient: leafclient.New(), peers: newPeerClients(),
 		shutdown: make(chan struct{}), relayer: relayer.New(), timekeeper: delayestimator.New(),
 	}
 	e.settings.Store(s)
@@ -74,7 +74,7 @@
 		tier.WithIncarnation(tier.Incarnation(rand.Uint64())), tier.WithVMState(tier.VMLive))
 	self := partitioner.NewMember(vm, s.Region(s.DataCentre()), s.Cores())
 	e.core = searcher.NewScheduler(lister.New(), balancer.New(e.proximity),
-		budgeter.New(s.RetryRatio(), s.RetrySlack(), assumedMembers), partitioner.New(self))
+		budgeter.New(s.RetryBudgetRatio(), s.RetryBudgetSlack(), assumedMembers), partitioner.New(self))
 	return e, errors.Wrap(e.registerGauges(), "New")
 }
 
@@ -100,7 +100,7 @@
 	e.settings.Store(s)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.core.Budgeter().Configure(s.RetryRatio(), s.RetrySlack())
+	e.core.Budgeter().Configure(s.RetryBudgetRatio(), s.RetryBudgetSlack())
 }
 
 // Ready reports whether the balancer may send callers to this VM.
@@ -108,12 +108,12 @@
 	return e.table.Load() != nil && !e.stopping.Load() && !e.isolated.Load()
 }
 
-// Stop makes the readiness check fail, and closes each caller's connection after its
+// BeginShutdown makes the readiness check fail, and closes each caller's connection after its
 // next response. Requests are still served.
-func (e *Entry) Stop() {
+func (e *Entry) BeginShutdown() {
 	e.stopping.Store(true)
 	close(e.shutdown)
-	e.log.State("stopping", "reason", "SIGTERM")
+	e.log.Info("stopping", "reason", "SIGTERM")
 }
 
 // Close closes the connections to leafs. The servers must have stopped.
--- a/cicadagraded/entry/gather.go
+++ b/cicadagraded/entry/gather.go
@@ -14,7 +14,7 @@
 
 	gatherv1 "cicadagrade.example/api/gather/v1"
 	"cicadagrade.example/api/gather/v1/gatherv1connect"
-	"cicadagrade.example/cicadagraded/courier"
+	"cicadagrade.example/cicadagraded/leafclient"
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/partitioner"
 	"cicadagrade.example/tier/ranker"
@@ -115,7 +115,7 @@
 	r.entry.background.Go(func() {
 		defer cancel()
 		if err := r.readShareReplies(ctx, searchCtx, a, request); err != nil && ctx.Err() == nil {
-			r.entry.log.Request("share-failed", "request", r.attemptID, "peer", a.Member.VM().Name(), "error", err)
+			r.entry.log.RateLimitedInfo("share-failed", "request", r.attemptID, "peer", a.Member.VM().Name(), "error", err)
 			r.post(searchCtx, func(s *searcher.Search, now tier.Millis) []searcher.Action {
 				return s.ShareFailed(now, a.Share)
 			})
@@ -176,8 +176,8 @@
 	return &p
 }
 
-// Peers returns the handler of calls from other VMs.
-func (e *Entry) Peers() http.Handler {
+// PeerHandler returns the handler of calls from other VMs.
+func (e *Entry) PeerHandler() http.Handler {
 	m := http.NewServeMux()
 	m.Handle(gatherv1connect.NewGatherServiceHandler(&peerService{entry: e}))
 	return m
@@ -224,7 +224,7 @@
 	recovered := e.core.Partitioner().Recovered(e.clock.Now(), m.VM().Name())
 	e.mu.Unlock()
 	if recovered {
-		e.log.State("vm-answers-again", "peer", m.VM().Name())
+		e.log.Info("vm-answers-again", "peer", m.VM().Name())
 	}
 }
 
@@ -252,7 +252,7 @@
 	if request.GetSpread() {
 		shares = e.divideShards(request.GetRoute(), request.GetShards())
 	}
-	run := e.newRun(request.GetAttempt(), true, courier.RestoreMessage(request.GetMethod(), request.GetHead(), request.GetBody()),
+	run := e.newRun(request.GetAttempt(), true, leafclient.RestoreTemplate(request.GetMethod(), request.GetHead(), request.GetBody()),
 		terms, request.GetShards(), shares)
 	run.delegation = delegationTerms{
 		route: request.GetRoute(), topK: int(request.GetTop()), maxAttempts: int(request.GetAttempts()), rank: int(request.GetRank()),
@@ -262,7 +262,7 @@
 	outcome, cancelled := run.execute(ctx)
 	e.countCalls(outcome)
 	if outcome.Missing() > 0 {
-		e.log.Request("share-ended", "request", request.GetAttempt(), "route", request.GetRoute(), "recalled", cancelled,
+		e.log.RateLimitedInfo("share-ended", "request", request.GetAttempt(), "route", request.GetRoute(), "recalled", cancelled,
 			"took-ms", int64(e.clock.Now()-now), "aim-ms", request.GetAimMs(), "missing", outcome.Missing(), "of", len(request.GetShards()),
 			"calls", outcome.CallsSent(), "extra", outcome.ExtraCalls(), "misses", describeMisses(outcome))
 	}
--- a/cicadagraded/entry/handler.go
+++ b/cicadagraded/entry/handler.go
@@ -10,7 +10,7 @@
 	"github.com/pkg/errors"
 
 	gatherv1 "cicadagrade.example/api/gather/v1"
-	"cicadagrade.example/cicadagraded/courier"
+	"cicadagrade.example/cicadagraded/leafclient"
 	"cicadagrade.example/platform"
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/delayestimator"
@@ -43,7 +43,7 @@
 type request struct {
 	route   *router.Route
 	table   *router.Table
-	attempt platform.Sender
+	attempt platform.Attempt
 	start   tier.Millis
 	arrival delayestimator.Arrival
 	body    []byte
@@ -56,7 +56,7 @@
 		w.Header().Set("Connection", "close")
 	}
 	table := e.table.Load()
-	attempt := platform.ReadSender(r.Header)
+	attempt := platform.ParseAttempt(r.Header)
 	if table == nil {
 		e.refuse(w, attempt, http.StatusServiceUnavailable, "no-configuration", 0)
 		return
@@ -84,7 +84,7 @@
 		route: route, table: table, attempt: attempt, start: start, body: body,
 		arrival: e.recordArrival(r.Context(), start, route, attempt),
 	}
-	template := courier.NewMessage(r.Method, path, r.Host, platform.LeafHeader(r.Header), body)
+	template := leafclient.NewTemplate(r.Method, path, r.Host, platform.LeafRequestHeader(r.Header), body)
 	if route.Scattered() {
 		e.serveScattered(w, r, q, template)
 		return
@@ -115,14 +115,14 @@
 }
 
 // refuse responds to a request that was not sent to any leaf.
-func (e *Entry) refuse(w http.ResponseWriter, attempt platform.Sender, status int, cause string, version int64) {
+func (e *Entry) refuse(w http.ResponseWriter, attempt platform.Attempt, status int, cause string, version int64) {
 	if status == http.StatusServiceUnavailable {
 		platform.WriteRetryAfter(w.Header(), refusalRetryAfter+tier.Millis(rand.Int64N(int64(refusalRetryAfter))))
 	}
 	w.Header().Set("Content-Length", "0")
 	w.WriteHeader(status)
-	e.meter.Ended("", "", cause, 0)
-	e.log.Request("refused", "request", attempt.Attempt(), "status", status, "cause", cause, "version", version,
+	e.meter.RecordRequest("", "", cause, 0)
+	e.log.RateLimitedInfo("refused", "request", attempt.ID(), "status", status, "cause", cause, "version", version,
 		"view-age-ms", int64(e.viewAge()))
 }
 
@@ -157,21 +157,21 @@
 }
 
 // serveScattered sends a request to all shards of the route and merges their records.
-func (e *Entry) serveScattered(w http.ResponseWriter, r *http.Request, q *request, template *courier.Message) {
+func (e *Entry) serveScattered(w http.ResponseWriter, r *http.Request, q *request, template *leafclient.Template) {
 	shards := q.route.Shards()
 	e.mu.Lock()
 	likelyToFail := e.core.Forecaster().LikelyToFail(q.start, shards, q.route.MinimumParts(), q.arrival.IsRetry(), rand.Float64())
 	e.mu.Unlock()
 	if likelyToFail {
-		e.meter.Ended(q.route.Name(), strconv.Itoa(q.route.Rank()), "shards-missing", 0)
+		e.meter.RecordRequest(q.route.Name(), strconv.Itoa(q.route.Rank()), "shards-missing", 0)
 		platform.WriteRetryAfter(w.Header(), shardOutageRetryAfter+tier.Millis(rand.Int64N(int64(shardOutageRetryAfter))))
 		w.Header().Set("Content-Length", "0")
 		w.WriteHeader(http.StatusServiceUnavailable)
-		e.log.Request("refused", "request", q.attempt.Attempt(), "status", http.StatusServiceUnavailable,
+		e.log.RateLimitedInfo("refused", "request", q.attempt.ID(), "status", http.StatusServiceUnavailable,
 			"cause", "shards-missing", "version", q.table.Version(), "route", q.route.Name())
 		return
 	}
-	run := e.newRun(q.attempt.Attempt(), true, template, q.terms(), shards, e.divideShards(q.route.Name(), shards))
+	run := e.newRun(q.attempt.ID(), true, template, q.terms(), shards, e.divideShards(q.route.Name(), shards))
 	run.delegation = delegationTerms{
 		route: q.route.Name(), topK: q.route.Top(), maxAttempts: q.route.Attempts(), rank: q.route.Rank(),
 		minimumParts: q.route.MinimumPartsOf, shards: shards,
@@ -188,7 +188,7 @@
 	top := ranker.New(q.route.Top())
 	signatures := make([]string, 0, len(q.route.Shards()))
 	signatures = mergeReplies(top, outcome.Parts(), outcome.Shares(), signatures)
-	platform.WriteParts(w.Header(), signatures, outcome.Missing())
+	platform.WritePartHeaders(w.Header(), signatures, outcome.Missing())
 	e.writeResponse(w, http.StatusOK, top.Bytes())
 	e.recordOutcome(q, outcome, http.StatusOK, string(outcome.Cause()))
 }
@@ -197,9 +197,9 @@
 // returns signatures with those of the replies appended.
 func mergeReplies(top *ranker.Ranker, parts []searcher.Part, shares []any, signatures []string) []string {
 	for _, p := range parts {
-		reply := p.Reply().(*courier.Reply)
+		reply := p.Reply().(*leafclient.Reply)
 		top.Add(reply.Body())
-		signatures = append(signatures, platform.ReadLeafReply(reply.Status(), reply.Header()).Proof())
+		signatures = append(signatures, platform.ParseLeafReply(reply.Status(), reply.Header()).Signature())
 	}
 	for _, s := range shares {
 		reply := s.(*gatherv1.GatherReply)
@@ -210,25 +210,25 @@
 }
 
 // serveSingle passes on the response of one leaf.
-func (e *Entry) serveSingle(w http.ResponseWriter, r *http.Request, q *request, template *courier.Message) {
+func (e *Entry) serveSingle(w http.ResponseWriter, r *http.Request, q *request, template *leafclient.Template) {
 	service := q.route.Target(rand.Float64())
-	outcome, callerGone := e.newRun(q.attempt.Attempt(), q.route.Repeatable(), template, q.terms(), []string{service}, nil).execute(r.Context())
+	outcome, callerGone := e.newRun(q.attempt.ID(), q.route.Repeatable(), template, q.terms(), []string{service}, nil).execute(r.Context())
 	if callerGone {
 		e.recordOutcome(q, outcome, 0, string(outcome.Cause()))
 		return
 	}
-	var reply *courier.Reply
+	var reply *leafclient.Reply
 	switch {
 	case outcome.Success():
-		reply = outcome.Parts()[0].Reply().(*courier.Reply)
+		reply = outcome.Parts()[0].Reply().(*leafclient.Reply)
 	case outcome.Failure() != nil:
-		reply = outcome.Failure().(*courier.Reply)
+		reply = outcome.Failure().(*leafclient.Reply)
 	default:
 		e.writeFailure(w, q, outcome)
 		return
 	}
 	h := w.Header()
-	for k, v := range platform.CallerHeader(reply.Header()) {
+	for k, v := range platform.CallerReplyHeader(reply.Header()) {
 		h[k] = v
 	}
 	e.writeResponse(w, reply.Status(), reply.Body())
@@ -239,7 +239,7 @@
 func (e *Entry) writeResponse(w http.ResponseWriter, status int, body []byte) {
 	w.WriteHeader(status)
 	if _, err := w.Write(body); err != nil && !errors.Is(err, http.ErrBodyNotAllowed) {
-		e.log.Request("answer-not-written", "error", err)
+		e.log.RateLimitedInfo("answer-not-written", "error", err)
 	}
 }
 
@@ -263,12 +263,12 @@
 // was served completely, on time and without hedges or retries.
 func (e *Entry) recordOutcome(q *request, outcome searcher.Outcome, status int, cause string) {
 	took := e.clock.Now() - q.start
-	e.meter.Ended(q.route.Name(), strconv.Itoa(q.route.Rank()), cause, took)
+	e.meter.RecordRequest(q.route.Name(), strconv.Itoa(q.route.Rank()), cause, took)
 	e.countCalls(outcome)
 	if outcome.Cause() == searcher.Complete && outcome.ExtraCalls() == 0 && status < 300 && took <= q.route.Aim() {
 		return
 	}
-	e.log.Request("request-ended", "request", q.attempt.Attempt(), "route", q.route.Name(),
+	e.log.RateLimitedInfo("request-ended", "request", q.attempt.ID(), "route", q.route.Name(),
 		"version", q.table.Version(), "status", status, "cause", cause, "took-ms", int64(took),
 		"aim-ms", int64(q.route.Aim()), "spent-ms", int64(q.arrival.Elapsed()), "trip-ms", int64(q.arrival.RoundTrip()),
 		"missing", outcome.Missing(), "of", max(1, len(q.route.Shards())),
--- a/cicadagraded/entry/members.go
+++ b/cicadagraded/entry/members.go
@@ -57,15 +57,15 @@
 	return partitioner.NewMember(vm, r.Region, r.Cores), nil
 }
 
-// RunMembership keeps this VM registered in the store until shutdown begins, removes the
+// RunRegistration keeps this VM registered in the store until shutdown begins, removes the
 // registration, and returns when ctx ends.
-func (e *Entry) RunMembership(ctx context.Context) error {
+func (e *Entry) RunRegistration(ctx context.Context) error {
 	var lease storer.LeaseID
 	for ctx.Err() == nil && !e.stopping.Load() {
 		err := e.renewRegistration(ctx, &lease)
 		pause := registrationInterval
 		if err != nil {
-			e.log.Request("registration-not-renewed", "error", err)
+			e.log.RateLimitedInfo("registration-not-renewed", "error", err)
 			pause = registrationRetryInterval
 		}
 		select {
@@ -78,7 +78,7 @@
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), storeCallTimeout.Duration())
 		defer cancel()
 		if err := e.store.Release(ctx, lease); err != nil {
-			e.log.Request("registration-not-ended", "error", err)
+			e.log.RateLimitedInfo("registration-not-ended", "error", err)
 		}
 	}
 	<-ctx.Done()
@@ -112,7 +112,7 @@
 	}
 	e.registered.Store(true)
 	*lease = id
-	e.log.State("registered", "lease", int64(id))
+	e.log.Info("registered", "lease", int64(id))
 	return nil
 }
 
@@ -124,7 +124,7 @@
 	for _, v := range list {
 		m, err := decodeMember(v)
 		if err != nil {
-			e.log.Fault("vm-entry-skipped", "key", v.Key(), "error", err)
+			e.log.Warn("vm-entry-skipped", "key", v.Key(), "error", err)
 			continue
 		}
 		selfListed = selfListed || m.VM().Name() == e.core.Partitioner().Self().VM().Name()
@@ -151,12 +151,12 @@
 		e.mu.Lock()
 		e.core.Partitioner().Remove(name)
 		e.mu.Unlock()
-		e.log.State("vm-gone", "peer", name)
+		e.log.Info("vm-gone", "peer", name)
 		return
 	}
 	m, err := decodeMember(v)
 	if err != nil {
-		e.log.Fault("vm-entry-skipped", "key", v.Key(), "error", err)
+		e.log.Warn("vm-entry-skipped", "key", v.Key(), "error", err)
 		return
 	}
 	e.mu.Lock()
@@ -164,6 +164,6 @@
 	e.core.Budgeter().SetVMs(max(assumedMembers, e.core.Partitioner().MemberCount()))
 	e.mu.Unlock()
 	if !isSelf {
-		e.log.State("vm-listed", "peer", name, "address", m.VM().Address(), "data-centre", m.VM().DataCentre())
+		e.log.Info("vm-listed", "peer", name, "address", m.VM().Address(), "data-centre", m.VM().DataCentre())
 	}
 }
--- a/cicadagraded/entry/metrics.go
+++ b/cicadagraded/entry/metrics.go
@@ -41,8 +41,8 @@
 		{"cicadagrade.entry.bytes.far", "bytes of replies from other regions, of leafs and of VMs", func(e *Entry) int64 { return e.crossRegionBytes.Load() }},
 		{"cicadagrade.entry.parts.missing", "parts that were not in when their request ended", func(e *Entry) int64 { return e.missingParts.Load() }},
 		{"cicadagrade.entry.connections.opened", "connections opened to leafs", func(e *Entry) int64 { return e.leafClient.Counts().Dials }},
-		{"cicadagrade.entry.connections.spoiled", "connections dropped for bytes that belong to no request", func(e *Entry) int64 { return e.leafClient.Counts().Spoiled }},
-		{"cicadagrade.entry.replies.stray", "replies to earlier requests that were skipped", func(e *Entry) int64 { return e.leafClient.Counts().Strays }},
+		{"cicadagrade.entry.connections.spoiled", "connections dropped for bytes that belong to no request", func(e *Entry) int64 { return e.leafClient.Counts().OutOfSync }},
+		{"cicadagrade.entry.replies.stray", "replies to earlier requests that were skipped", func(e *Entry) int64 { return e.leafClient.Counts().StaleReplies }},
 		{"cicadagrade.entry.memory", "memory of the process, in bytes", func(*Entry) int64 { return readRuntimeMetric("/memory/classes/total:bytes") }},
 		{"cicadagrade.entry.processor.time", "processor time of the process, in milliseconds", func(*Entry) int64 { return processCPUTime() }},
 		{"cicadagrade.entry.goroutines", "goroutines", func(*Entry) int64 { return readRuntimeMetric("/sched/goroutines:goroutines") }},
@@ -97,7 +97,7 @@
 func (e *Entry) registerGauges() error {
 	for _, g := range gauges() {
 		read := g.read
-		if err := e.meter.Observe(g.name, g.description, func() []meter.Point {
+		if err := e.meter.RegisterGauge(g.name, g.description, func() []meter.Point {
 			return []meter.Point{meter.NewPoint(read(e))}
 		}); err != nil {
 			return errors.Wrap(err, "Entry.registerGauges")
@@ -116,8 +116,8 @@
 // MetricsPath is the path of the metrics.
 const MetricsPath = "/metrics"
 
-// Metrics returns a handler that serves the metrics in the Prometheus format.
-func (e *Entry) Metrics() http.Handler {
+// MetricsHandler returns a handler that serves the metrics in the Prometheus format.
+func (e *Entry) MetricsHandler() http.Handler {
 	m := http.NewServeMux()
 	m.Handle(MetricsPath, e.meter.Handler())
 	return m
--- a/cicadagraded/entry/ready.go
+++ b/cicadagraded/entry/ready.go
@@ -6,11 +6,11 @@
 	"cicadagrade.example/platform"
 )
 
-// Readiness returns the handler of the balancer's readiness check: 200 if the VM is
+// ReadinessHandler returns the handler of the balancer's readiness check: 200 if the VM is
 // ready, 503 otherwise.
-func (e *Entry) Readiness() http.Handler {
+func (e *Entry) ReadinessHandler() http.Handler {
 	m := http.NewServeMux()
-	m.HandleFunc(platform.ReadinessCall, func(w http.ResponseWriter, _ *http.Request) {
+	m.HandleFunc(platform.ReadinessPattern, func(w http.ResponseWriter, _ *http.Request) {
 		if !e.Ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
@@ -18,6 +18,6 @@
 	return m
 }
 
-// Cut logs that the grace period of a shutdown ended with requests still in
+// LogUnfinishedRequests logs that the grace period of a shutdown ended with requests still in
 // flight.
-func (e *Entry) Cut(err error) { e.log.Fault("requests-cut", "error", err) }
+func (e *Entry) LogUnfinishedRequests(err error) { e.log.Warn("requests-cut", "error", err) }
--- a/cicadagraded/entry/run.go
+++ b/cicadagraded/entry/run.go
@@ -7,7 +7,7 @@
 
 	"github.com/pkg/errors"
 
-	"cicadagrade.example/cicadagraded/courier"
+	"cicadagrade.example/cicadagraded/leafclient"
 	"cicadagrade.example/platform"
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/balancer"
@@ -28,7 +28,7 @@
 	entry       *Entry
 	attemptID   string
 	idempotent  bool
-	template    *courier.Message
+	template    *leafclient.Template
 	search      *searcher.Search
 	delegation  delegationTerms
 	flush       func(searcher.Flush) error // sends partial results to the delegating VM
@@ -45,7 +45,7 @@
 const eventBuffer = 32
 
 // newRun returns a run of a new search over services.
-func (e *Entry) newRun(attemptID string, idempotent bool, template *courier.Message, terms searcher.Terms,
+func (e *Entry) newRun(attemptID string, idempotent bool, template *leafclient.Template, terms searcher.Terms,
 	services []string, shares []partitioner.Share,
 ) *searchRun {
 	r := &searchRun{
@@ -128,12 +128,12 @@
 				delete(r.cancelShare, a.Share)
 				if a.TimedOut {
 					e.peers.drop(a.Member.VM().Address())
-					e.log.Request("share-taken-back", "request", r.attemptID, "peer", a.Member.VM().Name(), "had-got-it", a.Accepted)
+					e.log.RateLimitedInfo("share-taken-back", "request", r.attemptID, "peer", a.Member.VM().Name(), "had-got-it", a.Accepted)
 				}
 			}
 		case searcher.Flush:
 			if err := r.flush(a); err != nil {
-				e.log.Request("share-not-reported", "request", r.attemptID, "error", err)
+				e.log.RateLimitedInfo("share-not-reported", "request", r.attemptID, "error", err)
 			}
 		case searcher.Finish:
 			r.outcome, r.done = a.Outcome, true
@@ -145,11 +145,11 @@
 func (r *searchRun) sendCall(searchCtx context.Context, a searcher.Send) {
 	ctx, cancel := context.WithTimeout(searchCtx, a.TimeLeft.Duration())
 	r.cancelCall[a.Call] = cancel
-	headers := platform.CallHeaders(a.Leaf.ID(), a.TimeLeft)
-	call := courier.Call{Method: r.template.Method(), Message: r.template.With(headers[:]...)}
+	headers := platform.LeafCallHeaders(a.Leaf.ID(), a.TimeLeft)
+	call := leafclient.Call{Method: r.template.Method(), Request: r.template.Render(headers[:]...)}
 	if id := r.attemptID; id != "" {
-		call.Ours = func(h http.Header) bool {
-			echoed := platform.ReadLeafReply(0, h).Attempt()
+		call.IsReply = func(h http.Header) bool {
+			echoed := platform.ParseLeafReply(0, h).AttemptID()
 			return echoed == "" || echoed == id
 		}
 	}
@@ -172,25 +172,25 @@
 }
 
 // classifyResult converts the reply or error of a leaf call to the search's result.
-func classifyResult(reply *courier.Reply, err error) searcher.Result {
-	var notSent *courier.NotSentError
-	var lost *courier.LostError
+func classifyResult(reply *leafclient.Reply, err error) searcher.Result {
+	var notSent *leafclient.NotSentError
+	var lost *leafclient.NoReplyError
 	switch {
 	case errors.As(err, &notSent):
-		if notSent.Dialled() {
+		if notSent.Connected() {
 			return searcher.NotRun{Reason: searcher.DeadConnection}
 		}
 		return searcher.NotRun{Reason: searcher.NoConnection}
 	case errors.As(err, &lost):
-		return searcher.Lost{Cause: err.Error(), NewConnection: lost.Fresh()}
+		return searcher.Lost{Cause: err.Error(), NewConnection: lost.ConnectionRejected()}
 	}
-	response := platform.ReadLeafReply(reply.Status(), reply.Header())
+	response := platform.ParseLeafReply(reply.Status(), reply.Header())
 	switch {
 	case response.WrongServer():
 		return searcher.NotRun{Reason: searcher.WrongServer}
-	case response.NotRun() && reply.Status() == http.StatusBadRequest:
+	case response.NotExecuted() && reply.Status() == http.StatusBadRequest:
 		return searcher.NotRun{Reason: searcher.Declined}
-	case response.NotRun():
+	case response.NotExecuted():
 		return searcher.NotRun{Reason: searcher.Shed}
 	case response.Success():
 		return searcher.Answered{Reply: reply}
--- a/cicadagraded/entry/session_test.go
+++ b/cicadagraded/entry/session_test.go
@@ -114,9 +114,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	callers := NewCallers(s.entry)
+	callers := NewCallerServer(s.entry)
 	ctx, cancel := context.WithCancel(context.Background())
-	s.group.Go(func() { _ = s.entry.RunView(ctx) })
+	s.group.Go(func() { _ = s.entry.RunRefresh(ctx) })
 	s.group.Go(func() { _ = callers.Serve(s.front) })
 	t.Cleanup(func() {
 		cancel()
@@ -190,7 +190,7 @@
 
 // waitForView waits until the VM has read the store's present revision.
 func (s *session) waitForView() {
-	_, at, err := s.store.GetAt(context.Background(), "none")
+	_, at, err := s.store.GetWithRevision(context.Background(), "none")
 	if err != nil {
 		s.t.Fatal(err)
 	}
--- a/cicadagraded/entry/view.go
+++ b/cicadagraded/entry/view.go
@@ -50,8 +50,8 @@
 	loaded bool // the whole view has been read once
 }
 
-// RunView keeps the view up to date until ctx ends.
-func (e *Entry) RunView(ctx context.Context) error {
+// RunRefresh keeps the view up to date until ctx ends.
+func (e *Entry) RunRefresh(ctx context.Context) error {
 	state := &refreshState{}
 	for ctx.Err() == nil {
 		pause := pollInterval
@@ -81,7 +81,7 @@
 		return nil
 	}
 	if ctx.Err() == nil && !e.storeUnreachable.Swap(true) {
-		e.log.Fault("store-lost", "error", err, "view-age-ms", int64(e.viewAge()))
+		e.log.Warn("store-lost", "error", err, "view-age-ms", int64(e.viewAge()))
 	}
 	e.mu.Lock()
 	healthy := e.core.Partitioner().HealthyPeers()
@@ -138,7 +138,7 @@
 	changes, at, err := e.store.Changes(ctx, "", after, 0)
 	var lost *platform.HistoryLostError
 	if errors.As(err, &lost) {
-		e.log.State("history-lost", "after", lost.After())
+		e.log.Info("history-lost", "after", lost.After())
 		return e.readAll(ctx, state)
 	}
 	if err != nil {
@@ -155,15 +155,15 @@
 // readAll reads the configuration, the leafs and the VMs from the store. The three reads
 // are not atomic, so that later polls start at the revision of the earliest one.
 func (e *Entry) readAll(ctx context.Context, state *refreshState) error {
-	configuration, at, err := e.store.GetAt(ctx, platform.ConfigurationKey)
+	configuration, at, err := e.store.GetWithRevision(ctx, platform.ConfigurationKey)
 	if err != nil {
 		return errors.Wrap(err, "Entry.readAll")
 	}
-	list, listAt, err := e.store.ListAt(ctx, platform.LeafsPrefix)
+	list, listAt, err := e.store.ListWithRevision(ctx, platform.LeafsPrefix)
 	if err != nil {
 		return errors.Wrap(err, "Entry.readAll")
 	}
-	members, _, err := e.store.ListAt(ctx, vmsPrefix)
+	members, _, err := e.store.ListWithRevision(ctx, vmsPrefix)
 	if err != nil {
 		return errors.Wrap(err, "Entry.readAll")
 	}
@@ -198,7 +198,7 @@
 		e.mu.Lock()
 		e.core.Partitioner().Failed(e.clock.Now(), m.VM().Name())
 		e.mu.Unlock()
-		e.log.Request("fetch-failed", "peer", m.VM().Name(), "error", err)
+		e.log.RateLimitedInfo("fetch-failed", "peer", m.VM().Name(), "error", err)
 		return errors.Wrap(err, "Entry.fetchFrom")
 	}
 	reply := response.Msg
@@ -285,7 +285,7 @@
 func (e *Entry) applyConfiguration(c storer.Value) {
 	t, err := platform.DecodeConfiguration(c.Data())
 	if err != nil {
-		e.log.Fault("configuration-unreadable", "revision", c.Revision(), "error", err)
+		e.log.Warn("configuration-unreadable", "revision", c.Revision(), "error", err)
 		return
 	}
 	old := e.table.Load()
@@ -300,14 +300,14 @@
 	if old != nil {
 		previous = old.Version()
 	}
-	e.log.State("configuration-in-force", "version", t.Version(), "previous", previous,
+	e.log.Info("configuration-in-force", "version", t.Version(), "previous", previous,
 		"routes", t.Routes(), "revision", c.Revision())
 }
 
 func (e *Entry) decodeLeaf(c storer.Value) lister.Entry {
 	entry, err := platform.DecodeLeaf(c.Key(), c.Data())
 	if err != nil {
-		e.log.Request("leaf-entry-skipped", "key", c.Key(), "error", err)
+		e.log.RateLimitedInfo("leaf-entry-skipped", "key", c.Key(), "error", err)
 	}
 	return entry
 }
@@ -344,13 +344,13 @@
 	}
 	isolated := e.viewAge() > isolationViewAge && e.core.Partitioner().MemberCount() > 1 && len(e.core.Partitioner().HealthyPeers()) == 0
 	e.mu.Unlock()
-	e.leafClient.Sweep()
+	e.leafClient.CloseExpired()
 	if e.isolated.Swap(isolated) != isolated {
-		e.log.State("isolation", "isolated", isolated, "view-age-ms", int64(e.viewAge()))
+		e.log.Info("isolation", "isolated", isolated, "view-age-ms", int64(e.viewAge()))
 	}
 	for _, c := range changes {
 		if c.State() != lister.StateReady {
-			e.leafClient.Drop(c.Leaf().Address())
+			e.leafClient.CloseIdle(c.Leaf().Address())
 		}
 	}
 	e.logLeafChanges(changes)
@@ -372,11 +372,11 @@
 			for _, f := range leafs {
 				ids.WriteString(f.ID() + "@" + f.Service() + " ")
 			}
-			e.log.State("leafs-"+state, "count", len(leafs), "leafs", strings.TrimSpace(ids.String()))
+			e.log.Info("leafs-"+state, "count", len(leafs), "leafs", strings.TrimSpace(ids.String()))
 			continue
 		}
 		for _, f := range leafs {
-			e.log.State("leaf-"+state, "leaf", f.ID(), "service", f.Service(),
+			e.log.Info("leaf-"+state, "leaf", f.ID(), "service", f.Service(),
 				"address", f.Address(), "data-centre", f.DataCentre())
 		}
 	}
@@ -385,7 +385,7 @@
 // markStoreReachable records that the store has answered, and logs the end of an outage.
 func (e *Entry) markStoreReachable() {
 	if e.storeUnreachable.Swap(false) {
-		e.log.State("store-regained", "view-age-ms", int64(e.viewAge()))
+		e.log.Info("store-regained", "view-age-ms", int64(e.viewAge()))
 	}
 }
 
--- a/cicadagraded/eventlog/eventlog.go
+++ b/cicadagraded/eventlog/eventlog.go
@@ -57,15 +57,15 @@
 	}
 }
 
-// State logs a change in the state of the process or its dependencies, at level info.
-func (l *Log) State(message string, attrs ...any) { l.push(line{message, attrs, log.InfoLevel}) }
+// Info logs a change in the state of the process or its dependencies, at level info.
+func (l *Log) Info(message string, attrs ...any) { l.push(line{message, attrs, log.InfoLevel}) }
 
-// Fault logs a fault that an operator should look at, at level warn.
-func (l *Log) Fault(message string, attrs ...any) { l.push(line{message, attrs, log.WarnLevel}) }
+// Warn logs a fault that an operator should look at, at level warn.
+func (l *Log) Warn(message string, attrs ...any) { l.push(line{message, attrs, log.WarnLevel}) }
 
-// Request logs an event of a single request at level info. It is rate-limited: lines
+// RateLimitedInfo logs an event of a single request at level info. It is rate-limited: lines
 // above the limit are dropped and counted.
-func (l *Log) Request(message string, attrs ...any) {
+func (l *Log) RateLimitedInfo(message string, attrs ...any) {
 	if l.takeToken() {
 		l.push(line{message, attrs, log.InfoLevel})
 	}
--- a/cicadagraded/exchanger/view.go
+++ b/cicadagraded/exchanger/view.go
@@ -93,8 +93,8 @@
 	return x.gossiper.Fresh(x.clock.Now())
 }
 
-// Dropped is the number of changes dropped because the queue of WithChanges was full.
-func (x *Exchanger) Dropped() uint64 { return x.droppedChanges.Load() }
+// DroppedChanges is the number of changes dropped because the queue of WithChanges was full.
+func (x *Exchanger) DroppedChanges() uint64 { return x.droppedChanges.Load() }
 
 // Traffic returns the totals of the exchanges with peers.
 func (x *Exchanger) Traffic() Traffic {
--- a/cicadagraded/courier/client.go
+++ b/cicadagraded/leafclient/client.go
@@ -1,4 +1,4 @@
-// Package courier is an HTTP/1.1 client for calls to leafs. It reports whether a request
+// Package leafclient is an HTTP/1.1 client for calls to leafs. It reports whether a request
 // was written, whether the complete reply was received, and whether the connection was
 // new. It never retries a request.
 //
@@ -6,7 +6,7 @@
 // needs two goroutines for each connection, and takes whatever bytes come next on a
 // connection as the reply. So this package pools its own connections, and uses net/http
 // only to parse replies.
-package courier
+package leafclient
 
 import (
 	"bufio"
@@ -53,8 +53,8 @@
 	cause     error
 }
 
-// Dialled reports whether a connection had been established.
-func (e *NotSentError) Dialled() bool { return e.connected }
+// Connected reports whether a connection had been established.
+func (e *NotSentError) Connected() bool { return e.connected }
 
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.cause }
@@ -64,23 +64,23 @@
 	return "request not sent to " + e.address + ": " + e.cause.Error()
 }
 
-// LostError reports that the request was written, at least in part, and no complete reply
+// NoReplyError reports that the request was written, at least in part, and no complete reply
 // was received. The server may have executed the request.
-type LostError struct {
+type NoReplyError struct {
 	address  string
 	rejected bool
 	cause    error
 }
 
-// Fresh reports whether the server closed or reset a new connection instead of
+// ConnectionRejected reports whether the server closed or reset a new connection instead of
 // replying, as servers do that have reached their limit of connections.
-func (e *LostError) Fresh() bool { return e.rejected }
+func (e *NoReplyError) ConnectionRejected() bool { return e.rejected }
 
 // Unwrap returns the cause.
-func (e *LostError) Unwrap() error { return e.cause }
+func (e *NoReplyError) Unwrap() error { return e.cause }
 
 // Error includes the address and the cause.
-func (e *LostError) Error() string { return "no reply from " + e.address + ": " + e.cause.Error() }
+func (e *NoReplyError) Error() string { return "no reply from " + e.address + ": " + e.cause.Error() }
 
 // Reply is a complete reply of a server.
 type Reply struct {
@@ -100,15 +100,15 @@
 
 // Counts are totals since the client was created.
 type Counts struct {
-	Dials   int64 // attempts to open a connection
-	Calls   int64 // requests written
-	Strays  int64 // skipped replies to earlier requests
-	Spoiled int64 // connections closed because of bytes that no request asked for
+	Dials        int64 // attempts to open a connection
+	Requests     int64 // requests written
+	StaleReplies int64 // skipped replies to earlier requests
+	OutOfSync    int64 // connections closed because of bytes that no request asked for
 }
 
-// Courier is an HTTP client with a pool of connections to many addresses. It is safe for
+// Client is an HTTP client with a pool of connections to many addresses. It is safe for
 // concurrent use.
-type Courier struct {
+type Client struct {
 	dialer net.Dialer
 	mu     sync.Mutex
 	idle   map[string][]*conn
@@ -118,18 +118,18 @@
 }
 
 // New returns a client without connections.
-func New() *Courier {
-	return &Courier{
+func New() *Client {
+	return &Client{
 		dialer: net.Dialer{Timeout: dialTimeout.Duration(), KeepAlive: -1},
 		idle:   map[string][]*conn{},
 	}
 }
 
 // Counts returns the totals.
-func (c *Courier) Counts() Counts {
+func (c *Client) Counts() Counts {
 	return Counts{
-		Dials: c.dials.Load(), Calls: c.requests.Load(),
-		Strays: c.staleReplies.Load(), Spoiled: c.outOfSync.Load(),
+		Dials: c.dials.Load(), Requests: c.requests.Load(),
+		StaleReplies: c.staleReplies.Load(), OutOfSync: c.outOfSync.Load(),
 	}
 }
 
@@ -146,11 +146,11 @@
 type Call struct {
 	// Method is the request's method; a reply to HEAD has no body.
 	Method string
-	// Message is the complete request as it is sent.
-	Message []byte
-	// Ours reports, from a reply's header, whether it is the reply to this request and
+	// Request is the complete request as it is sent.
+	Request []byte
+	// IsReply reports, from a reply's header, whether it is the reply to this request and
 	// not a late one to an earlier request. If nil, any reply is accepted.
-	Ours func(http.Header) bool
+	IsReply func(http.Header) bool
 	// MaxIdle is the longest idle time of a connection reused for this request; 0 sets
 	// no limit beyond the client's.
 	MaxIdle tier.Millis
@@ -158,7 +158,7 @@
 
 // Do sends a request to an address and waits for the complete reply until ctx ends. The
 // error is a *NotSentError or a *NoReplyError.
-func (c *Courier) Do(ctx context.Context, address string, call Call) (*Reply, error) {
+func (c *Client) Do(ctx context.Context, address string, call Call) (*Reply, error) {
 	cn, err := c.acquire(ctx, address, call.MaxIdle)
 	if err != nil {
 		return nil, &NotSentError{address: address, cause: err}
@@ -167,13 +167,13 @@
 		_ = cn.SetDeadline(at)
 	}
 	stopWatching := context.AfterFunc(ctx, func() { _ = cn.Close() })
-	if written, err := cn.Write(call.Message); err != nil {
+	if written, err := cn.Write(call.Request); err != nil {
 		stopWatching()
 		_ = cn.Close()
 		if written == 0 {
 			return nil, &NotSentError{address: address, connected: true, cause: err}
 		}
-		return nil, &LostError{address: address, cause: err}
+		return nil, &NoReplyError{address: address, cause: err}
 	}
 	c.requests.Add(1)
 	r, keep, err := c.readReply(cn, call)
@@ -183,7 +183,7 @@
 	if err != nil {
 		_ = cn.Close()
 		rejected := !cn.hasReplied && ctx.Err() == nil && (errors.Is(err, syscall.ECONNRESET) || errors.Is(err, io.EOF))
-		return nil, &LostError{address: address, rejected: rejected, cause: err}
+		return nil, &NoReplyError{address: address, rejected: rejected, cause: err}
 	}
 	cn.hasReplied = true
 	if keep {
@@ -196,7 +196,7 @@
 
 // readReply reads the reply to the request just written. The second result reports whether
 // the connection can be reused.
-func (c *Courier) readReply(cn *conn, call Call) (*Reply, bool, error) {
+func (c *Client) readReply(cn *conn, call Call) (*Reply, bool, error) {
 	request := &http.Request{Method: call.Method}
 	for range maxRepliesPerCall {
 		response, err := http.ReadResponse(cn.reader, request)
@@ -210,7 +210,7 @@
 		if response.StatusCode < 200 {
 			continue // an interim (1xx) reply
 		}
-		if call.Ours != nil && !call.Ours(response.Header) {
+		if call.IsReply != nil && !call.IsReply(response.Header) {
 			c.staleReplies.Add(1)
 			if response.Close {
 				return nil, false, errors.New("Client.readReply: the reply is to another request")
@@ -229,7 +229,7 @@
 }
 
 // acquire returns an idle connection that is still open, or a new one.
-func (c *Courier) acquire(ctx context.Context, address string, maxIdleTime tier.Millis) (*conn, error) {
+func (c *Client) acquire(ctx context.Context, address string, maxIdleTime tier.Millis) (*conn, error) {
 	for {
 		cn := c.popIdle(address)
 		if cn == nil {
@@ -251,7 +251,7 @@
 }
 
 // popIdle removes and returns the most recently used idle connection to an address, or nil.
-func (c *Courier) popIdle(address string) *conn {
+func (c *Client) popIdle(address string) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := c.idle[address]
@@ -265,7 +265,7 @@
 }
 
 // release returns a connection to the pool, or closes it if the pool is full or closed.
-func (c *Courier) release(address string, cn *conn) {
+func (c *Client) release(address string, cn *conn) {
 	cn.idleSince = time.Now()
 	_ = cn.SetDeadline(time.Time{})
 	c.mu.Lock()
@@ -282,7 +282,7 @@
 
 // isAlive reports whether an idle connection is open and has no unread bytes, which would
 // belong to no request. It does not block.
-func (c *Courier) isAlive(cn *conn) bool {
+func (c *Client) isAlive(cn *conn) bool {
 	if cn.reader.Buffered() > 0 {
 		return false
 	}
@@ -307,9 +307,9 @@
 	return err == nil && noData
 }
 
-// Sweep closes the connections that have been idle for too long to be reused, so
+// CloseExpired closes the connections that have been idle for too long to be reused, so
 // that they do not count towards the servers' limits of connections.
-func (c *Courier) Sweep() {
+func (c *Client) CloseExpired() {
 	now := time.Now()
 	var expired []*conn
 	c.mu.Lock()
@@ -335,8 +335,8 @@
 	}
 }
 
-// Drop closes the idle connections to an address.
-func (c *Courier) Drop(address string) {
+// CloseIdle closes the idle connections to an address.
+func (c *Client) CloseIdle(address string) {
 	c.mu.Lock()
 	list := c.idle[address]
 	delete(c.idle, address)
@@ -347,7 +347,7 @@
 }
 
 // Close closes all idle connections. Connections in use are closed after their call.
-func (c *Courier) Close() {
+func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
 	all := c.idle
--- a/cicadagraded/courier/client_test.go
+++ b/cicadagraded/leafclient/client_test.go
@@ -1,4 +1,4 @@
-package courier
+package leafclient
 
 import (
 	"bufio"
@@ -82,14 +82,14 @@
 }
 
 func newCall(id string) Call {
-	m := NewMessage(http.MethodGet, "/x", "h", http.Header{"Id": {id}}, nil)
+	m := NewTemplate(http.MethodGet, "/x", "h", http.Header{"Id": {id}}, nil)
 	return Call{
-		Method: http.MethodGet, Message: m.With(),
-		Ours: func(h http.Header) bool { return h.Get("Id") == id },
+		Method: http.MethodGet, Request: m.Render(),
+		IsReply: func(h http.Header) bool { return h.Get("Id") == id },
 	}
 }
 
-func do(t *testing.T, c *Courier, s *server, id string) (string, error) {
+func do(t *testing.T, c *Client, s *server, id string) (string, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -100,13 +100,13 @@
 	return string(r.Body()), nil
 }
 
-func newTestClient(t *testing.T) *Courier {
+func newTestClient(t *testing.T) *Client {
 	c := New()
 	t.Cleanup(c.Close)
 	return c
 }
 
-func expectBody(t *testing.T, c *Courier, s *server, id, want string) {
+func expectBody(t *testing.T, c *Client, s *server, id, want string) {
 	t.Helper()
 	if got, err := do(t, c, s, id); err != nil || got != want {
 		t.Errorf("call %s: got %q, %v, expected %q", id, got, err, want)
@@ -129,7 +129,7 @@
 	c := newTestClient(t)
 	expectBody(t, c, s, "1", "one")
 	expectBody(t, c, s, "2", "two")
-	if n := c.Counts().Strays; n != 1 {
+	if n := c.Counts().StaleReplies; n != 1 {
 		t.Errorf("%d stale replies, expected 1", n)
 	}
 }
@@ -163,7 +163,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := startServer(t, step)
 			_, err := do(t, newTestClient(t), s, "1")
-			var lost *LostError
+			var lost *NoReplyError
 			if !errors.As(err, &lost) {
 				t.Errorf("got error %v, expected a *NoReplyError", err)
 			}
@@ -177,8 +177,8 @@
 func TestResetOfANewConnectionIsReported(t *testing.T) {
 	s := startServer(t, "reset")
 	_, err := do(t, newTestClient(t), s, "1")
-	var lost *LostError
-	if !errors.As(err, &lost) || !lost.Fresh() {
+	var lost *NoReplyError
+	if !errors.As(err, &lost) || !lost.ConnectionRejected() {
 		t.Errorf("got error %v, expected a *NoReplyError with ConnectionRejected", err)
 	}
 }
@@ -188,7 +188,7 @@
 	_ = s.listener.Close()
 	_, err := do(t, newTestClient(t), s, "1")
 	var notSent *NotSentError
-	if !errors.As(err, &notSent) || notSent.Dialled() {
+	if !errors.As(err, &notSent) || notSent.Connected() {
 		t.Errorf("got error %v, expected a *NotSentError without Connected", err)
 	}
 }
@@ -210,7 +210,7 @@
 }
 
 // idleIsAlive reports whether there is an idle connection to an address that is alive.
-func (c *Courier) idleIsAlive(address string) bool {
+func (c *Client) idleIsAlive(address string) bool {
 	n := c.popIdle(address)
 	if n == nil {
 		return false
--- a/cicadagraded/courier/template.go
+++ b/cicadagraded/leafclient/template.go
@@ -1,4 +1,4 @@
-package courier
+package leafclient
 
 import (
 	"bytes"
@@ -11,17 +11,17 @@
 	"github.com/pkg/errors"
 )
 
-// Message is a template of a request that goes to several servers with a few different
+// Template is a template of a request that goes to several servers with a few different
 // headers. The common part is encoded once.
-type Message struct {
+type Template struct {
 	method string
 	head   []byte
 	body   []byte
 }
 
-// NewMessage returns a template with the common part of a request. The header must contain
+// NewTemplate returns a template with the common part of a request. The header must contain
 // neither Content-Length nor hop-by-hop headers.
-func NewMessage(method, uri, host string, header http.Header, body []byte) *Message {
+func NewTemplate(method, uri, host string, header http.Header, body []byte) *Template {
 	var b bytes.Buffer
 	b.Grow(512)
 	b.WriteString(method + " " + uri + " HTTP/1.1\r\nHost: " + host + "\r\n")
@@ -36,25 +36,25 @@
 	if len(body) > 0 || method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(body)) + "\r\n")
 	}
-	return &Message{method: method, head: b.Bytes(), body: body}
+	return &Template{method: method, head: b.Bytes(), body: body}
 }
 
-// RestoreMessage returns the template with another VM's Method, Head and Body.
-func RestoreMessage(method string, head, body []byte) *Message {
-	return &Message{method: method, head: head, body: body}
+// RestoreTemplate returns the template with another VM's Method, Head and Body.
+func RestoreTemplate(method string, head, body []byte) *Template {
+	return &Template{method: method, head: head, body: body}
 }
 
 // Head is the encoded request line and common headers, without the final empty line.
-func (m *Message) Head() []byte { return m.head }
+func (m *Template) Head() []byte { return m.head }
 
 // Body is the request's body.
-func (m *Message) Body() []byte { return m.body }
+func (m *Template) Body() []byte { return m.body }
 
 // Method is the request's method.
-func (m *Message) Method() string { return m.method }
+func (m *Template) Method() string { return m.method }
 
-// With returns the complete request, with the given headers added.
-func (m *Message) With(headers ...[2]string) []byte {
+// Render returns the complete request, with the given headers added.
+func (m *Template) Render(headers ...[2]string) []byte {
 	n := len(m.head) + len(m.body) + 2
 	for _, h := range headers {
 		n += len(h[0]) + len(h[1]) + 4
--- a/cicadagraded/meter/meter.go
+++ b/cicadagraded/meter/meter.go
@@ -55,8 +55,8 @@
 	return m, nil
 }
 
-// Ended records the outcome and latency of a caller's completed request.
-func (m *Meter) Ended(route, rank, outcome string, took tier.Millis) {
+// RecordRequest records the outcome and latency of a caller's completed request.
+func (m *Meter) RecordRequest(route, rank, outcome string, took tier.Millis) {
 	labels := metric.WithAttributes(
 		attribute.String("route", route),
 		attribute.String("rank", rank),
@@ -81,9 +81,9 @@
 	return p
 }
 
-// Observe registers a gauge. Its points are read by a callback whenever metrics are
+// RegisterGauge registers a gauge. Its points are read by a callback whenever metrics are
 // collected.
-func (m *Meter) Observe(name, description string, read func() []Point) error {
+func (m *Meter) RegisterGauge(name, description string, read func() []Point) error {
 	_, err := m.meter.Int64ObservableGauge(name,
 		metric.WithDescription(description),
 		metric.WithInt64Callback(func(_ context.Context, o metric.Int64Observer) error {
--- a/cicadagraded/observe.go
+++ b/cicadagraded/observe.go
@@ -72,7 +72,7 @@
 func (d *daemon) observe() error {
 	o := &observer{daemon: d}
 	for _, g := range gaugeTable() {
-		if err := d.meter.Observe(g.name, g.description, func() []meter.Point { return g.read(o) }); err != nil {
+		if err := d.meter.RegisterGauge(g.name, g.description, func() []meter.Point { return g.read(o) }); err != nil {
 			return errors.Wrap(err, "daemon.observe")
 		}
 	}
