--- a/tier/gossiper/event.go
+++ b/tier/gossiper/event.go
@@ -2,13 +2,13 @@
 
 import "cicadagrade.example/tier"
 
-// Event is something that happened to the VM.
+// Event is an input of the state machine.
 type Event interface{ event() }
 
-// Tick says that time has passed.
+// Tick tells the gossiper that time has passed.
 type Tick struct{}
 
-// ExchangeReceived is a peer's request; its answer is a Reply action.
+// ExchangeReceived is a peer's request. Step answers it with a SendReply action.
 type ExchangeReceived struct{ request *Message }
 
 // NewExchangeReceived returns the event of a peer's request.
@@ -16,35 +16,34 @@
 	return &ExchangeReceived{request: request}
 }
 
-// ReplyReceived is a peer's answer to a SendExchange.
+// ReplyReceived is a peer's reply to a SendRequest.
 type ReplyReceived struct {
 	number uint64
 	reply  *Message
 }
 
-// NewReplyReceived returns the event of an answer to the exchange of that
-// number.
+// NewReplyReceived returns the event of a reply to the exchange with that number.
 func NewReplyReceived(number uint64, reply *Message) *ReplyReceived {
 	return &ReplyReceived{number: number, reply: reply}
 }
 
-// PeerFailed says that a SendExchange was not answered in time.
+// PeerFailed reports that a SendRequest got no reply in time.
 type PeerFailed struct{ number uint64 }
 
-// NewPeerFailed returns the event of a failed exchange of that number.
+// NewPeerFailed returns the event of the failure of the exchange with that number.
 func NewPeerFailed(number uint64) *PeerFailed { return &PeerFailed{number: number} }
 
-// Publish writes a value of this VM. An empty value takes the key back.
+// Publish writes a value of this VM. An empty value deletes the key.
 type Publish struct {
 	key   string
 	value []byte
 }
 
-// NewPublish returns the event of a write of this VM.
+// NewPublish returns the event that writes a value of this VM.
 func NewPublish(key string, value []byte) *Publish { return &Publish{key: key, value: value} }
 
-// Announce writes a shared value: of all VMs' values of a key, the one with
-// the highest (epoch, revision) is kept everywhere.
+// Announce writes a shared value. Of the values that VMs write under one shared
+// key, all VMs keep the one with the highest (epoch, revision).
 type Announce struct {
 	key      string
 	epoch    uint64
@@ -52,21 +51,21 @@
 	value    []byte
 }
 
-// NewAnnounce returns the event of a write of a shared value.
+// NewAnnounce returns the event that writes a shared value.
 func NewAnnounce(key string, epoch, revision uint64, value []byte) *Announce {
 	return &Announce{key: key, epoch: epoch, revision: revision, value: value}
 }
 
-// SetState changes what this VM says of itself.
+// SetState changes the state that this VM publishes of itself.
 type SetState struct{ state tier.VMState }
 
-// NewSetState returns the event of a change of this VM's state.
+// NewSetState returns the event that changes this VM's state.
 func NewSetState(s tier.VMState) *SetState { return &SetState{state: s} }
 
-// SeedsChanged replaces the addresses where unknown peers may be found.
+// SeedsChanged replaces the seed addresses, at which peers not yet known may be found.
 type SeedsChanged struct{ addresses []string }
 
-// NewSeedsChanged returns the event of a new list of seeds.
+// NewSeedsChanged returns the event of a new list of seed addresses.
 func NewSeedsChanged(addresses []string) *SeedsChanged { return &SeedsChanged{addresses: addresses} }
 
 func (*Tick) event()             {}
@@ -78,58 +77,60 @@
 func (*SetState) event()         {}
 func (*SeedsChanged) event()     {}
 
-// Action is something that the shell does or passes on.
+// Action is an output of the state machine, which the caller of Step carries out or
+// passes on.
 type Action interface{ action() }
 
-// SendExchange asks the shell to send a request. The shell answers with one
-// ReplyReceived or PeerFailed of the same number.
+// SendExchange asks the caller to send a request to a peer. The caller returns one
+// ReplyReceived or ExchangeFailed with the same number.
 type SendExchange struct {
 	number  uint64
 	address string
 	message *Message
 }
 
-// Number names the exchange.
+// Number identifies the exchange.
 func (a *SendExchange) Number() uint64 { return a.number }
 
-// Address is where to send it.
+// Address is the peer's address.
 func (a *SendExchange) Address() string { return a.address }
 
 // Message is the request.
 func (a *SendExchange) Message() *Message { return a.message }
 
-// Reply is the answer to an ExchangeReceived.
+// Reply carries the reply to a RequestReceived.
 type Reply struct{ message *Message }
 
-// Message is the answer.
+// Message is the reply.
 func (a *Reply) Message() *Message { return a.message }
 
-// MemberChanged says that a VM joined, changed its state, address or life, or
-// was declared dead.
+// MemberChanged reports that a VM joined, changed its state, address or incarnation,
+// or was declared dead.
 type MemberChanged struct{ vm tier.VM }
 
-// VM is the VM as it is now.
+// VM is the VM in its new state.
 func (a *MemberChanged) VM() tier.VM { return a.vm }
 
-// EntryChanged says that a value changed. A nil value was taken back, or was
-// voided by a new life of its origin.
+// EntryChanged reports that a value changed. A nil value means that the key was
+// deleted, or that its origin restarted with a new incarnation, which discards its
+// entries.
 type EntryChanged struct {
 	origin string
 	key    string
 	value  []byte
 }
 
-// Origin is the VM that wrote it, empty for a shared value.
+// Origin is the VM that wrote the value; it is empty for a shared value.
 func (a *EntryChanged) Origin() string { return a.origin }
 
-// Key names the value.
+// Key is the key of the value.
 func (a *EntryChanged) Key() string { return a.key }
 
-// Value is the value; callers must not change it.
+// Value returns the value; callers must not change it.
 func (a *EntryChanged) Value() []byte { return a.value }
 
-// Replaced says that another VM runs under this VM's name, in a later life and
-// at another address. This VM publishes nothing more; its shell should stop.
+// Replaced reports that another VM runs under this VM's name, with a later incarnation
+// and at another address. This VM publishes nothing more; its process should stop.
 type Replaced struct{ by tier.VM }
 
 // By is the other VM.
--- a/tier/gossiper/exchange.go
+++ b/tier/gossiper/exchange.go
@@ -1,134 +1,135 @@
 package gossiper
 
-// exchange answers a peer's request.
-func (g *Gossiper) exchange(m *Message) {
-	known := g.records[m.sender]
-	stranger := known == nil || known.dead || len(m.digests) > 0 && len(m.digests) < fewDigests
-	g.hear(m, m.digests, nil)
+// handleRequest applies a peer's request and replies to it.
+func (g *Gossiper) handleRequest(m *Message) {
+	sender := g.records[m.sender]
+	newcomer := sender == nil || sender.dead || len(m.digests) > 0 && len(m.digests) < newcomerDigests
+	g.applyMessage(m, m.digests, nil)
 	from := g.records[m.sender]
 	if from != nil {
-		g.heardFrom(from.vm.DataCentre())
+		g.recordReachable(from.vm.DataCentre())
 	}
-	g.act(&Reply{message: g.answer(m, from, stranger)})
+	g.emit(&Reply{message: g.composeReply(m, from, newcomer)})
 }
 
-// hear takes what a message says. Marks are the digests of a reply.
-func (g *Gossiper) hear(m *Message, digests, marks []Digest) {
+// applyMessage applies the entries of a message. Digests are those of a request,
+// watermarks those of a reply.
+func (g *Gossiper) applyMessage(m *Message, digests, watermarks []Digest) {
 	for _, d := range digests {
-		if d.origin != g.name || d.incarnation > maxNumber {
+		if d.origin != g.name || d.incarnation > maxCounter {
 			continue
 		}
-		if d.incarnation > g.own.incarnation || d.incarnation == g.own.incarnation && d.version > g.own.highest {
-			g.renew(d.incarnation)
+		if d.incarnation > g.self.incarnation || d.incarnation == g.self.incarnation && d.version > g.self.highestVersion {
+			g.raiseIncarnation(d.incarnation)
 		}
 	}
 	pulled := map[string]bool{}
-	for _, d := range marks {
+	for _, d := range watermarks {
 		pulled[d.origin] = true
 	}
 	for _, e := range m.entries {
-		g.apply(e, g.copies(e, pulled[e.origin]))
+		g.applyEntry(e, g.transmitLimitFor(e, pulled[e.origin]))
 	}
 }
 
-// copies is how often a newly read entry is pushed on. What had to be pulled
-// is known to most peers, unless it came from another data centre.
-func (g *Gossiper) copies(e Entry, pulled bool) int {
+// transmitLimitFor returns how often an entry just read is pushed on. Most peers know
+// an entry that had to be pulled, unless it came from another data centre.
+func (g *Gossiper) transmitLimitFor(e Entry, pulled bool) int {
 	r, ok := g.records[e.origin]
-	remote := e.origin == "" || ok && r.known && r.vm.DataCentre() != g.home
+	remote := e.origin == "" || ok && r.vmKnown && r.vm.DataCentre() != g.localDataCentre
 	switch {
 	case !pulled:
-		return g.spread()
+		return g.transmitLimit()
 	case g.catchingUp():
 		return 0
 	case remote:
-		return g.spread()
+		return g.transmitLimit()
 	default:
-		return pulledCopies
+		return pulledTransmits
 	}
 }
 
-// catchingUp reports whether this VM started or resumed a moment ago.
-func (g *Gossiper) catchingUp() bool { return g.stale || g.now < g.staleSince+g.catchUp }
+// catchingUp reports whether this VM is stale, or became stale less than catchUpTime ago.
+func (g *Gossiper) catchingUp() bool { return g.stale || g.now < g.staleSince+g.catchUpTime }
 
-// answer composes the reply to m. A stranger is told of some members even when
-// the bytes are spent.
-func (g *Gossiper) answer(m *Message, from *record, stranger bool) *Message {
-	out := &Message{sender: g.name, incarnation: g.own.incarnation}
-	room := g.bucket.room() - out.Size()
-	if stranger {
-		room = max(room, newcomerRoom)
+// composeReply composes the reply to m. A newcomer learns of some members even when
+// the token bucket is empty.
+func (g *Gossiper) composeReply(m *Message, from *record, newcomer bool) *Message {
+	out := &Message{sender: g.name, incarnation: g.self.incarnation}
+	budget := g.bucket.messageBudget() - out.Size()
+	if newcomer {
+		budget = max(budget, newcomerBudget)
 	}
 	if from != nil && m.incarnation == from.incarnation {
-		out.entries = g.statusOf(from)
+		out.entries = g.statusEntries(from)
 	}
-	out.entries = append(out.entries, g.pushed(from, m.entries, room/2)...)
+	out.entries = append(out.entries, g.takeBroadcasts(from, m.entries, budget/2)...)
 	for _, e := range out.entries {
-		room -= e.size()
+		budget -= e.size()
 	}
-	g.fillIn(out, m, from, room)
+	g.addMissing(out, m, from, budget)
 	g.bucket.spend(out.Size())
 	return out
 }
 
-// replied takes a peer's answer.
-func (g *Gossiper) replied(number uint64, m *Message) {
-	f, ok := g.sent[number]
+// handleReply applies a peer's reply.
+func (g *Gossiper) handleReply(number uint64, m *Message) {
+	p, ok := g.pendingExchanges[number]
 	if !ok {
 		return
 	}
-	delete(g.sent, number)
+	delete(g.pendingExchanges, number)
 	if m.sender == g.name {
-		g.buryMoved(f)
+		g.declareReplacedDead(p)
 		return
 	}
-	g.hear(m, nil, m.digests)
+	g.applyMessage(m, nil, m.digests)
 	for _, d := range m.digests {
-		if r, ok := g.records[d.origin]; ok && r != g.own && r.incarnation == d.incarnation {
-			g.takeMark(r, d.version)
+		if r, ok := g.records[d.origin]; ok && r != g.self && r.incarnation == d.incarnation {
+			g.applyContiguousVersion(r, d.version)
 		}
 	}
-	g.widen(len(m.digests))
-	if number > g.staleNumber {
+	g.adaptDigestCount(len(m.digests))
+	if number > g.lastStaleExchange {
 		g.stale = false
 	}
-	if f.name != m.sender {
-		g.buryMoved(f)
+	if p.peer != m.sender {
+		g.declareReplacedDead(p)
 	}
 	if r, ok := g.records[m.sender]; ok {
-		g.heardFrom(r.vm.DataCentre())
+		g.recordReachable(r.vm.DataCentre())
 	}
 }
 
-// takeMark notes that an origin wrote up to a version, and that nothing meant
-// for this VM is missing below.
-func (g *Gossiper) takeMark(r *record, version uint64) {
-	if version > maxNumber {
+// applyContiguousVersion notes that an origin has written up to a version, and that
+// this VM lacks none of these writes that it should hold.
+func (g *Gossiper) applyContiguousVersion(r *record, version uint64) {
+	if version > maxCounter {
 		return
 	}
-	r.highest = max(r.highest, version)
-	r.advance(version)
-	if r.suspectAt > 0 && version > r.suspectAt {
-		g.clear(r)
-		g.show(r)
+	r.highestVersion = max(r.highestVersion, version)
+	r.advanceContiguous(version)
+	if r.suspectVersion > 0 && version > r.suspectVersion {
+		g.clearSuspicion(r)
+		g.emitMemberChange(r)
 	}
 }
 
-// widen lets requests list more while replies show that much is missing.
-func (g *Gossiper) widen(pulled int) {
-	if pulled >= manyPulled {
-		g.wide = min(2*g.wide, maxWindow)
-		g.hurry()
+// adaptDigestCount raises the number of digests per request while replies show that
+// much is missing, and lowers it otherwise.
+func (g *Gossiper) adaptDigestCount(pulled int) {
+	if pulled >= widenThreshold {
+		g.digestCount = min(2*g.digestCount, maxDigests)
+		g.scheduleFastRound()
 		return
 	}
-	g.wide = max(g.wide/2, digestWindow)
+	g.digestCount = max(g.digestCount/2, minDigests)
 }
 
-// buryMoved declares dead whoever was asked at an address where another VM
-// answered.
-func (g *Gossiper) buryMoved(f flight) {
-	r, ok := g.records[f.name]
-	if ok && !r.dead && r != g.own && r.vm.Address() == f.address {
-		g.bury(r)
+// declareReplacedDead declares a peer dead if another VM answered at its address.
+func (g *Gossiper) declareReplacedDead(p pendingExchange) {
+	r, ok := g.records[p.peer]
+	if ok && !r.dead && r != g.self && r.vm.Address() == p.address {
+		g.declareDead(r)
 	}
 }
--- a/tier/gossiper/gossiper.go
+++ b/tier/gossiper/gossiper.go
@@ -1,12 +1,11 @@
-// Package gossiper keeps the list of VMs, and what each publishes, alike on
-// all VMs by periodic exchanges. It is a state machine: it does no I/O and
-// holds no clock.
+// Package gossiper keeps the list of VMs and the values that they publish equal on all
+// VMs by periodic exchanges. It is a state machine: it does no I/O and reads no clock.
 //
-// Each VM writes versioned entries under its own name and life. Exchanges
-// carry digests, what the other side lacks, and the latest news; the bytes
-// sent are bounded by a rate. A VM that does not answer is suspected, and dead
-// unless it refutes by a newer write. Only few contacts of a data centre
-// exchange with other data centres.
+// Each VM writes versioned entries under its own name and incarnation. An exchange
+// carries digests, the entries that the other side lacks, and recent updates; a token
+// bucket limits the bytes sent. A VM that does not answer is suspected, and is
+// declared dead unless it refutes the suspicion with a newer write. In each data
+// centre only a few VMs, its contacts, exchange with other data centres.
 package gossiper
 
 import (
@@ -18,70 +17,70 @@
 	"cicadagrade.example/tier"
 )
 
-// Gossiper is one VM's part in the gossip. It is not safe for concurrent use.
+// Gossiper is the gossip state of one VM. It is not safe for concurrent use.
 type Gossiper struct {
 	config
-	name    string
-	home    string
-	own     *record
-	records map[string]*record
-	names   []string // of records, sorted
-	shared  map[string]Entry
-	links   map[string]*link
-	ranks   map[string][]*record // by data centre, cleared by members changing
-	others  []*record            // peers, cleared likewise
-	turn    []string             // peers still to be met in this turn
-	seeds   []string
+	name               string
+	localDataCentre    string // of this VM
+	self               *record
+	records            map[string]*record
+	names              []string              // keys of records, sorted
+	sharedEntries      map[string]Entry      // by key
+	links              map[string]*linkState // by data centre
+	rankedByDataCentre map[string][]*record  // cache, cleared when members change
+	cachedPeers        []*record             // cache of livePeers, cleared likewise
+	peerQueue          []string              // shuffled peers still to be contacted in this cycle
+	seeds              []string
 
-	news   rumours
-	bucket bucket
-	random *rand.Rand
+	broadcasts broadcastQueue
+	bucket     tokenBucket
+	rng        *rand.Rand
 
-	now         tier.Millis
-	started     bool
-	begun       tier.Millis // the first Step
-	replaced    bool        // another VM runs under this one's name
-	replacedBy  tier.VM
-	lastTick    tier.Millis
-	nextRound   tier.Millis
-	lastDigests tier.Millis
-	nextWhole   tier.Millis
-	wide        int // digests in the next request
-	rounds      uint64
-	nextPool    tier.Millis
-	poolWait    tier.Millis
-	cursors     [2]string // where the next request's digests start: at home, elsewhere
+	now               tier.Millis
+	started           bool
+	startedAt         tier.Millis // time of the first Step
+	replaced          bool        // another VM runs under this VM's name
+	replacedBy        tier.VM
+	lastTickAt        tier.Millis
+	nextRoundAt       tier.Millis
+	lastDigestsAt     tier.Millis // last round that sent digests
+	nextFullDigestsAt tier.Millis // next request that may list all digests
+	digestCount       int         // number of digests in the next request
+	roundCount        uint64
+	nextDiscoveryAt   tier.Millis // next discovery while no peer is known
+	discoveryInterval tier.Millis
+	digestCursors     [2]string // first name of the next digests: for local peers, for remote ones
 
-	sent        map[uint64]flight
-	number      uint64
-	stale       bool
-	staleSince  tier.Millis
-	staleNumber uint64
+	pendingExchanges  map[uint64]pendingExchange // by number of the exchange
+	lastExchange      uint64
+	stale             bool // no reply since the start or the last pause
+	staleSince        tier.Millis
+	lastStaleExchange uint64 // last one sent before the state became stale
 
-	generation uint64
-	actions    []Action
+	generation uint64   // counts the changes of Members
+	actions    []Action // of the present Step
 }
 
-// flight is an exchange that has not been answered.
-type flight struct {
-	name       string
+// pendingExchange is a request that has not been answered yet.
+type pendingExchange struct {
+	peer       string
 	dataCentre string
 	address    string
-	at         tier.Millis
+	sentAt     tier.Millis
 }
 
-// New returns the gossiper of a VM, which starts joining. Its errors are of
-// type *tier.InvalidError.
+// New returns the gossiper of a VM in the state joining. Its errors are of type
+// *tier.InvalidError.
 func New(self tier.VM, opts ...Option) (*Gossiper, error) {
 	g := &Gossiper{
-		name:    self.Name(),
-		home:    self.DataCentre(),
-		records: map[string]*record{},
-		shared:  map[string]Entry{},
-		links:   map[string]*link{},
-		sent:    map[uint64]flight{},
-		stale:   true,
-		wide:    digestWindow,
+		name:             self.Name(),
+		localDataCentre:  self.DataCentre(),
+		records:          map[string]*record{},
+		sharedEntries:    map[string]Entry{},
+		links:            map[string]*linkState{},
+		pendingExchanges: map[uint64]pendingExchange{},
+		stale:            true,
+		digestCount:      minDigests,
 	}
 	g.Defaults()
 	for _, o := range opts {
@@ -93,41 +92,41 @@
 	if _, _, err := decodeVM(self.Name(), self.Incarnation(), encodeVM(self, 1)); err != nil {
 		return nil, errors.Wrap(err, "New")
 	}
-	g.random = rand.New(rand.NewPCG(g.seed, uint64(self.Incarnation())))
-	g.bucket = bucket{tokens: float64(g.burst), rate: float64(g.rate), burst: float64(g.burst)}
-	g.own = g.record(self.Name(), max(self.Incarnation(), 1))
-	g.own.vm = self.With(tier.WithIncarnation(g.own.incarnation))
-	g.own.known = true
-	g.own.shown = g.own.vm
-	g.writeVM()
+	g.rng = rand.New(rand.NewPCG(g.seed, uint64(self.Incarnation())))
+	g.bucket = tokenBucket{tokens: float64(g.burstBytes), bytesPerSecond: float64(g.bytesPerSecond), burst: float64(g.burstBytes)}
+	g.self = g.findOrAddRecord(self.Name(), max(self.Incarnation(), 1))
+	g.self.vm = self.With(tier.WithIncarnation(g.self.incarnation))
+	g.self.vmKnown = true
+	g.self.lastReported = g.self.vm
+	g.writeOwnVM()
 	return g, nil
 }
 
-// Next is when the next Tick is due.
-func (g *Gossiper) Next() (tier.Millis, bool) { return g.nextRound, true }
+// Next returns when the next Tick is due.
+func (g *Gossiper) Next() (tier.Millis, bool) { return g.nextRoundAt, true }
 
-// Step takes an event and returns what to do about it.
+// Step applies an event and returns the actions that follow from it.
 func (g *Gossiper) Step(now tier.Millis, e Event) []Action {
-	g.start(now)
+	g.recordStart(now)
 	g.now = now
 	g.actions = nil
-	g.bucket.fill(now)
-	if now-g.lastTick > g.pause {
-		g.resume()
+	g.bucket.refill(now)
+	if now-g.lastTickAt > g.pauseThreshold {
+		g.resumeAfterPause()
 	}
 	switch e := e.(type) {
 	case *Tick:
 		g.tick()
 	case *ExchangeReceived:
-		g.exchange(e.request)
+		g.handleRequest(e.request)
 	case *ReplyReceived:
-		g.replied(e.number, e.reply)
+		g.handleReply(e.number, e.reply)
 	case *PeerFailed:
-		g.failed(e.number)
+		g.handleFailure(e.number)
 	case *Publish:
 		g.publish(e.key, e.value)
 	case *Announce:
-		g.takeShared(NewEntry("", tier.Incarnation(e.epoch), e.revision, e.key, e.value), g.spread())
+		g.applyShared(NewEntry("", tier.Incarnation(e.epoch), e.revision, e.key, e.value), g.transmitLimit())
 	case *SetState:
 		g.setState(e.state)
 	case *SeedsChanged:
@@ -136,123 +135,127 @@
 	return g.actions
 }
 
-func (g *Gossiper) start(now tier.Millis) {
+func (g *Gossiper) recordStart(now tier.Millis) {
 	if g.started {
 		return
 	}
 	g.started = true
-	g.begun = now
-	g.lastTick, g.nextRound, g.staleSince, g.nextPool = now, now, now, now
-	g.poolWait = g.idle
-	g.bucket.filled = now
+	g.startedAt = now
+	g.lastTickAt, g.nextRoundAt, g.staleSince, g.nextDiscoveryAt = now, now, now, now
+	g.discoveryInterval = g.idleInterval
+	g.bucket.refilledAt = now
 }
 
-// resume distrusts what is held after a pause of this VM, and gives those
-// under suspicion their full time again.
-func (g *Gossiper) resume() {
-	gap := g.now - g.lastTick
-	g.lastTick = g.now
+// resumeAfterPause marks the state stale after a pause of this VM, during which it
+// heard nothing. It extends running suspicions and link timeouts by the length of the
+// pause.
+func (g *Gossiper) resumeAfterPause() {
+	gap := g.now - g.lastTickAt
+	g.lastTickAt = g.now
 	g.stale = true
 	g.staleSince = g.now
-	g.staleNumber = g.number
+	g.lastStaleExchange = g.lastExchange
 	for _, r := range g.records {
 		r.suspectSince += gap
 	}
 	for _, l := range g.links {
-		l.heard += gap
+		l.lastReplyAt += gap
 	}
 }
 
 func (g *Gossiper) publish(key string, value []byte) {
-	if len(key) > MaxKey || len(value) > MaxValue || reserved(key) {
+	if len(key) > MaxKey || len(value) > MaxValue || isReservedKey(key) {
 		return
 	}
-	g.write(key, slices.Clone(value))
+	g.writeOwn(key, slices.Clone(value))
 }
 
 func (g *Gossiper) setState(s tier.VMState) {
-	if s == g.own.vm.State() || s == tier.VMDead {
+	if s == g.self.vm.State() || s == tier.VMDead {
 		return
 	}
-	g.own.vm = g.own.vm.With(tier.WithVMState(s))
-	g.writeVM()
-	g.show(g.own)
+	g.self.vm = g.self.vm.With(tier.WithVMState(s))
+	g.writeOwnVM()
+	g.emitMemberChange(g.self)
 }
 
-// write stores a value of this VM and starts to spread it.
-func (g *Gossiper) write(key string, value []byte) {
-	e := NewEntry(g.name, g.own.incarnation, g.own.highest+1, key, value)
-	g.own.take(e)
-	g.own.version = e.version
-	g.news.add(g.name, key, g.spread())
+// writeOwn stores a value of this VM and starts to spread it.
+func (g *Gossiper) writeOwn(key string, value []byte) {
+	e := NewEntry(g.name, g.self.incarnation, g.self.highestVersion+1, key, value)
+	g.self.store(e)
+	g.self.contiguousVersion = e.version
+	g.broadcasts.enqueue(g.name, key, g.transmitLimit())
 	if key != keyVM {
-		g.changed(g.name, key, value)
+		g.emitEntryChanged(g.name, key, value)
 	}
-	g.hurry()
+	g.scheduleFastRound()
 }
 
-func (g *Gossiper) writeVM() { g.write(keyVM, encodeVM(g.own.vm, g.own.lowest(keyVM))) }
+func (g *Gossiper) writeOwnVM() { g.writeOwn(keyVM, encodeVM(g.self.vm, g.self.lowestVersion(keyVM))) }
 
-// renew takes a life above i, under which this VM writes everything again.
-func (g *Gossiper) renew(i tier.Incarnation) {
-	old := g.own.entries
-	state := g.own.vm.State()
-	g.own.reset(i + 1)
-	g.own.vm = g.own.vm.With(tier.WithVMState(state))
-	g.writeVM()
-	for _, k := range sortedKeys(old) {
+// raiseIncarnation moves this VM to an incarnation above i and writes all its entries
+// again under it.
+func (g *Gossiper) raiseIncarnation(i tier.Incarnation) {
+	formerEntries := g.self.entries
+	state := g.self.vm.State()
+	g.self.reset(i + 1)
+	g.self.vm = g.self.vm.With(tier.WithVMState(state))
+	g.writeOwnVM()
+	for _, k := range sortedKeys(formerEntries) {
 		if k != keyVM {
-			g.write(k, old[k].value)
+			g.writeOwn(k, formerEntries[k].value)
 		}
 	}
-	g.show(g.own)
+	g.emitMemberChange(g.self)
 }
 
-// refute answers a suspicion with a newer write.
+// refute answers a suspicion of this VM with a newer write.
 func (g *Gossiper) refute(version uint64) {
-	if version >= g.own.highest {
-		g.own.highest = version
-		g.writeVM()
+	if version >= g.self.highestVersion {
+		g.self.highestVersion = version
+		g.writeOwnVM()
 		return
 	}
-	g.news.add(g.name, keyVM, g.spread())
-	g.hurry()
+	g.broadcasts.enqueue(g.name, keyVM, g.transmitLimit())
+	g.scheduleFastRound()
 }
 
-// hurry brings the next round forward while there is news, the less the fewer
-// bytes are left.
-func (g *Gossiper) hurry() {
+// scheduleFastRound brings the next round forward while there are updates to spread.
+// The delay doubles once the tokens fall below the reserve; when they are nearly
+// spent, the round is not moved.
+func (g *Gossiper) scheduleFastRound() {
 	switch {
-	case g.bucket.plenty():
-		g.nextRound = min(g.nextRound, g.now+g.fast)
-	case g.bucket.tokens > littleLeft:
-		g.nextRound = min(g.nextRound, g.now+2*g.fast)
+	case g.bucket.hasReserve():
+		g.nextRoundAt = min(g.nextRoundAt, g.now+g.fastInterval)
+	case g.bucket.tokens > fastRoundMinTokens:
+		g.nextRoundAt = min(g.nextRoundAt, g.now+2*g.fastInterval)
 	}
 }
 
-// spread is how often a value just read is pushed on; little when the bytes
-// are nearly spent.
-func (g *Gossiper) spread() int {
-	n := g.news.spread(len(g.records))
-	if !g.bucket.plenty() {
-		return min(n, fewCopies)
+// transmitLimit returns how often an update is pushed; few times while the tokens are
+// below the reserve.
+func (g *Gossiper) transmitLimit() int {
+	n := g.broadcasts.transmitLimit(len(g.records))
+	if !g.bucket.hasReserve() {
+		return min(n, lowBudgetTransmits)
 	}
 	return n
 }
 
-func (g *Gossiper) act(a Action) { g.actions = append(g.actions, a) }
+func (g *Gossiper) emit(a Action) { g.actions = append(g.actions, a) }
 
-func (g *Gossiper) changed(origin, key string, value []byte) {
-	g.act(&EntryChanged{origin: origin, key: key, value: value})
+func (g *Gossiper) emitEntryChanged(origin, key string, value []byte) {
+	g.emit(&EntryChanged{origin: origin, key: key, value: value})
 }
 
-// show tells the shell of a member that looks other than before.
-func (g *Gossiper) show(r *record) {
-	g.ranks, g.others = nil, nil
-	if !r.known || r.state() == r.shown {
+// emitMemberChange reports a member whose visible state differs from the last one
+// reported.
+func (g *Gossiper) emitMemberChange(r *record) {
+	g.rankedByDataCentre, g.cachedPeers = nil, nil
+	if !r.vmKnown || r.vmWithState() == r.lastReported {
 		return
 	}
-	r.shown = r.state()
+	r.lastReported = r.vmWithState()
 	g.generation++
-	g.act(&MemberChanged{vm: r.shown})
+	g.emit(&MemberChanged{vm: r.lastReported})
 }
--- a/tier/gossiper/link.go
+++ b/tier/gossiper/link.go
@@ -7,166 +7,167 @@
 	"cicadagrade.example/tier"
 )
 
-// cutFailures is how many exchanges with a data centre fail in a row before
-// it counts as cut off.
-const cutFailures = 2
+// linkFailureLimit is how many exchanges with a data centre fail in a row before it
+// counts as unreachable.
+const linkFailureLimit = 2
 
-// Values of a contact's entry about another data centre.
+// Values of the entry in which a contact says whether it reaches another data centre.
 const (
-	linkUp  = "up"
-	linkCut = "cut"
+	linkUp   = "up"
+	linkDown = "cut"
 )
 
-// link is what this VM itself knows of the way to another data centre.
-type link struct {
-	heard    tier.Millis
-	ever     bool
-	tried    tier.Millis
-	failures int
-	failed   []failedPeer
+// linkState is what this VM has observed of the link to another data centre.
+type linkState struct {
+	lastReplyAt         tier.Millis
+	everReached         bool
+	lastTriedAt         tier.Millis
+	consecutiveFailures int
+	recentFailures      []failedPeer
 }
 
 type failedPeer struct {
-	name string
-	at   tier.Millis
+	name     string
+	failedAt tier.Millis
 }
 
-func (g *Gossiper) link(dataCentre string) *link {
+func (g *Gossiper) linkTo(dataCentre string) *linkState {
 	l, ok := g.links[dataCentre]
 	if !ok {
-		l = &link{}
+		l = &linkState{}
 		g.links[dataCentre] = l
 	}
 	return l
 }
 
-// heardFrom notes that a data centre answered. Whoever did not answer there a
-// moment before is then suspected.
-func (g *Gossiper) heardFrom(dataCentre string) {
-	if dataCentre == g.home || dataCentre == "" {
+// recordReachable notes that a data centre answered. This shows that the link works,
+// so VMs of that data centre that recently failed to answer are suspected.
+func (g *Gossiper) recordReachable(dataCentre string) {
+	if dataCentre == g.localDataCentre || dataCentre == "" {
 		return
 	}
-	l := g.link(dataCentre)
-	l.heard = g.now
-	l.ever = true
-	l.failures = 0
-	for _, p := range l.failed {
-		if r, ok := g.records[p.name]; ok && g.now-p.at <= 3*g.idle {
-			g.suspect(r, max(r.highest, 1))
+	l := g.linkTo(dataCentre)
+	l.lastReplyAt = g.now
+	l.everReached = true
+	l.consecutiveFailures = 0
+	for _, p := range l.recentFailures {
+		if r, ok := g.records[p.name]; ok && g.now-p.failedAt <= 3*g.idleInterval {
+			g.suspect(r, max(r.highestVersion, 1))
 		}
 	}
-	l.failed = nil
+	l.recentFailures = nil
 }
 
-func (g *Gossiper) linkFailed(dataCentre, name string) {
-	l := g.link(dataCentre)
-	l.failures++
-	l.failed = append(l.failed, failedPeer{name: name, at: g.now})
-	l.failed = l.failed[max(0, len(l.failed)-Contacts):]
+func (g *Gossiper) recordLinkFailure(dataCentre, name string) {
+	l := g.linkTo(dataCentre)
+	l.consecutiveFailures++
+	l.recentFailures = append(l.recentFailures, failedPeer{name: name, failedAt: g.now})
+	l.recentFailures = l.recentFailures[max(0, len(l.recentFailures)-Contacts):]
 }
 
-// doubt has this VM try a data centre next that another contact finds cut off.
-func (g *Gossiper) doubt(r *record, e Entry) {
+// recheckLink makes this VM try a data centre soon when another contact reports it as
+// unreachable.
+func (g *Gossiper) recheckLink(r *record, e Entry) {
 	dataCentre, ok := strings.CutPrefix(e.key, keyLink)
-	if !ok || string(e.value) != linkCut || r.vm.DataCentre() != g.home {
+	if !ok || string(e.value) != linkDown || r.vm.DataCentre() != g.localDataCentre {
 		return
 	}
 	if l, ok := g.links[dataCentre]; ok {
-		l.failures = max(l.failures, 1)
+		l.consecutiveFailures = max(l.consecutiveFailures, 1)
 	}
 }
 
-// up reports whether this VM itself reaches a data centre.
-func (g *Gossiper) up(l *link) bool {
-	wait := max(g.linkTimeout, 3*g.idle*tier.Millis(len(g.links)))
-	return l.ever && l.failures < cutFailures && g.now-l.heard <= wait
+// linkIsUp reports whether this VM itself reaches a data centre.
+func (g *Gossiper) linkIsUp(l *linkState) bool {
+	wait := max(g.linkTimeout, 3*g.idleInterval*tier.Millis(len(g.links)))
+	return l.everReached && l.consecutiveFailures < linkFailureLimit && g.now-l.lastReplyAt <= wait
 }
 
-// contact reports whether this VM exchanges with other data centres.
-func (g *Gossiper) contact() bool {
-	ranked := g.ranked(g.home)
-	return slices.Contains(ranked[:min(len(ranked), Contacts)], g.own)
+// isContact reports whether this VM exchanges with other data centres.
+func (g *Gossiper) isContact() bool {
+	ranked := g.rankedMembers(g.localDataCentre)
+	return slices.Contains(ranked[:min(len(ranked), Contacts)], g.self)
 }
 
-// crossRound exchanges with the data centre that was tried longest ago, first
-// with those that may be cut off just now.
-func (g *Gossiper) crossRound(digests bool) {
-	if !g.contact() {
+// remoteRound exchanges with the data centre that was tried longest ago, but prefers
+// one whose last exchange failed and that does not yet count as unreachable.
+func (g *Gossiper) remoteRound(digests bool) {
+	if !g.isContact() {
 		return
 	}
-	var due *link
+	var next *linkState
 	var dataCentre string
-	for _, d := range g.remotes() {
-		l := g.link(d)
-		doubted := l.failures > 0 && l.failures < cutFailures
-		if due == nil || doubted || l.tried < due.tried {
-			due, dataCentre = l, d
+	for _, d := range g.remoteDataCentres() {
+		l := g.linkTo(d)
+		doubtful := l.consecutiveFailures > 0 && l.consecutiveFailures < linkFailureLimit
+		if next == nil || doubtful || l.lastTriedAt < next.lastTriedAt {
+			next, dataCentre = l, d
 		}
-		if doubted {
+		if doubtful {
 			break
 		}
 	}
-	if due == nil {
+	if next == nil {
 		return
 	}
-	due.tried = g.now
-	if r := g.remotePeer(dataCentre, due); r != nil {
-		g.send(r, r.vm.Address(), digests)
+	next.lastTriedAt = g.now
+	if r := g.pickRemotePeer(dataCentre, next); r != nil {
+		g.sendRequest(r, r.vm.Address(), digests)
 	}
 }
 
-// remotes lists the other data centres of which a VM is known, sorted.
-func (g *Gossiper) remotes() []string {
+// remoteDataCentres lists the other data centres in which a VM is known, sorted.
+func (g *Gossiper) remoteDataCentres() []string {
 	seen := map[string]bool{}
 	for _, r := range g.records {
-		if r.known && r.vm.DataCentre() != g.home {
+		if r.vmKnown && r.vm.DataCentre() != g.localDataCentre {
 			seen[r.vm.DataCentre()] = true
 		}
 	}
 	return sortedKeys(seen)
 }
 
-// remotePeer picks one of the contacts of a data centre, or anyone there when
-// they fail.
-func (g *Gossiper) remotePeer(dataCentre string, l *link) *record {
-	list := g.ranked(dataCentre)
-	if l.failures == 0 {
+// pickRemotePeer picks one of the contacts of a data centre at random, or any of its
+// VMs after a failure.
+func (g *Gossiper) pickRemotePeer(dataCentre string, l *linkState) *record {
+	list := g.rankedMembers(dataCentre)
+	if l.consecutiveFailures == 0 {
 		list = list[:min(len(list), Contacts)]
 	}
 	if len(list) == 0 {
 		return nil
 	}
-	return list[g.random.IntN(len(list))]
+	return list[g.rng.IntN(len(list))]
 }
 
-// watchLinks publishes, as a contact, which data centres it reaches.
-func (g *Gossiper) watchLinks() {
-	contact := g.contact()
+// publishLinkStates publishes which data centres this VM reaches, if it is a contact.
+func (g *Gossiper) publishLinkStates() {
+	contact := g.isContact()
 	for _, d := range sortedKeys(g.links) {
-		held, ok := g.own.entries[keyLink+d]
-		say := linkCut
-		if g.up(g.links[d]) {
-			say = linkUp
+		published, ok := g.self.entries[keyLink+d]
+		state := linkDown
+		if g.linkIsUp(g.links[d]) {
+			state = linkUp
 		}
 		switch {
-		case contact && string(held.value) != say:
-			g.write(keyLink+d, []byte(say))
-		case !contact && ok && len(held.value) > 0:
-			g.write(keyLink+d, nil)
+		case contact && string(published.value) != state:
+			g.writeOwn(keyLink+d, []byte(state))
+		case !contact && ok && len(published.value) > 0:
+			g.writeOwn(keyLink+d, nil)
 		}
 	}
 }
 
-// Reachable reports whether this VM, or a contact of its data centre, reaches
-// a data centre.
+// Reachable reports whether this VM, or a contact of its data centre, reaches a data
+// centre.
 func (g *Gossiper) Reachable(dataCentre string) bool {
-	if dataCentre == g.home {
+	if dataCentre == g.localDataCentre {
 		return true
 	}
-	if l, ok := g.links[dataCentre]; ok && g.up(l) {
+	if l, ok := g.links[dataCentre]; ok && g.linkIsUp(l) {
 		return true
 	}
-	for _, r := range g.peers() {
+	for _, r := range g.livePeers() {
 		if string(r.entries[keyLink+dataCentre].value) == linkUp {
 			return true
 		}
--- a/tier/gossiper/measure_test.go
+++ b/tier/gossiper/measure_test.go
@@ -19,15 +19,15 @@
 	for _, n := range []int{7, 30, 100, 270} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
 			for range b.N {
-				measure(b, n)
+				measureDataCentre(b, n)
 			}
 		})
 	}
 }
 
-func measure(b *testing.B, n int) {
+func measureDataCentre(b *testing.B, n int) {
 	w := startAll(b, n)
-	w.mustAgree(5*tier.Minute, "start of all")
+	w.mustConverge(5*tier.Minute, "start of all")
 	w.run(5*tier.Minute, nil)
 	measureIdle(b, w, "idle")
 	measureChanges(b, w)
@@ -40,8 +40,8 @@
 	measureDeaths(b, w)
 }
 
-// BenchmarkHeartbeats measures the way not taken, in which each VM writes a
-// heartbeat each second and is judged by the age of the last one held:
+// BenchmarkHeartbeats measures the alternative that was not chosen: each VM writes a
+// heartbeat each second, and others judge it by the age of the last one they hold:
 //
 //	go test ./gossiper -run '^$' -bench Heartbeats -benchtime 1x
 func BenchmarkHeartbeats(b *testing.B) {
@@ -49,15 +49,15 @@
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
 			for range b.N {
 				w := startAll(b, n)
-				w.mustAgree(5*tier.Minute, "start of all")
+				w.mustConverge(5*tier.Minute, "start of all")
 				measureLoad(b, w, "heartbeat", n, 13, tier.Second)
 			}
 		})
 	}
 }
 
-// BenchmarkReplacement measures the start of n members at once, and the
-// replacement of half of them under the same addresses:
+// BenchmarkReplacement measures the start of n members at once, and the replacement of
+// half of them at the same addresses:
 //
 //	go test ./gossiper -run '^$' -bench Replacement -benchtime 1x
 func BenchmarkReplacement(b *testing.B) {
@@ -83,24 +83,24 @@
 	return w
 }
 
-// measureIdle reports bytes and processor time for each VM, over a minute.
-func measureIdle(b *testing.B, w *network, what string) {
+// measureIdle reports the bytes sent and the processor time of each VM, over a minute.
+func measureIdle(b *testing.B, w *network, label string) {
 	for _, n := range w.nodes {
-		n.sent = 0
+		n.sentBytes = 0
 	}
 	start := time.Now()
 	w.run(tier.Minute, nil)
 	spent := time.Since(start)
 	var sent []float64
 	for _, n := range w.nodes {
-		sent = append(sent, float64(n.sent)/60)
+		sent = append(sent, float64(n.sentBytes)/60)
 	}
-	b.ReportMetric(mean(sent), what+"-sent-B/s")
-	b.ReportMetric(slices.Max(sent), what+"-max-sent-B/s")
-	b.ReportMetric(float64(spent.Microseconds())/60/float64(len(w.nodes)), what+"-cpu-us/s")
+	b.ReportMetric(mean(sent), label+"-sent-B/s")
+	b.ReportMetric(slices.Max(sent), label+"-max-sent-B/s")
+	b.ReportMetric(float64(spent.Microseconds())/60/float64(len(w.nodes)), label+"-cpu-us/s")
 }
 
-// measureChanges reports how long a value takes to be known everywhere.
+// measureChanges reports how long a shared value takes to reach all VMs.
 func measureChanges(b *testing.B, w *network) {
 	var times []float64
 	for i := range 40 {
@@ -114,7 +114,7 @@
 			})
 		}
 		if !w.run(tier.Minute, known) {
-			b.Fatalf("change %d is not known everywhere after a minute", i)
+			b.Fatalf("change %d has not reached all VMs after a minute", i)
 		}
 		times = append(times, float64(w.now()-from))
 		w.run(tier.Millis(w.random.IntN(5000)), nil)
@@ -122,8 +122,8 @@
 	report(b, times, "change")
 }
 
-// measureLeaving reports how long an owner's sign that a backend server leaves
-// takes to be known everywhere.
+// measureLeaving reports how long it takes until all VMs know that a backend server is
+// leaving, after the VM that owns it published this.
 func measureLeaving(b *testing.B, w *network) {
 	var times []float64
 	for i := range 40 {
@@ -135,7 +135,7 @@
 			return !slices.ContainsFunc(w.nodes, func(o *node) bool { return len(o.records[n.name].entries[key].value) == 0 })
 		}
 		if !w.run(tier.Minute, known) {
-			b.Fatalf("%s is not known everywhere after a minute", key)
+			b.Fatalf("%s has not reached all VMs after a minute", key)
 		}
 		times = append(times, float64(w.now()-from))
 		w.step(n, NewPublish(key, nil))
@@ -144,8 +144,8 @@
 	report(b, times, "leaving")
 }
 
-// BenchmarkDataCentres measures 9 VMs in each of several data centres, 20 ms
-// apart, of which each VM keeps 8 of every other:
+// BenchmarkDataCentres measures 9 VMs in each of several data centres with a latency
+// of 20 ms between them. Each VM keeps 8 VMs of every other data centre:
 //
 //	go test ./gossiper -run '^$' -bench DataCentres -benchtime 1x
 func BenchmarkDataCentres(b *testing.B) {
@@ -161,7 +161,7 @@
 func measureDataCentres(b *testing.B, n int) {
 	w := newNetwork(b, uint64(n))
 	w.latency = func(a, b *node) tier.Millis {
-		if a.home == b.home {
+		if a.localDataCentre == b.localDataCentre {
 			return 1
 		}
 		return 20
@@ -177,8 +177,8 @@
 	measureIdle(b, w, "idle")
 	var contacts []float64
 	for _, o := range w.nodes {
-		if o.contact() {
-			contacts = append(contacts, float64(o.sent)/60)
+		if o.isContact() {
+			contacts = append(contacts, float64(o.sentBytes)/60)
 		}
 	}
 	b.ReportMetric(mean(contacts), "contact-sent-B/s")
@@ -187,51 +187,50 @@
 	measureCuts(b, w)
 }
 
-// measureCuts reports how long it takes until no VM elsewhere takes a data
-// centre for reachable that is cut off, and until all do once it is back.
+// measureCuts reports how long it takes until all VMs elsewhere see that a data centre
+// is cut off, and until all see that it is back.
 func measureCuts(b *testing.B, w *network) {
 	var cut, healed []float64
 	for range 5 {
-		cut = append(cut, w.until(b, true))
+		cut = append(cut, w.timeUntilSeen(b, true))
 		w.run(tier.Minute, nil)
-		healed = append(healed, w.until(b, false))
+		healed = append(healed, w.timeUntilSeen(b, false))
 		w.run(tier.Minute, nil)
 	}
 	report(b, cut, "cut-seen")
 	report(b, healed, "healing-seen")
 }
 
-func (w *network) until(b *testing.B, cut bool) float64 {
-	w.cut = uncut
+func (w *network) timeUntilSeen(b *testing.B, cut bool) float64 {
+	w.isCut = connected
 	if cut {
-		w.cut = splitBy(func(n *node) bool { return n.home == "dc1" })
+		w.isCut = partitionBy(func(n *node) bool { return n.localDataCentre == "dc1" })
 	}
 	from := w.now()
 	seen := func() bool {
-		return !slices.ContainsFunc(w.nodes, func(o *node) bool { return o.home != "dc1" && o.Reachable("dc1") == cut })
+		return !slices.ContainsFunc(w.nodes, func(o *node) bool { return o.localDataCentre != "dc1" && o.Reachable("dc1") == cut })
 	}
 	if !w.run(5*tier.Minute, seen) {
-		b.Fatalf("cut %v is not seen everywhere", cut)
+		b.Fatalf("not all VMs have detected cut=%v", cut)
 	}
 	return float64(w.now() - from)
 }
 
-// mustReachAll checks that each node knows VMs of each data centre, and that
-// it reaches them.
+// mustReachAll checks that each node knows VMs of each data centre and reaches it.
 func (w *network) mustReachAll(b *testing.B, n int) {
 	for _, o := range w.nodes {
 		for d := range n {
 			name := fmt.Sprintf("dc%d", d)
-			if !o.Reachable(name) || len(o.ranked(name)) < 8 {
-				b.Fatalf("%s: %s reachable %v, knows %d", o.name, name, o.Reachable(name), len(o.ranked(name)))
+			if !o.Reachable(name) || len(o.rankedMembers(name)) < 8 {
+				b.Fatalf("%s: %s reachable %v, %d VMs of it known, want at least 8", o.name, name, o.Reachable(name), len(o.rankedMembers(name)))
 			}
 		}
 	}
 }
 
-// measureLoad reports bytes, and the age of what other VMs hold, while some
-// VMs publish a value of a size at an interval for three minutes.
-func measureLoad(b *testing.B, w *network, what string, publishers, size int, every tier.Millis) {
+// measureLoad reports the bytes sent, and the age of the values held by other VMs,
+// while some VMs publish values of a given size at an interval for three minutes.
+func measureLoad(b *testing.B, w *network, label string, publishers, size int, every tier.Millis) {
 	end := w.now() + 3*tier.Minute
 	for _, n := range w.nodes[:publishers] {
 		var publish func()
@@ -248,15 +247,15 @@
 	var ages []float64
 	for range 20 {
 		w.run(tier.Second, nil)
-		ages = append(ages, w.ages(publishers)...)
+		ages = append(ages, w.entryAges(publishers)...)
 	}
-	report(b, ages, what+"-age")
-	measureIdle(b, w, what)
+	report(b, ages, label+"-age")
+	measureIdle(b, w, label)
 	w.run(tier.Minute, nil)
 }
 
-// ages lists how long ago each VM's publishers wrote what it holds of them.
-func (w *network) ages(publishers int) []float64 {
+// entryAges lists the ages of the publishers' entries as held by all other VMs.
+func (w *network) entryAges(publishers int) []float64 {
 	var out []float64
 	for _, n := range w.nodes[:publishers] {
 		for _, o := range w.nodes {
@@ -269,8 +268,8 @@
 	return out
 }
 
-// measureDeaths reports how long a VM that vanishes is taken for alive, where
-// its machine refuses connections, and where it does not answer.
+// measureDeaths reports how long it takes until all VMs declare a vanished VM dead:
+// with refused connections, and with connections that time out.
 func measureDeaths(b *testing.B, w *network) {
 	var refused, silent []float64
 	for i := range 5 {
@@ -281,7 +280,7 @@
 		}
 		w.add(testVM("caxias", 1000+i, 0), w.nodes[0].address)
 		w.run(tier.Minute, nil)
-		w.mustAgree(5*tier.Minute, "after deaths")
+		w.mustConverge(5*tier.Minute, "after deaths")
 	}
 	report(b, refused, "death-refused")
 	report(b, silent, "death-silent")
@@ -291,16 +290,16 @@
 	n := w.nodes[1+w.random.IntN(len(w.nodes)-1)]
 	from := w.now()
 	end(n)
-	buried := func() bool {
+	allDeclaredDead := func() bool {
 		return !slices.ContainsFunc(w.nodes, func(o *node) bool { return o != n && !o.records[n.name].dead })
 	}
-	if !w.run(5*tier.Minute, buried) {
-		b.Fatalf("%s is not dead everywhere", n.name)
+	if !w.run(5*tier.Minute, allDeclaredDead) {
+		b.Fatalf("not all VMs have declared %s dead", n.name)
 	}
 	return float64(w.now() - from)
 }
 
-// measureMemory reports the heap of each VM, the test's share included.
+// measureMemory reports the heap per VM, including that of the test itself.
 func measureMemory(b *testing.B, n int) {
 	var m runtime.MemStats
 	runtime.GC()
@@ -310,26 +309,26 @@
 
 func replaceHalf(w *network) {
 	for _, n := range slices.Clone(w.nodes[:len(w.nodes)/2]) {
-		w.add(n.own.vm.With(tier.WithIncarnation(n.own.incarnation+1000)), w.nodes[len(w.nodes)-1].address)
+		w.add(n.self.vm.With(tier.WithIncarnation(n.self.incarnation+1000)), w.nodes[len(w.nodes)-1].address)
 	}
 }
 
-// measureAgreement reports how long it takes until 99 of 100 members are held
-// rightly, over all VMs, and until all are.
-func measureAgreement(b *testing.B, w *network, what string) {
+// measureAgreement reports how long it takes until 99 of 100 member records over all
+// VMs are correct, and until all are.
+func measureAgreement(b *testing.B, w *network, label string) {
 	from := w.now()
 	limit := len(w.nodes) * len(w.nodes) / 100
-	if !w.run(5*tier.Minute, func() bool { return w.wrong() <= limit }) {
-		b.Fatalf("%s: members differ:\n%s", what, w.views())
+	if !w.run(5*tier.Minute, func() bool { return w.countWrong() <= limit }) {
+		b.Fatalf("%s: members differ:\n%s", label, w.describeViews())
 	}
-	b.ReportMetric(float64(w.now()-from), what+"-99%-ms")
-	b.ReportMetric(float64(w.now()-from+w.mustAgree(5*tier.Minute, what)), what+"-all-ms")
+	b.ReportMetric(float64(w.now()-from), label+"-99%-ms")
+	b.ReportMetric(float64(w.now()-from+w.mustConverge(5*tier.Minute, label)), label+"-all-ms")
 }
 
-func report(b *testing.B, times []float64, what string) {
+func report(b *testing.B, times []float64, label string) {
 	slices.Sort(times)
-	b.ReportMetric(times[len(times)/2], what+"-median-ms")
-	b.ReportMetric(times[len(times)-1], what+"-worst-ms")
+	b.ReportMetric(times[len(times)/2], label+"-median-ms")
+	b.ReportMetric(times[len(times)-1], label+"-worst-ms")
 }
 
 func mean(list []float64) float64 {
--- a/tier/gossiper/message.go
+++ b/tier/gossiper/message.go
@@ -6,8 +6,7 @@
 	"cicadagrade.example/tier"
 )
 
-// Digest says up to which version a VM holds, without a gap, what another VM
-// wrote in one life.
+// Digest says up to which version a VM holds all writes of another VM's incarnation.
 type Digest struct {
 	origin      string
 	incarnation tier.Incarnation
@@ -19,17 +18,17 @@
 	return Digest{origin: origin, incarnation: i, version: version}
 }
 
-// Origin is the VM that wrote.
+// Origin is the name of the VM that wrote.
 func (d Digest) Origin() string { return d.origin }
 
-// Incarnation is the origin's life.
+// Incarnation is the origin's incarnation.
 func (d Digest) Incarnation() tier.Incarnation { return d.incarnation }
 
-// Version is the highest version held without a gap.
+// Version is the highest version below which no write is missing.
 func (d Digest) Version() uint64 { return d.version }
 
-// Entry is one value that its origin wrote. An entry without an origin is
-// shared: its highest (incarnation, version) wins, whoever wrote it.
+// Entry is one value that its origin wrote. An entry without an origin is shared: the
+// one with the highest (incarnation, version) wins, whichever VM wrote it.
 type Entry struct {
 	origin      string
 	incarnation tier.Incarnation
@@ -43,27 +42,27 @@
 	return Entry{origin: origin, incarnation: i, version: version, key: key, value: value}
 }
 
-// Origin is the VM that wrote it, empty for a shared entry.
+// Origin is the VM that wrote the entry; it is empty for a shared entry.
 func (e Entry) Origin() string { return e.origin }
 
-// Incarnation is the origin's life, or a shared entry's epoch.
+// Incarnation is the origin's incarnation, or a shared entry's epoch.
 func (e Entry) Incarnation() tier.Incarnation { return e.incarnation }
 
-// Version numbers the origin's writes, or is a shared entry's revision.
+// Version is the number of the origin's write, or a shared entry's revision.
 func (e Entry) Version() uint64 { return e.version }
 
-// Key names the value.
+// Key is the key of the value.
 func (e Entry) Key() string { return e.key }
 
-// Value is the value; callers must not change it.
+// Value returns the value; callers must not change it.
 func (e Entry) Value() []byte { return e.value }
 
 // Message is a request or a reply of one exchange.
 //
-// The digests of a request, read as a circle of names from the first to the
-// last, say what the sender holds; a name inside that arc that is not listed
-// is unknown to the sender. The digests of a reply say up to which version
-// the receiver holds the origin's writes once it has taken the entries.
+// The digests of a request say what its sender holds. Names form a ring, and the
+// digests cover it from the first name listed to the last; a name in this range that
+// is not listed is unknown to the sender. The digests of a reply say up to which
+// version the receiver holds all writes of an origin once it has applied the entries.
 type Message struct {
 	sender      string
 	incarnation tier.Incarnation
@@ -71,25 +70,25 @@
 	entries     []Entry
 }
 
-// NewMessage returns a message as it came from a peer.
+// NewMessage returns a message received from a peer.
 func NewMessage(sender string, i tier.Incarnation, digests []Digest, entries []Entry) *Message {
 	return &Message{sender: sender, incarnation: i, digests: digests, entries: entries}
 }
 
-// Sender is the VM that sent it.
+// Sender is the VM that sent the message.
 func (m *Message) Sender() string { return m.sender }
 
-// Incarnation is the sender's life.
+// Incarnation is the sender's incarnation.
 func (m *Message) Incarnation() tier.Incarnation { return m.incarnation }
 
-// Digests lists the digests.
+// Digests returns the digests.
 func (m *Message) Digests() []Digest { return m.digests }
 
-// Entries lists the entries.
+// Entries returns the entries.
 func (m *Message) Entries() []Entry { return m.entries }
 
-// Size is the length in bytes of the encoded message with the headers that
-// carry it.
+// Size returns the length in bytes of the encoded message and the headers that carry
+// it.
 func (m *Message) Size() int {
 	n := messageOverhead + fieldSize(len(m.sender)) + 1 + varintSize(uint64(m.incarnation))
 	for _, d := range m.digests {
@@ -110,7 +109,8 @@
 	return fieldSize(fieldSize(len(e.origin)) + numbers + fieldSize(len(e.key)) + fieldSize(len(e.value)))
 }
 
-// fieldSize is the length of a protocol buffer field of n bytes.
+// fieldSize returns the encoded length of a protocol buffer field with n bytes of
+// content.
 func fieldSize(n int) int { return 1 + varintSize(uint64(n)) + n }
 
 func varintSize(v uint64) int { return (bits.Len64(v|1) + 6) / 7 }
--- a/tier/gossiper/options.go
+++ b/tier/gossiper/options.go
@@ -6,115 +6,117 @@
 	"cicadagrade.example/tier"
 )
 
-// Sizes and bounds of what is exchanged, in bytes unless named otherwise.
+// Limits of what is exchanged, in bytes unless noted otherwise.
 const (
 	MaxKey   = 128
 	MaxValue = 4096
 
 	maxMessage      = 16 << 10
-	messageOverhead = 250 // headers of a request or a reply
-	digestWindow    = 16  // digests in a request when little is missing
-	maxWindow       = 128 // digests in a request when much is missing
-	manyPulled      = 3   // writers in a reply from which much is missing
-	fewDigests      = 5   // fewer in a request come from a newcomer
-	newcomerRoom    = 512 // for entries in a reply to a newcomer, at least
-	maxNumber       = 1 << 62
-	maxVarint       = 10 // of an encoded number
-	maxRecords      = 16 << 10
-	maxKeys         = 1024
+	messageOverhead = 250      // headers of a request or a reply
+	minDigests      = 16       // digests in a request when little is missing
+	maxDigests      = 128      // digests in a request when much is missing
+	widenThreshold  = 3        // origins in a reply at which the next request lists more digests
+	newcomerDigests = 5        // a request with fewer digests comes from a newcomer
+	newcomerBudget  = 512      // minimum for a reply to a newcomer
+	maxCounter      = 1 << 62  // of incarnations and versions
+	maxVarint       = 10       // longest encoded number
+	maxRecords      = 16 << 10 // VMs
+	maxKeys         = 1024     // of one VM, or of shared entries
 )
 
-// wholeWait is the time, for each member, between requests of a VM catching up
-// that list the whole table.
-const wholeWait = tier.Millis(10)
+// fullDigestsDelayPerMember times the number of members is the least time between two
+// requests in which a VM that catches up lists all digests.
+const fullDigestsDelayPerMember = tier.Millis(10)
 
 // Contacts is how many VMs of a data centre exchange with other data centres.
 const Contacts = 3
 
-// config is what options set.
+// config holds the values that options set.
 type config struct {
-	idle        tier.Millis
-	fast        tier.Millis
-	pause       tier.Millis
-	suspicion   tier.Millis
-	catchUp     tier.Millis
-	forget      tier.Millis
-	linkTimeout tier.Millis
-	flightLimit tier.Millis
-	rate        int
-	burst       int
-	remoteKept  int
-	seed        uint64
+	idleInterval     tier.Millis
+	fastInterval     tier.Millis
+	pauseThreshold   tier.Millis
+	suspicionTimeout tier.Millis
+	catchUpTime      tier.Millis // after a start or a pause
+	forgetAfter      tier.Millis
+	linkTimeout      tier.Millis // without a reply from a data centre
+	exchangeTimeout  tier.Millis // until an exchange without an outcome is dropped
+	bytesPerSecond   int
+	burstBytes       int
+	maxRemoteMembers int
+	seed             uint64
 }
 
 // Option sets one field of a Gossiper.
 type Option func(*config)
 
-// WithSeed sets the seed of the choice of peers.
+// WithSeed sets the seed of the random choice of peers.
 func WithSeed(seed uint64) Option { return func(c *config) { c.seed = seed } }
 
-// WithIntervals sets the time between rounds: when there is no news, and
-// while news spreads.
+// WithIntervals sets the time between rounds when there are no updates to spread, and
+// while there are.
 func WithIntervals(idle, fast tier.Millis) Option {
-	return func(c *config) { c.idle, c.fast = idle, fast }
+	return func(c *config) { c.idleInterval, c.fastInterval = idle, fast }
 }
 
-// WithRate sets the bytes a second that are sent at most, on average, and how
-// many may be sent at once above that.
+// WithRate sets the average number of bytes sent a second, and how many may be
+// sent at once above that.
 func WithRate(bytesPerSecond, burst int) Option {
-	return func(c *config) { c.rate, c.burst = bytesPerSecond, burst }
+	return func(c *config) { c.bytesPerSecond, c.burstBytes = bytesPerSecond, burst }
 }
 
-// WithSuspicion sets the shortest time between the first failed exchange with
-// a VM and its death. It grows with the logarithm of the members.
-func WithSuspicion(m tier.Millis) Option { return func(c *config) { c.suspicion = m } }
+// WithSuspicion sets the least time between the first failed exchange with a VM
+// and declaring it dead. The actual time grows with the logarithm of the number of
+// members.
+func WithSuspicion(m tier.Millis) Option { return func(c *config) { c.suspicionTimeout = m } }
 
-// WithPause sets the gap between ticks after which a VM no longer trusts what
-// it holds.
-func WithPause(m tier.Millis) Option { return func(c *config) { c.pause = m } }
+// WithPause sets the gap between ticks above which a VM treats its state as
+// stale.
+func WithPause(m tier.Millis) Option { return func(c *config) { c.pauseThreshold = m } }
 
 // WithForget sets how long a dead VM is remembered.
-func WithForget(m tier.Millis) Option { return func(c *config) { c.forget = m } }
+func WithForget(m tier.Millis) Option { return func(c *config) { c.forgetAfter = m } }
 
 // WithRemoteKept sets how many VMs of each other data centre are kept.
-func WithRemoteKept(n int) Option { return func(c *config) { c.remoteKept = n } }
+func WithRemoteKept(n int) Option { return func(c *config) { c.maxRemoteMembers = n } }
 
 // Defaults sets every field.
 func (c *config) Defaults() {
-	c.idle = tier.Second
-	c.fast = tier.Second / 4
-	c.pause = 2 * tier.Second
-	c.suspicion = 5 * tier.Second / 2
-	c.catchUp = 10 * tier.Second
-	c.forget = 2 * tier.Hour
+	c.idleInterval = tier.Second
+	c.fastInterval = tier.Second / 4
+	c.pauseThreshold = 2 * tier.Second
+	c.suspicionTimeout = 5 * tier.Second / 2
+	c.catchUpTime = 10 * tier.Second
+	c.forgetAfter = 2 * tier.Hour
 	c.linkTimeout = 5 * tier.Second
-	c.flightLimit = 30 * tier.Second
-	c.rate = 2400
-	c.burst = 48 << 10
-	c.remoteKept = 8
+	c.exchangeTimeout = 30 * tier.Second
+	c.bytesPerSecond = 2400
+	c.burstBytes = 48 << 10
+	c.maxRemoteMembers = 8
 	c.seed = 1
 }
 
-// Validate reports every bad field in a *tier.InvalidError.
+// Validate reports all invalid fields in one *tier.InvalidError.
 func (c *config) Validate() error {
-	var l []tier.FieldProblem
+	var problems []tier.FieldProblem
 	check := func(ok bool, path string, value any, allowed string) {
 		if !ok {
-			l = append(l, tier.NewFieldProblem(path, value, allowed))
+			problems = append(problems, tier.NewFieldProblem(path, value, allowed))
 		}
 	}
-	check(c.fast >= 10, "fast-interval-ms", c.fast, "at least 10")
-	check(c.idle >= c.fast, "idle-interval-ms", c.idle, "at least the fast interval")
-	check(c.pause > c.idle, "pause-ms", c.pause, "more than the idle interval")
-	check(c.suspicion >= c.pause, "suspicion-ms", c.suspicion, "at least the pause")
-	check(c.forget > c.suspicion, "forget-ms", c.forget, "more than the suspicion time")
-	check(c.rate >= 4*messageOverhead, "rate", c.rate, "at least 1000 bytes a second")
-	check(c.burst >= maxMessage, "burst", c.burst, "at least 16384 bytes")
-	check(c.remoteKept >= Contacts, "remote-kept", c.remoteKept, "at least 3")
-	return tier.NewInvalidError("gossiper", l)
+	check(c.fastInterval >= 10, "fast-interval-ms", c.fastInterval, "at least 10")
+	check(c.idleInterval >= c.fastInterval, "idle-interval-ms", c.idleInterval, "at least the fast interval")
+	check(c.pauseThreshold > c.idleInterval, "pause-ms", c.pauseThreshold, "more than the idle interval")
+	check(c.suspicionTimeout >= c.pauseThreshold, "suspicion-ms", c.suspicionTimeout, "at least the pause")
+	check(c.forgetAfter > c.suspicionTimeout, "forget-ms", c.forgetAfter, "more than the suspicion time")
+	check(c.bytesPerSecond >= 4*messageOverhead, "rate", c.bytesPerSecond, "at least 1000 bytes a second")
+	check(c.burstBytes >= maxMessage, "burst", c.burstBytes, "at least 16384 bytes")
+	check(c.maxRemoteMembers >= Contacts, "remote-kept", c.maxRemoteMembers, "at least 3")
+	return tier.NewInvalidError("gossiper", problems)
 }
 
-// suspicionTime is how long a VM has to refute a suspicion among n members.
-func (c *config) suspicionTime(n int) tier.Millis {
-	return c.suspicion + tier.Millis(bits.Len(uint(n)))*tier.Second/2
+// suspicionTimeoutAmong returns how long a VM has to refute a suspicion among n
+// members.
+func (c *config) suspicionTimeoutAmong(n int) tier.Millis {
+	return c.suspicionTimeout + tier.Millis(bits.Len(uint(n)))*tier.Second/2
 }
--- a/tier/gossiper/property_test.go
+++ b/tier/gossiper/property_test.go
@@ -10,21 +10,22 @@
 	"cicadagrade.example/tier"
 )
 
-// holder takes entries and tells what it holds: a Gossiper, or a broken one.
-type holder interface {
-	take(e Entry)
-	held(origin, key string) (tier.Incarnation, uint64)
+// entryStore takes entries and reports the versions that it holds. It is a Gossiper
+// or, to test the check, a broken implementation.
+type entryStore interface {
+	takeEntry(e Entry)
+	heldVersion(origin, key string) (tier.Incarnation, uint64)
 }
 
-type gossipHolder struct{ *Gossiper }
+type gossiperStore struct{ *Gossiper }
 
-func (h gossipHolder) take(e Entry) {
+func (h gossiperStore) takeEntry(e Entry) {
 	h.Step(h.now+10, NewExchangeReceived(NewMessage("caxias-1", 1, nil, []Entry{e})))
 }
 
-func (h gossipHolder) held(origin, key string) (tier.Incarnation, uint64) {
+func (h gossiperStore) heldVersion(origin, key string) (tier.Incarnation, uint64) {
 	if origin == "" {
-		e := h.shared[key]
+		e := h.sharedEntries[key]
 		return e.incarnation, e.version
 	}
 	r, ok := h.records[origin]
@@ -34,24 +35,24 @@
 	return r.incarnation, r.entries[key].version
 }
 
-// lastWins keeps whatever came last.
-type lastWins map[rumourKey]Entry
+// lastWriteStore is a broken implementation: it keeps the entry that came last.
+type lastWriteStore map[entryKey]Entry
 
-func (h lastWins) take(e Entry) { h[rumourKey{e.origin, e.key}] = e }
+func (h lastWriteStore) takeEntry(e Entry) { h[entryKey{e.origin, e.key}] = e }
 
-func (h lastWins) held(origin, key string) (tier.Incarnation, uint64) {
-	e := h[rumourKey{origin, key}]
+func (h lastWriteStore) heldVersion(origin, key string) (tier.Incarnation, uint64) {
+	e := h[entryKey{origin, key}]
 	return e.incarnation, e.version
 }
 
-// checkNewest reports an older value that replaced a newer one.
-func checkNewest(h holder, entries []Entry) error {
+// checkMonotonic returns an error if an older entry replaced a newer one.
+func checkMonotonic(h entryStore, entries []Entry) error {
 	for _, e := range entries {
-		wasLife, wasVersion := h.held(e.origin, e.key)
-		h.take(e)
-		life, version := h.held(e.origin, e.key)
-		if life < wasLife || life == wasLife && version < wasVersion {
-			return fmt.Errorf("%d.%d of %s %s replaced %d.%d", life, version, e.origin, e.key, wasLife, wasVersion)
+		previousIncarnation, previousVersion := h.heldVersion(e.origin, e.key)
+		h.takeEntry(e)
+		incarnation, version := h.heldVersion(e.origin, e.key)
+		if incarnation < previousIncarnation || incarnation == previousIncarnation && version < previousVersion {
+			return fmt.Errorf("version %d.%d of origin %q, key %s, replaced %d.%d", incarnation, version, e.origin, e.key, previousIncarnation, previousVersion)
 		}
 	}
 	return nil
@@ -68,40 +69,41 @@
 	)
 }
 
-func newHolder(t interface{ Fatal(...any) }) gossipHolder {
+func newGossiperStore(t interface{ Fatal(...any) }) gossiperStore {
 	g, err := New(testVM("caxias", 9, 0))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return gossipHolder{g}
+	return gossiperStore{g}
 }
 
-func TestNothingOlderReplaces(t *testing.T) {
+func TestOlderEntryNeverReplacesNewer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := rapid.SliceOfN(rapid.Custom(drawEntry), 1, 40).Draw(t, "entries")
-		if err := checkNewest(newHolder(t), entries); err != nil {
+		if err := checkMonotonic(newGossiperStore(t), entries); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// TestNewestCheckFails shows that the check sees an older value.
-func TestNewestCheckFails(t *testing.T) {
+// TestMonotonicCheckDetectsOlderEntry checks that checkMonotonic rejects a store in
+// which an older entry wins.
+func TestMonotonicCheckDetectsOlderEntry(t *testing.T) {
 	entries := []Entry{NewEntry("caxias-0", 2, 1, "config", nil), NewEntry("caxias-0", 1, 5, "config", nil)}
-	if checkNewest(lastWins{}, entries) == nil {
-		t.Fatal("the check accepts an older life")
+	if checkMonotonic(lastWriteStore{}, entries) == nil {
+		t.Fatal("checkMonotonic accepts an entry of an older incarnation")
 	}
 }
 
-// disturb draws cuts, deaths, replacements, pauses and waits, then heals.
-func disturb(t *rapid.T, w *network, n int) {
+// injectFaults draws partitions, kills, replacements, pauses, message loss and waits.
+func injectFaults(t *rapid.T, w *network, n int) {
 	seed := testVM("caxias", 0, 0).Address()
 	for i := range rapid.IntRange(1, 8).Draw(t, "steps") {
 		one := w.nodes[rapid.IntRange(0, len(w.nodes)-1).Draw(t, "vm")]
 		switch rapid.SampledFrom([]string{"cut", "replace", "rename", "pause", "leave", "lossy", "kill"}).Draw(t, "what") {
 		case "cut":
 			mask := rapid.IntRange(1, 1<<n-2).Draw(t, "mask")
-			w.cut = splitBy(func(o *node) bool { return mask>>(o.address[len(o.address)-6]-'0')&1 == 1 })
+			w.isCut = partitionBy(func(o *node) bool { return mask>>(o.address[len(o.address)-6]-'0')&1 == 1 })
 		case "replace":
 			w.add(one.Self().With(tier.WithIncarnation(one.Self().Incarnation()+tier.Incarnation(1000*i)), tier.WithVMState(tier.VMJoining)), seed)
 		case "rename":
@@ -114,7 +116,7 @@
 		case "lossy":
 			w.loss = 0.3
 		case "kill":
-			if w.count(one.home) > 1 {
+			if w.count(one.localDataCentre) > 1 {
 				w.kill(one)
 			}
 		}
@@ -125,15 +127,15 @@
 func (w *network) count(dataCentre string) int {
 	n := 0
 	for _, o := range w.nodes {
-		if o.home == dataCentre {
+		if o.localDataCentre == dataCentre {
 			n++
 		}
 	}
 	return n
 }
 
-func heal(w *network) {
-	w.cut = uncut
+func healFaults(w *network) {
+	w.isCut = connected
 	w.loss = 0
 	for _, n := range w.nodes {
 		n.paused = false
@@ -143,37 +145,38 @@
 func TestConvergesOnceHealed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newNetwork(nil, rapid.Uint64().Draw(t, "seed"))
-		today(w)
+		startThreeDataCentres(w)
 		w.run(5*tier.Second, nil)
-		disturb(t, w, 7)
-		heal(w)
-		if !w.run(2*tier.Minute, w.agree) {
-			t.Fatalf("members differ:\n%s", w.views())
+		injectFaults(t, w, 7)
+		healFaults(w)
+		if !w.run(2*tier.Minute, w.converged) {
+			t.Fatalf("members differ:\n%s", w.describeViews())
 		}
 	})
 }
 
-// TestConvergenceCheckFails shows that the check sees members that differ.
-func TestConvergenceCheckFails(t *testing.T) {
+// TestConvergenceCheckDetectsPartition checks that converged is false while members
+// are partitioned.
+func TestConvergenceCheckDetectsPartition(t *testing.T) {
 	w := newNetwork(t, 9)
 	for i := range 6 {
 		w.add(testVM("caxias", i, 0), testVM("caxias", 0, 0).Address())
 	}
-	w.mustAgree(20*tier.Second, "join")
-	w.cut = splitBy(func(n *node) bool { return n.name < "caxias-3" })
+	w.mustConverge(20*tier.Second, "join")
+	w.isCut = partitionBy(func(n *node) bool { return n.name < "caxias-3" })
 	w.run(tier.Minute, nil)
-	if w.run(2*tier.Minute, w.agree) {
-		t.Fatal("the check accepts members that are cut in two")
+	if w.run(2*tier.Minute, w.converged) {
+		t.Fatal("converged accepts partitioned members")
 	}
 }
 
-// FuzzMessage feeds decoded bytes of any kind to a gossiper.
+// FuzzMessage passes arbitrary decoded messages to a gossiper.
 func FuzzMessage(f *testing.F) {
 	f.Add("caxias-0", uint64(1), uint64(1), keyVM, encodeVM(testVM("caxias", 0, 0), 1))
 	f.Add("caxias-9", uint64(1<<63), uint64(1<<63), statusDead, []byte{})
 	f.Add("", uint64(0), uint64(0), "", []byte(`["live","caxias","10.0.0.1:1","x"]`))
 	f.Fuzz(func(t *testing.T, origin string, incarnation, version uint64, key string, value []byte) {
-		h := newHolder(t)
+		h := newGossiperStore(t)
 		e := NewEntry(origin, tier.Incarnation(incarnation), version, key, value)
 		d := NewDigest(origin, tier.Incarnation(incarnation), version)
 		m := NewMessage(origin, tier.Incarnation(incarnation), []Digest{d, d}, []Entry{e})
@@ -184,15 +187,15 @@
 			}
 		}
 		for _, v := range h.Members() {
-			if !tier.ValidName(v.Name()) || v.Incarnation() > maxNumber+1 {
-				t.Fatalf("member %v", v)
+			if !tier.ValidName(v.Name()) || v.Incarnation() > maxCounter+1 {
+				t.Fatalf("invalid member %v", v)
 			}
 		}
 	})
 }
 
-// init fixes the seed of the properties, unless one is given, so that each run
-// draws the same.
+// init fixes the seed of the property tests, unless one is given, so that each run
+// draws the same cases.
 func init() {
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
 		_ = f.Value.Set("20261204")
--- a/tier/gossiper/record.go
+++ b/tier/gossiper/record.go
@@ -11,8 +11,8 @@
 	"cicadagrade.example/tier"
 )
 
-// Keys that the gossiper itself writes. The statuses are said by peers about
-// an origin; the others are written by the origin.
+// Keys that the gossiper itself writes. A status key says what a peer believes about
+// the origin; the other keys are written by the origin itself.
 const (
 	keyVM         = "vm"
 	keyLink       = "link/"
@@ -20,25 +20,25 @@
 	statusDead    = "~dead"
 )
 
-type written struct {
+type versionedValue struct {
 	version uint64
 	value   []byte
 }
 
-// record is what is held of one VM.
+// record holds what is known of one VM.
 type record struct {
-	vm          tier.VM
-	known       bool // its own entry has been read
-	incarnation tier.Incarnation
-	version     uint64 // held without a gap up to here
-	highest     uint64
-	entries     map[string]written
-
-	suspectAt    uint64 // the version that a suspicion names, 0 for none
-	suspectSince tier.Millis
-	dead         bool
-	deadSince    tier.Millis
-	shown        tier.VM // as last told to the shell
+	vm                tier.VM
+	vmKnown           bool // the VM's own entry has been read
+	incarnation       tier.Incarnation
+	contiguousVersion uint64 // no write up to here is missing
+	highestVersion    uint64 // highest write heard of
+	entries           map[string]versionedValue
+
+	suspectVersion uint64 // version named by the suspicion, 0 for none
+	suspectSince   tier.Millis
+	dead           bool
+	deadSince      tier.Millis
+	lastReported   tier.VM // as in the last MemberChanged
 }
 
 func newRecord(name string, i tier.Incarnation) *record {
@@ -47,54 +47,54 @@
 	return r
 }
 
-// reset starts a new life, which voids what the former one wrote.
+// reset starts a new incarnation, which discards the entries of the former one.
 func (r *record) reset(i tier.Incarnation) {
 	r.incarnation = i
-	r.version, r.highest = 0, 0
-	r.entries = map[string]written{}
-	r.suspectAt = 0
+	r.contiguousVersion, r.highestVersion = 0, 0
+	r.entries = map[string]versionedValue{}
+	r.suspectVersion = 0
 	r.dead = false
 	r.vm = r.vm.With(tier.WithIncarnation(i), tier.WithVMState(tier.VMJoining))
 }
 
-// take stores a written value and reports whether it is news. It advances the
-// gapless version only when nothing is missing below.
-func (r *record) take(e Entry) bool {
+// store stores an entry and reports whether it is newer than the one held. It advances
+// the contiguous version only if no write below it is missing.
+func (r *record) store(e Entry) bool {
 	if e.version <= r.entries[e.key].version {
 		return false
 	}
 	if _, ok := r.entries[e.key]; !ok && len(r.entries) >= maxKeys {
 		return false
 	}
-	r.entries[e.key] = written{version: e.version, value: e.value}
-	r.highest = max(r.highest, e.version)
-	r.advance(r.version)
+	r.entries[e.key] = versionedValue{version: e.version, value: e.value}
+	r.highestVersion = max(r.highestVersion, e.version)
+	r.advanceContiguous(r.contiguousVersion)
 	return true
 }
 
-// advance takes note that nothing is missing up to a version, and goes on over
-// what is held above it.
-func (r *record) advance(version uint64) {
-	r.version = max(r.version, min(version, r.highest))
-	for r.holds(r.version + 1) {
-		r.version++
+// advanceContiguous notes that no write up to a version is missing, and moves on over
+// the writes held directly above it.
+func (r *record) advanceContiguous(version uint64) {
+	r.contiguousVersion = max(r.contiguousVersion, min(version, r.highestVersion))
+	for r.holdsVersion(r.contiguousVersion + 1) {
+		r.contiguousVersion++
 	}
 }
 
-// lowest is the lowest version that was not overwritten, once the entry of
-// that key is written again.
-func (r *record) lowest(key string) uint64 {
-	low := r.highest + 1
+// lowestVersion returns the lowest version in use once the entry of that key is
+// written again. All writes below it were overwritten.
+func (r *record) lowestVersion(key string) uint64 {
+	lowest := r.highestVersion + 1
 	for k, w := range r.entries {
 		if k != key {
-			low = min(low, w.version)
+			lowest = min(lowest, w.version)
 		}
 	}
-	return low
+	return lowest
 }
 
-func (r *record) holds(version uint64) bool {
-	if version > r.highest {
+func (r *record) holdsVersion(version uint64) bool {
+	if version > r.highestVersion {
 		return false
 	}
 	for _, w := range r.entries {
@@ -105,22 +105,22 @@
 	return false
 }
 
-// state is the VM with the state that peers see.
-func (r *record) state() tier.VM {
+// vmWithState returns the VM, in the state dead if it was declared dead.
+func (r *record) vmWithState() tier.VM {
 	if r.dead {
 		return r.vm.With(tier.WithVMState(tier.VMDead))
 	}
 	return r.vm
 }
 
-// entry is a held value as it goes to a peer.
+// entry returns a held value as it is sent to peers.
 func (r *record) entry(key string) Entry {
 	w := r.entries[key]
 	return NewEntry(r.vm.Name(), r.incarnation, w.version, key, w.value)
 }
 
-// since lists what was written above a version, in the order of writing.
-func (r *record) since(version uint64) []Entry {
+// entriesAfter lists the entries above a version in the order of writing.
+func (r *record) entriesAfter(version uint64) []Entry {
 	var out []Entry
 	for k, w := range r.entries {
 		if w.version > version {
@@ -131,12 +131,12 @@
 	return out
 }
 
-func (r *record) status(key string) Entry {
-	return NewEntry(r.vm.Name(), r.incarnation, max(r.suspectAt, 1), key, nil)
+func (r *record) statusEntry(key string) Entry {
+	return NewEntry(r.vm.Name(), r.incarnation, max(r.suspectVersion, 1), key, nil)
 }
 
-// vmJSON is a VM's state, data centre and address, and the lowest version of
-// what it has written and not overwritten.
+// vmJSON is the encoded entry of a VM: state, data centre, address, and the lowest
+// version that it has not overwritten.
 type vmJSON [4]string
 
 func encodeVM(v tier.VM, lowest uint64) []byte {
@@ -144,28 +144,28 @@
 	return b
 }
 
-// decodeVM reads what a VM says of itself.
+// decodeVM decodes the entry that a VM writes about itself.
 func decodeVM(name string, i tier.Incarnation, b []byte) (tier.VM, uint64, error) {
-	var j vmJSON
-	if err := json.Unmarshal(b, &j); err != nil {
+	var fields vmJSON
+	if err := json.Unmarshal(b, &fields); err != nil {
 		return tier.VM{}, 0, errors.Wrap(err, "decodeVM")
 	}
-	var l []tier.FieldProblem
+	var problems []tier.FieldProblem
 	check := func(ok bool, path, value, allowed string) {
 		if !ok {
-			l = append(l, tier.NewFieldProblem(path, value, allowed))
+			problems = append(problems, tier.NewFieldProblem(path, value, allowed))
 		}
 	}
-	said := []tier.VMState{tier.VMJoining, tier.VMLive, tier.VMLeaving}
-	state := slices.IndexFunc(said, func(s tier.VMState) bool { return s.String() == j[0] })
-	check(state >= 0, "state", j[0], "joining, live or leaving")
-	check(tier.ValidName(j[1]), "data-centre", j[1], "a name")
-	address, err := netip.ParseAddrPort(j[2])
-	check(err == nil && address.Port() > 0, "address", j[2], "an IP number and port")
-	lowest, err := strconv.ParseUint(j[3], 10, 62)
-	check(err == nil, "lowest-version", j[3], "a version")
-	if err := tier.NewInvalidError("VM "+name, l); err != nil {
+	allowedStates := []tier.VMState{tier.VMJoining, tier.VMLive, tier.VMLeaving}
+	state := slices.IndexFunc(allowedStates, func(s tier.VMState) bool { return s.String() == fields[0] })
+	check(state >= 0, "state", fields[0], "joining, live or leaving")
+	check(tier.ValidName(fields[1]), "data-centre", fields[1], "a name")
+	address, err := netip.ParseAddrPort(fields[2])
+	check(err == nil && address.Port() > 0, "address", fields[2], "an IP number and port")
+	lowest, err := strconv.ParseUint(fields[3], 10, 62)
+	check(err == nil, "lowest-version", fields[3], "a version")
+	if err := tier.NewInvalidError("VM "+name, problems); err != nil {
 		return tier.VM{}, 0, errors.Wrap(err, "decodeVM")
 	}
-	return tier.NewVM(name, j[1], j[2], tier.WithIncarnation(i), tier.WithVMState(said[state])), lowest, nil
+	return tier.NewVM(name, fields[1], fields[2], tier.WithIncarnation(i), tier.WithVMState(allowedStates[state])), lowest, nil
 }
--- a/tier/gossiper/request.go
+++ b/tier/gossiper/request.go
@@ -7,48 +7,48 @@
 	"cicadagrade.example/tier"
 )
 
-// request composes an exchange with a peer, whose record is nil when it is not
-// known. The digests go along only when asked for.
-func (g *Gossiper) request(to *record, digests bool) *Message {
-	m := &Message{sender: g.name, incarnation: g.own.incarnation}
-	room := g.bucket.room() - m.Size()
+// composeRequest composes a request to a peer, whose record is nil when it is not
+// known. It lists digests only if asked to.
+func (g *Gossiper) composeRequest(to *record, digests bool) *Message {
+	m := &Message{sender: g.name, incarnation: g.self.incarnation}
+	budget := g.bucket.messageBudget() - m.Size()
 	if digests {
-		m.digests = g.window(to, room/2)
+		m.digests = g.nextDigests(to, budget/2)
 		for _, d := range m.digests {
-			room -= d.size()
+			budget -= d.size()
 		}
 	}
-	if to == nil || to.dead || to.vm.DataCentre() != g.home {
-		m.entries = append(m.entries, g.own.entry(keyVM))
-		room -= m.entries[0].size()
+	if to == nil || to.dead || to.vm.DataCentre() != g.localDataCentre {
+		m.entries = append(m.entries, g.self.entry(keyVM))
+		budget -= m.entries[0].size()
 	}
-	m.entries = append(m.entries, g.statusOf(to)...)
-	m.entries = append(m.entries, g.pushed(to, nil, room)...)
+	m.entries = append(m.entries, g.statusEntries(to)...)
+	m.entries = append(m.entries, g.takeBroadcasts(to, nil, budget)...)
 	return m
 }
 
-// window lists the next digests of the table, or all of them for a VM that
-// catches up.
-func (g *Gossiper) window(to *record, room int) []Digest {
-	out := []Digest{NewDigest("", g.statusSum(), g.sharedSum())}
-	names := g.offered(to)
-	n := g.wide
-	if g.catchingUp() && g.now >= g.nextWhole {
-		g.nextWhole = g.now + tier.Millis(len(names))*wholeWait
+// nextDigests lists the digests that follow those of the last request, or all of them
+// for a VM that catches up.
+func (g *Gossiper) nextDigests(to *record, budget int) []Digest {
+	out := []Digest{NewDigest("", g.suspicionChecksum(), g.sharedChecksum())}
+	names := g.visibleNames(to)
+	n := g.digestCount
+	if g.catchingUp() && g.now >= g.nextFullDigestsAt {
+		g.nextFullDigestsAt = g.now + tier.Millis(len(names))*fullDigestsDelayPerMember
 		n = len(names)
 	}
-	cursor := &g.cursors[0]
-	if g.foreign(to) {
-		cursor = &g.cursors[1]
+	cursor := &g.digestCursors[0]
+	if g.isRemote(to) {
+		cursor = &g.digestCursors[1]
 	}
-	at := 0
-	for at < len(names) && names[at] < *cursor {
-		at++
+	start := 0
+	for start < len(names) && names[start] < *cursor {
+		start++
 	}
 	for i := 0; i <= min(n, len(names)); i++ {
-		r := g.records[names[(at+i)%len(names)]]
-		d := NewDigest(r.vm.Name(), r.incarnation, r.version)
-		if room -= d.size(); room < 0 && i > 1 {
+		r := g.records[names[(start+i)%len(names)]]
+		d := NewDigest(r.vm.Name(), r.incarnation, r.contiguousVersion)
+		if budget -= d.size(); budget < 0 && i > 1 {
 			break
 		}
 		out = append(out, d)
@@ -57,83 +57,85 @@
 	return out
 }
 
-// offered lists the names that a peer may be told of: all, or for a peer in
-// another data centre, those that it would keep.
-func (g *Gossiper) offered(to *record) []string {
-	if !g.foreign(to) {
+// visibleNames lists the names that a peer may learn of: all of them, or for a peer in
+// another data centre those that it would keep.
+func (g *Gossiper) visibleNames(to *record) []string {
+	if !g.isRemote(to) {
 		return g.names
 	}
 	kept := map[string]bool{}
-	ranked := g.ranked(g.home)
-	for _, r := range ranked[:min(len(ranked), g.remoteKept)] {
+	ranked := g.rankedMembers(g.localDataCentre)
+	for _, r := range ranked[:min(len(ranked), g.maxRemoteMembers)] {
 		kept[r.vm.Name()] = true
 	}
 	var out []string
 	for _, name := range g.names {
-		if kept[name] || g.records[name].vm.DataCentre() != g.home {
+		if kept[name] || g.records[name].vm.DataCentre() != g.localDataCentre {
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-// statusOf tells a peer that this VM suspects it or holds it dead.
-func (g *Gossiper) statusOf(r *record) []Entry {
+// statusEntries returns the entry that tells a peer that this VM suspects it or has
+// declared it dead.
+func (g *Gossiper) statusEntries(r *record) []Entry {
 	switch {
-	case r == nil || r == g.own:
+	case r == nil || r == g.self:
 		return nil
 	case r.dead:
-		return []Entry{r.status(statusDead)}
-	case r.suspectAt > 0:
-		return []Entry{r.status(statusSuspect)}
+		return []Entry{r.statusEntry(statusDead)}
+	case r.suspectVersion > 0:
+		return []Entry{r.statusEntry(statusSuspect)}
 	default:
 		return nil
 	}
 }
 
-// pushed takes the news that fits and that is not among what the peer sent.
-func (g *Gossiper) pushed(to *record, heard []Entry, room int) []Entry {
-	g.news.order()
-	known := map[rumourKey]Entry{}
-	for _, e := range heard {
-		known[rumourKey{origin: e.origin, key: e.key}] = e
+// takeBroadcasts takes the queued updates that fit into the budget, except those that
+// the peer itself has just sent.
+func (g *Gossiper) takeBroadcasts(to *record, received []Entry, budget int) []Entry {
+	g.broadcasts.sortByTransmits()
+	receivedByKey := map[entryKey]Entry{}
+	for _, e := range received {
+		receivedByKey[entryKey{origin: e.origin, key: e.key}] = e
 	}
 	var out []Entry
-	kept := g.news.list[:0]
-	for _, n := range g.news.list {
-		e, ok := g.lookUp(n.rumourKey)
+	kept := g.broadcasts.items[:0]
+	for _, b := range g.broadcasts.items {
+		e, ok := g.lookUpEntry(b.entryKey)
 		if !ok {
 			continue
 		}
-		if e.size() <= room && newer(e, known[n.rumourKey]) && g.concerns(e, to) {
+		if e.size() <= budget && isNewer(e, receivedByKey[b.entryKey]) && g.shouldSend(e, to) {
 			out = append(out, e)
-			room -= e.size()
-			n.left--
+			budget -= e.size()
+			b.transmitsLeft--
 		}
-		if n.left > 0 {
-			kept = append(kept, n)
+		if b.transmitsLeft > 0 {
+			kept = append(kept, b)
 		}
 	}
-	g.news.list = kept
+	g.broadcasts.items = kept
 	return out
 }
 
-// foreign reports whether a peer is in another data centre.
-func (g *Gossiper) foreign(r *record) bool {
-	return r != nil && r.known && r.vm.DataCentre() != g.home
+// isRemote reports whether a peer is in another data centre.
+func (g *Gossiper) isRemote(r *record) bool {
+	return r != nil && r.vmKnown && r.vm.DataCentre() != g.localDataCentre
 }
 
-// concerns reports whether an entry is for a peer: not what it wrote itself.
-// For a peer elsewhere neither are links, VMs here that it would not keep, and
-// what its own data centre writes.
-func (g *Gossiper) concerns(e Entry, to *record) bool {
-	if e.origin == "" || to == nil || !to.known {
+// shouldSend reports whether an entry is of use to a peer. What the peer wrote itself
+// is not. For a peer in another data centre, neither are link states, VMs that it
+// would not keep, and most of what its own data centre writes.
+func (g *Gossiper) shouldSend(e Entry, to *record) bool {
+	if e.origin == "" || to == nil || !to.vmKnown {
 		return true
 	}
 	if e.origin == to.vm.Name() {
 		return false
 	}
-	if !g.foreign(to) {
+	if !g.isRemote(to) {
 		return true
 	}
 	switch dataCentre := g.records[e.origin].vm.DataCentre(); {
@@ -141,16 +143,16 @@
 		return false
 	case dataCentre == to.vm.DataCentre():
 		return e.key == keyVM || e.key == statusSuspect
-	case dataCentre != g.home:
+	case dataCentre != g.localDataCentre:
 		return true
 	}
-	ranked := g.ranked(g.home)
-	return slices.Contains(ranked[:min(len(ranked), g.remoteKept)], g.records[e.origin])
+	ranked := g.rankedMembers(g.localDataCentre)
+	return slices.Contains(ranked[:min(len(ranked), g.maxRemoteMembers)], g.records[e.origin])
 }
 
-func (g *Gossiper) lookUp(k rumourKey) (Entry, bool) {
+func (g *Gossiper) lookUpEntry(k entryKey) (Entry, bool) {
 	if k.origin == "" {
-		e, ok := g.shared[k.key]
+		e, ok := g.sharedEntries[k.key]
 		return e, ok
 	}
 	r, ok := g.records[k.origin]
@@ -158,7 +160,7 @@
 		return Entry{}, false
 	}
 	if k.key == statusSuspect {
-		return r.status(k.key), r.suspectAt > 0
+		return r.statusEntry(k.key), r.suspectVersion > 0
 	}
 	_, ok = r.entries[k.key]
 	return r.entry(k.key), ok
--- a/tier/gossiper/round.go
+++ b/tier/gossiper/round.go
@@ -6,234 +6,235 @@
 	"cicadagrade.example/tier"
 )
 
-// poolRounds is how often a round also tries an address that may hold a VM
-// not known here, or one held dead.
-const poolRounds = 4
+// discoveryRounds is the number of rounds between attempts to contact a seed or the
+// address of a dead VM.
+const discoveryRounds = 4
 
 func (g *Gossiper) tick() {
-	g.lastTick = g.now
+	g.lastTickAt = g.now
 	if g.replaced {
 		return
 	}
-	g.expire()
-	g.abandon()
-	g.watchLinks()
-	g.settle()
-	if g.now < g.nextRound {
+	g.expireSuspects()
+	g.dropExpiredExchanges()
+	g.publishLinkStates()
+	g.clearStaleWhenAlone()
+	if g.now < g.nextRoundAt {
 		return
 	}
-	g.round()
+	g.startRound()
 }
 
-// round starts the exchanges that are due.
-func (g *Gossiper) round() {
-	g.rounds++
-	g.nextRound = g.now + g.jitter(g.idle)
+// startRound starts the exchanges that are due.
+func (g *Gossiper) startRound() {
+	g.roundCount++
+	g.nextRoundAt = g.now + g.jitter(g.idleInterval)
 	if g.bucket.tokens < 2*messageOverhead {
 		return
 	}
-	digests := g.now >= g.lastDigests+g.idle*9/10 || g.stale || g.wide > digestWindow
+	digests := g.now >= g.lastDigestsAt+g.idleInterval*9/10 || g.stale || g.digestCount > minDigests
 	if digests {
-		g.lastDigests = g.now
+		g.lastDigestsAt = g.now
 	}
 	if r := g.nextPeer(); r != nil {
-		g.send(r, r.vm.Address(), digests)
+		g.sendRequest(r, r.vm.Address(), digests)
 	}
-	if r := g.nextPeer(); r != nil && len(g.news.list) > 0 && g.bucket.plenty() {
-		g.send(r, r.vm.Address(), false)
+	if r := g.nextPeer(); r != nil && len(g.broadcasts.items) > 0 && g.bucket.hasReserve() {
+		g.sendRequest(r, r.vm.Address(), false)
 	}
-	g.crossRound(digests)
-	g.poolRound()
-	if len(g.news.list) > 0 {
-		g.hurry()
+	g.remoteRound(digests)
+	g.discoveryRound()
+	if len(g.broadcasts.items) > 0 {
+		g.scheduleFastRound()
 	}
 }
 
-// nextPeer goes through the peers in a random order, each once, so that a
-// silent one is met soon.
+// nextPeer goes through all peers in a random order before it repeats one, so that a
+// peer that does not answer is noticed soon.
 func (g *Gossiper) nextPeer() *record {
 	for range 2 {
-		for len(g.turn) > 0 {
-			r := g.records[g.turn[0]]
-			g.turn = g.turn[1:]
-			if r != nil && r.known && !r.dead && r.vm.DataCentre() == g.home {
+		for len(g.peerQueue) > 0 {
+			r := g.records[g.peerQueue[0]]
+			g.peerQueue = g.peerQueue[1:]
+			if r != nil && r.vmKnown && !r.dead && r.vm.DataCentre() == g.localDataCentre {
 				return r
 			}
 		}
-		for _, r := range g.peers() {
-			g.turn = append(g.turn, r.vm.Name())
+		for _, r := range g.livePeers() {
+			g.peerQueue = append(g.peerQueue, r.vm.Name())
 		}
-		g.random.Shuffle(len(g.turn), func(i, j int) { g.turn[i], g.turn[j] = g.turn[j], g.turn[i] })
+		g.rng.Shuffle(len(g.peerQueue), func(i, j int) { g.peerQueue[i], g.peerQueue[j] = g.peerQueue[j], g.peerQueue[i] })
 	}
 	return nil
 }
 
-// poolRound looks for VMs that are not known, ever less often, and every few
-// rounds for the dead ones and the seeds that do not answer.
-func (g *Gossiper) poolRound() {
+// discoveryRound contacts seeds and addresses of dead VMs: every few rounds while
+// peers are known, otherwise at a growing interval.
+func (g *Gossiper) discoveryRound() {
 	switch {
-	case len(g.peers()) > 0:
-		g.poolWait = g.idle
-		if g.rounds%poolRounds == 0 {
-			g.tryPool()
+	case len(g.livePeers()) > 0:
+		g.discoveryInterval = g.idleInterval
+		if g.roundCount%discoveryRounds == 0 {
+			g.contactUnknownAddress()
 		}
-	case g.now >= g.nextPool:
-		g.nextPool = g.now + g.jitter(g.poolWait)
-		g.poolWait = min(2*g.poolWait, poolRounds*g.idle)
-		g.tryPool()
+	case g.now >= g.nextDiscoveryAt:
+		g.nextDiscoveryAt = g.now + g.jitter(g.discoveryInterval)
+		g.discoveryInterval = min(2*g.discoveryInterval, discoveryRounds*g.idleInterval)
+		g.contactUnknownAddress()
 	}
 }
 
 func (g *Gossiper) jitter(m tier.Millis) tier.Millis {
-	return m*9/10 + tier.Millis(g.random.Int64N(int64(m)/5+1))
+	return m*9/10 + tier.Millis(g.rng.Int64N(int64(m)/5+1))
 }
 
-// peers lists the other members of this data centre that are not dead.
-func (g *Gossiper) peers() []*record {
-	if g.others == nil {
-		g.others = slices.DeleteFunc(slices.Clone(g.ranked(g.home)), func(r *record) bool { return r == g.own })
+// livePeers lists the other members of this data centre that are not dead.
+func (g *Gossiper) livePeers() []*record {
+	if g.cachedPeers == nil {
+		g.cachedPeers = slices.DeleteFunc(slices.Clone(g.rankedMembers(g.localDataCentre)), func(r *record) bool { return r == g.self })
 	}
-	return g.others
+	return g.cachedPeers
 }
 
-// tryPool sends to one of the dead, or to a seed where no member is known.
-func (g *Gossiper) tryPool() {
-	used := map[string]bool{}
-	var pool []string
+// contactUnknownAddress sends a request to the address of a dead VM, or to a seed at
+// which no live member is known.
+func (g *Gossiper) contactUnknownAddress() {
+	seen := map[string]bool{}
+	var candidates []string
 	for _, r := range g.records {
-		if r.known && !r.dead {
-			used[r.vm.Address()] = true
+		if r.vmKnown && !r.dead {
+			seen[r.vm.Address()] = true
 		}
 	}
 	add := func(address string) {
-		if !used[address] {
-			used[address] = true
-			pool = append(pool, address)
+		if !seen[address] {
+			seen[address] = true
+			candidates = append(candidates, address)
 		}
 	}
 	for _, name := range g.names {
-		if r := g.records[name]; r.known && r.dead {
+		if r := g.records[name]; r.vmKnown && r.dead {
 			add(r.vm.Address())
 		}
 	}
 	for _, s := range g.seeds {
 		add(s)
 	}
-	if len(pool) == 0 {
+	if len(candidates) == 0 {
 		return
 	}
-	address := pool[g.random.IntN(len(pool))]
-	g.send(g.deadAt(address), address, true)
+	address := candidates[g.rng.IntN(len(candidates))]
+	g.sendRequest(g.deadRecordAt(address), address, true)
 }
 
-func (g *Gossiper) deadAt(address string) *record {
+func (g *Gossiper) deadRecordAt(address string) *record {
 	for _, name := range g.names {
-		if r := g.records[name]; r.known && r.dead && r.vm.Address() == address {
+		if r := g.records[name]; r.vmKnown && r.dead && r.vm.Address() == address {
 			return r
 		}
 	}
 	return nil
 }
 
-func (g *Gossiper) send(to *record, address string, digests bool) {
-	g.number++
-	f := flight{address: address, at: g.now}
+func (g *Gossiper) sendRequest(to *record, address string, digests bool) {
+	g.lastExchange++
+	p := pendingExchange{address: address, sentAt: g.now}
 	if to != nil {
-		f.name = to.vm.Name()
-		f.dataCentre = to.vm.DataCentre()
+		p.peer = to.vm.Name()
+		p.dataCentre = to.vm.DataCentre()
 	}
-	g.sent[g.number] = f
-	m := g.request(to, digests)
+	g.pendingExchanges[g.lastExchange] = p
+	m := g.composeRequest(to, digests)
 	g.bucket.spend(m.Size())
-	g.act(&SendExchange{number: g.number, address: address, message: m})
+	g.emit(&SendExchange{number: g.lastExchange, address: address, message: m})
 }
 
-// failed suspects a VM that did not answer. Of a VM elsewhere the link may be
-// at fault: it is suspected only when another VM there answers.
-func (g *Gossiper) failed(number uint64) {
-	f, ok := g.sent[number]
+// handleFailure suspects a VM that did not answer. With a VM in another data centre
+// the link may be at fault, so it is suspected only when another VM there answers.
+func (g *Gossiper) handleFailure(number uint64) {
+	p, ok := g.pendingExchanges[number]
 	if !ok {
 		return
 	}
-	delete(g.sent, number)
-	r, ok := g.records[f.name]
-	if !ok || r.dead || r.vm.Address() != f.address || number <= g.staleNumber {
+	delete(g.pendingExchanges, number)
+	r, ok := g.records[p.peer]
+	if !ok || r.dead || r.vm.Address() != p.address || number <= g.lastStaleExchange {
 		return
 	}
-	if f.dataCentre != g.home {
-		g.linkFailed(f.dataCentre, f.name)
+	if p.dataCentre != g.localDataCentre {
+		g.recordLinkFailure(p.dataCentre, p.peer)
 		return
 	}
-	g.suspect(r, max(r.highest, 1))
+	g.suspect(r, max(r.highestVersion, 1))
 }
 
 func (g *Gossiper) suspect(r *record, version uint64) {
-	if r.dead || r.suspectAt >= version {
+	if r.dead || r.suspectVersion >= version {
 		return
 	}
-	if r.suspectAt == 0 {
+	if r.suspectVersion == 0 {
 		r.suspectSince = g.now
 	}
-	r.suspectAt = version
-	g.news.add(r.vm.Name(), statusSuspect, g.spread())
-	g.hurry()
+	r.suspectVersion = version
+	g.broadcasts.enqueue(r.vm.Name(), statusSuspect, g.transmitLimit())
+	g.scheduleFastRound()
 }
 
-// hearStatus takes a suspicion that a peer has of another VM.
-func (g *Gossiper) hearStatus(e Entry) {
+// applySuspicion applies a peer's suspicion of another VM.
+func (g *Gossiper) applySuspicion(e Entry) {
 	r, ok := g.records[e.origin]
 	if !ok || r.incarnation != e.incarnation || e.key != statusSuspect {
 		return
 	}
-	if e.version < r.highest {
-		for _, newer := range r.since(e.version) {
-			g.news.add(e.origin, newer.key, pulledCopies)
+	if e.version < r.highestVersion {
+		for _, later := range r.entriesAfter(e.version) {
+			g.broadcasts.enqueue(e.origin, later.key, pulledTransmits)
 		}
 		return
 	}
 	g.suspect(r, e.version)
 }
 
-// expire declares dead whoever did not refute in time, and forgets those long
-// dead.
-func (g *Gossiper) expire() {
-	limit := g.suspicionTime(len(g.peers()))
+// expireSuspects declares VMs dead that did not refute a suspicion in time, and
+// forgets those that have been dead for long.
+func (g *Gossiper) expireSuspects() {
+	timeout := g.suspicionTimeoutAmong(len(g.livePeers()))
 	for _, name := range slices.Clone(g.names) {
 		r := g.records[name]
 		switch {
-		case r.dead && g.now-r.deadSince > g.forget:
+		case r.dead && g.now-r.deadSince > g.forgetAfter:
 			g.forgetRecord(name)
-		case !r.dead && r.suspectAt > 0 && g.now-r.suspectSince >= limit:
-			g.bury(r)
+		case !r.dead && r.suspectVersion > 0 && g.now-r.suspectSince >= timeout:
+			g.declareDead(r)
 		}
 	}
 }
 
-// abandon forgets exchanges of which the shell never told the end.
-func (g *Gossiper) abandon() {
-	for n, f := range g.sent {
-		if g.now-f.at > g.flightLimit {
-			delete(g.sent, n)
+// dropExpiredExchanges forgets exchanges whose outcome the caller never reported.
+func (g *Gossiper) dropExpiredExchanges() {
+	for n, p := range g.pendingExchanges {
+		if g.now-p.sentAt > g.exchangeTimeout {
+			delete(g.pendingExchanges, n)
 		}
 	}
 }
 
-// bury declares a VM dead, until it writes something newer.
-func (g *Gossiper) bury(r *record) {
-	r.suspectAt = max(r.suspectAt, r.highest, 1)
+// declareDead declares a VM dead until it writes something newer.
+func (g *Gossiper) declareDead(r *record) {
+	r.suspectVersion = max(r.suspectVersion, r.highestVersion, 1)
 	r.dead = true
 	r.deadSince = g.now
-	g.show(r)
+	g.emitMemberChange(r)
 }
 
-// settle ends the distrust after a start or a pause when there is no one left
-// to ask.
-func (g *Gossiper) settle() {
-	if !g.stale || len(g.peers()) > 0 {
+// clearStaleWhenAlone ends the stale state after a start or a pause when there is no
+// peer to exchange with.
+func (g *Gossiper) clearStaleWhenAlone() {
+	if !g.stale || len(g.livePeers()) > 0 {
 		return
 	}
 	alone := len(g.seeds) == 0 && len(g.records) == 1
-	if alone || g.now-g.staleSince > g.suspicionTime(len(g.records)) {
+	if alone || g.now-g.staleSince > g.suspicionTimeoutAmong(len(g.records)) {
 		g.stale = false
 	}
 }
--- a/tier/gossiper/table.go
+++ b/tier/gossiper/table.go
@@ -9,8 +9,8 @@
 	"cicadagrade.example/tier/picker"
 )
 
-// record finds or adds the record of a VM.
-func (g *Gossiper) record(name string, i tier.Incarnation) *record {
+// findOrAddRecord returns the record of a VM, and adds it if there is none.
+func (g *Gossiper) findOrAddRecord(name string, i tier.Incarnation) *record {
 	if r, ok := g.records[name]; ok {
 		return r
 	}
@@ -24,63 +24,66 @@
 func (g *Gossiper) forgetRecord(name string) {
 	delete(g.records, name)
 	g.generation++
-	g.ranks, g.others = nil, nil
+	g.rankedByDataCentre, g.cachedPeers = nil, nil
 	g.names = slices.DeleteFunc(g.names, func(n string) bool { return n == name })
 }
 
-// apply takes one entry from a peer; news is sent on n times.
-func (g *Gossiper) apply(e Entry, n int) {
-	if !valid(e) {
+// applyEntry applies an entry from a peer. If it is new, it is pushed on the given
+// number of times.
+func (g *Gossiper) applyEntry(e Entry, transmits int) {
+	if !validEntry(e) {
 		return
 	}
 	switch {
 	case e.origin == "":
-		g.takeShared(e, n)
+		g.applyShared(e, transmits)
 	case e.origin == g.name:
-		g.hearSelf(e)
+		g.applyEntryAboutSelf(e)
 	case e.key == statusSuspect || e.key == statusDead:
-		g.hearStatus(e)
+		g.applySuspicion(e)
 	default:
-		g.takeEntry(e, n)
+		g.applyPeerEntry(e, transmits)
 	}
 }
 
-// valid bounds what is taken from outside.
-func valid(e Entry) bool {
-	if e.incarnation > maxNumber || e.version > maxNumber || len(e.key) > MaxKey || len(e.value) > MaxValue {
+// validEntry checks the limits of an entry that comes from outside.
+func validEntry(e Entry) bool {
+	if e.incarnation > maxCounter || e.version > maxCounter || len(e.key) > MaxKey || len(e.value) > MaxValue {
 		return false
 	}
 	return e.version > 0 && (e.origin == "" || tier.ValidName(e.origin))
 }
 
-// hearSelf takes what peers say of this VM: another life, a suspicion, or
-// writes that it does not know.
-func (g *Gossiper) hearSelf(e Entry) {
+// applyEntryAboutSelf handles what peers say about this VM: another incarnation, a
+// suspicion, or writes that it does not know.
+func (g *Gossiper) applyEntryAboutSelf(e Entry) {
 	switch {
-	case e.incarnation < g.own.incarnation:
-	case e.incarnation > g.own.incarnation && g.settled():
-		g.hearLaterLife(e)
-	case e.incarnation > g.own.incarnation:
-		g.renew(e.incarnation)
+	case e.incarnation < g.self.incarnation:
+	case e.incarnation > g.self.incarnation && g.pastFormerIncarnations():
+		g.handleLaterIncarnation(e)
+	case e.incarnation > g.self.incarnation:
+		g.raiseIncarnation(e.incarnation)
 	case e.key == statusDead:
-		g.renew(e.incarnation)
+		g.raiseIncarnation(e.incarnation)
 	case e.key == statusSuspect:
 		g.refute(e.version)
-	case e.version > g.own.highest:
-		g.renew(e.incarnation)
+	case e.version > g.self.highestVersion:
+		g.raiseIncarnation(e.incarnation)
 	}
 }
 
-// settledAfter is how long after its start a VM may still hear of its former
-// lives, which can be later ones where a clock went back.
-const settledAfter = 10 * tier.Second
+// formerIncarnationWindow is how long after its start a VM may still hear of its
+// former incarnations. Their numbers can be higher than the present one if the clock
+// was set back.
+const formerIncarnationWindow = 10 * tier.Second
 
-func (g *Gossiper) settled() bool { return g.now-g.begun >= settledAfter }
+func (g *Gossiper) pastFormerIncarnations() bool { return g.now-g.startedAt >= formerIncarnationWindow }
 
-// hearLaterLife takes what peers say of a later life of this VM's name. Another
-// address shows that another VM has it, as when this one was paused or cut off
-// and replaced; what is not of the VM itself shows nothing.
-func (g *Gossiper) hearLaterLife(e Entry) {
+// handleLaterIncarnation handles an entry under this VM's name with a later
+// incarnation. If the address differs, another VM has taken the name, for instance
+// because this one was paused or cut off and replaced. Only the VM's own entry carries
+// an address; other keys are ignored.
+func (g *Gossiper) handleLaterIncarnation(e Entry) {
 	if e.key != keyVM || g.replaced {
 		return
 	}
@@ -88,114 +91,115 @@
 	if err != nil {
 		return
 	}
-	if v.Address() == g.own.vm.Address() {
-		g.renew(e.incarnation)
+	if v.Address() == g.self.vm.Address() {
+		g.raiseIncarnation(e.incarnation)
 		return
 	}
 	g.replaced, g.replacedBy = true, v
 	g.actions = append(g.actions, &Replaced{by: v})
 }
 
-func (g *Gossiper) takeEntry(e Entry, n int) {
+func (g *Gossiper) applyPeerEntry(e Entry, transmits int) {
 	r, ok := g.records[e.origin]
 	if !ok && len(g.records) >= maxRecords {
 		return
 	}
 	if !ok {
-		r = g.record(e.origin, e.incarnation)
+		r = g.findOrAddRecord(e.origin, e.incarnation)
 	}
 	if e.incarnation < r.incarnation {
 		return
 	}
 	if e.incarnation > r.incarnation {
-		g.newLife(r, e.incarnation)
+		g.startIncarnation(r, e.incarnation)
 	}
-	if !r.take(e) {
+	if !r.store(e) {
 		return
 	}
-	if r.suspectAt > 0 && e.version > r.suspectAt {
-		g.clear(r)
+	if r.suspectVersion > 0 && e.version > r.suspectVersion {
+		g.clearSuspicion(r)
 	}
-	g.news.add(e.origin, e.key, n)
-	g.hurry()
+	g.broadcasts.enqueue(e.origin, e.key, transmits)
+	g.scheduleFastRound()
 	if e.key == keyVM {
-		g.takeVM(r, e)
+		g.applyVMEntry(r, e)
 	} else {
-		g.doubt(r, e)
-		g.changed(e.origin, e.key, e.value)
+		g.recheckLink(r, e)
+		g.emitEntryChanged(e.origin, e.key, e.value)
 	}
-	g.show(r)
+	g.emitMemberChange(r)
 }
 
-// clear ends a suspicion or a death that a newer write refuted.
-func (g *Gossiper) clear(r *record) {
-	r.suspectAt = 0
+// clearSuspicion ends a suspicion, or the state dead, after a newer write refuted it.
+func (g *Gossiper) clearSuspicion(r *record) {
+	r.suspectVersion = 0
 	r.dead = false
-	g.ranks, g.others = nil, nil
-	g.settleAddress(r)
+	g.rankedByDataCentre, g.cachedPeers = nil, nil
+	g.resolveAddressConflict(r)
 }
 
-// newLife voids what a VM's former life published.
-func (g *Gossiper) newLife(r *record, i tier.Incarnation) {
-	old := r.entries
+// startIncarnation discards what a VM published under its former incarnation.
+func (g *Gossiper) startIncarnation(r *record, i tier.Incarnation) {
+	formerEntries := r.entries
 	r.reset(i)
-	g.ranks, g.others = nil, nil
-	for _, k := range sortedKeys(old) {
+	g.rankedByDataCentre, g.cachedPeers = nil, nil
+	for _, k := range sortedKeys(formerEntries) {
 		if k != keyVM {
-			g.changed(r.vm.Name(), k, nil)
+			g.emitEntryChanged(r.vm.Name(), k, nil)
 		}
 	}
 }
 
-func (g *Gossiper) takeVM(r *record, e Entry) {
+func (g *Gossiper) applyVMEntry(r *record, e Entry) {
 	v, lowest, err := decodeVM(e.origin, e.incarnation, e.value)
 	if err != nil {
 		return
 	}
-	r.advance(max(min(lowest, e.version), 1) - 1)
+	r.advanceContiguous(max(min(lowest, e.version), 1) - 1)
 	moved := v.Address() != r.vm.Address()
 	r.vm = v
-	r.known = true
-	g.ranks, g.others = nil, nil
+	r.vmKnown = true
+	g.rankedByDataCentre, g.cachedPeers = nil, nil
 	if moved {
-		g.settleAddress(r)
+		g.resolveAddressConflict(r)
 	}
-	if v.DataCentre() != g.home {
-		g.trim(v.DataCentre())
+	if v.DataCentre() != g.localDataCentre {
+		g.trimRemoteMembers(v.DataCentre())
 	}
 }
 
-// settleAddress declares dead whoever had the address before.
-func (g *Gossiper) settleAddress(r *record) {
+// resolveAddressConflict declares dead the VM with the lower incarnation when two VMs
+// have the same address.
+func (g *Gossiper) resolveAddressConflict(r *record) {
 	for _, name := range g.names {
 		o := g.records[name]
-		if o == r || o.dead || !o.known || !r.known || o.vm.Address() != r.vm.Address() {
+		if o == r || o.dead || !o.vmKnown || !r.vmKnown || o.vm.Address() != r.vm.Address() {
 			continue
 		}
 		switch {
-		case o.incarnation < r.incarnation && o != g.own:
-			g.bury(o)
+		case o.incarnation < r.incarnation && o != g.self:
+			g.declareDead(o)
 		case o.incarnation > r.incarnation:
-			g.bury(r)
+			g.declareDead(r)
 		}
 	}
 }
 
-// trim keeps the few VMs of another data centre that are its contacts or next
-// to become so.
-func (g *Gossiper) trim(dataCentre string) {
-	kept := g.ranked(dataCentre)
-	for _, r := range kept[min(len(kept), g.remoteKept):] {
+// trimRemoteMembers keeps only the first few VMs of another data centre: its contacts
+// and the next in rank.
+func (g *Gossiper) trimRemoteMembers(dataCentre string) {
+	ranked := g.rankedMembers(dataCentre)
+	for _, r := range ranked[min(len(ranked), g.maxRemoteMembers):] {
 		r.dead = true
-		g.show(r)
+		g.emitMemberChange(r)
 		g.forgetRecord(r.vm.Name())
 	}
 }
 
-// ranked lists the members of a data centre that are not dead, contacts
-// first.
-func (g *Gossiper) ranked(dataCentre string) []*record {
-	if list, ok := g.ranks[dataCentre]; ok {
+// rankedMembers lists the members of a data centre that are not dead in rank order;
+// the first ones are its contacts. All VMs compute the same order.
+func (g *Gossiper) rankedMembers(dataCentre string) []*record {
+	if list, ok := g.rankedByDataCentre[dataCentre]; ok {
 		return list
 	}
 	type scored struct {
@@ -205,7 +209,7 @@
 	var list []scored
 	for _, name := range g.names {
 		r := g.records[name]
-		if r.known && !r.dead && r.vm.DataCentre() == dataCentre {
+		if r.vmKnown && !r.dead && r.vm.DataCentre() == dataCentre {
 			list = append(list, scored{record: r, score: picker.Score("contact", dataCentre, name)})
 		}
 	}
@@ -219,40 +223,41 @@
 	for i, s := range list {
 		out[i] = s.record
 	}
-	if g.ranks == nil {
-		g.ranks = map[string][]*record{}
+	if g.rankedByDataCentre == nil {
+		g.rankedByDataCentre = map[string][]*record{}
 	}
-	g.ranks[dataCentre] = out
+	g.rankedByDataCentre[dataCentre] = out
 	return out
 }
 
-// takeShared keeps the highest shared value of a key.
-func (g *Gossiper) takeShared(e Entry, n int) {
-	held, ok := g.shared[e.key]
-	if ok && !newer(e, held) {
+// applyShared keeps the shared entry with the highest (epoch, revision) of a key.
+func (g *Gossiper) applyShared(e Entry, transmits int) {
+	held, ok := g.sharedEntries[e.key]
+	if ok && !isNewer(e, held) {
 		return
 	}
-	if !ok && len(g.shared) >= maxKeys {
+	if !ok && len(g.sharedEntries) >= maxKeys {
 		return
 	}
-	g.shared[e.key] = e
-	g.news.add("", e.key, n)
-	g.hurry()
-	g.changed("", e.key, e.value)
+	g.sharedEntries[e.key] = e
+	g.broadcasts.enqueue("", e.key, transmits)
+	g.scheduleFastRound()
+	g.emitEntryChanged("", e.key, e.value)
 }
 
-func newer(a, b Entry) bool {
+func isNewer(a, b Entry) bool {
 	if a.incarnation != b.incarnation {
 		return a.incarnation > b.incarnation
 	}
 	return a.version > b.version
 }
 
-// sharedSum is alike on two VMs that hold the same shared values.
-func (g *Gossiper) sharedSum() uint64 {
+// sharedChecksum is equal on two VMs that hold the same versions of the shared
+// entries.
+func (g *Gossiper) sharedChecksum() uint64 {
 	var sum uint32
 	var b []byte
-	for k, e := range g.shared {
+	for k, e := range g.sharedEntries {
 		b = append(b[:0], k...)
 		for shift := 0; shift < 64; shift += 8 {
 			b = append(b, byte(e.incarnation>>shift), byte(e.version>>shift))
@@ -262,7 +267,7 @@
 	return uint64(sum)
 }
 
-func reserved(key string) bool {
+func isReservedKey(key string) bool {
 	return key == keyVM || strings.HasPrefix(key, keyLink) || strings.HasPrefix(key, "~")
 }
 
