--- a/tier/prober/event.go
+++ b/tier/prober/event.go
@@ -2,53 +2,53 @@
 
 import "cicadagrade.example/tier"
 
-// Event is a sign of a backend server's state.
+// Event is an observation of a backend server, or a Tick.
 type Event interface{ event() }
 
-// Tick says that time has passed.
+// Tick tells the prober that time has passed.
 type Tick struct{}
 
-// Health is what the health endpoint answered to the probe of that number. It
-// may lag behind the server, or be wrong.
+// Health is the answer of the health endpoint to the probe with that number. It may
+// lag behind the server's real state, or be wrong.
 type Health struct {
 	number uint64
 	state  tier.BackendState
 }
 
-// NewHealth returns the sign of a health answer.
+// NewHealth returns the event of an answered probe.
 func NewHealth(number uint64, s tier.BackendState) *Health { return &Health{number: number, state: s} }
 
-// HealthFailed says that the probe of that number was not answered.
+// HealthFailed reports that the probe with that number was not answered.
 type HealthFailed struct {
 	number  uint64
 	refused bool
 }
 
-// NewHealthFailed returns the sign of a failed probe. Refused says that the
-// server's machine refused the connection, so that no process listens there;
-// a timeout is no such sign.
+// NewHealthFailed returns the event of a failed probe. Refused says that the server's
+// machine refused the connection, which shows that no process listens there. A timeout
+// does not show this.
 func NewHealthFailed(number uint64, refused bool) *HealthFailed {
 	return &HealthFailed{number: number, refused: refused}
 }
 
-// ReplyOK says that a call was answered with records or a receipt, and with
-// the state in the reply, BackendUnknown when there was none.
+// ReplyOK reports that a call was answered with records or a receipt. It carries the
+// server state given in the reply, or BackendUnknown if there was none.
 type ReplyOK struct{ state tier.BackendState }
 
-// NewReplyOK returns the sign of an answered call.
+// NewReplyOK returns the event of an answered call.
 func NewReplyOK(s tier.BackendState) *ReplyOK { return &ReplyOK{state: s} }
 
-// ReplyShed says that the server shed a call.
+// ReplyShed reports that the server refused a call to shed load.
 type ReplyShed struct{}
 
-// ReplyLeaving says that the server turned a call away since it is leaving.
+// ReplyLeaving reports that the server refused a call because it is leaving.
 type ReplyLeaving struct{}
 
-// ReplyFailed says that a call failed in another way.
+// ReplyFailed reports that a call failed in another way.
 type ReplyFailed struct{ refused bool }
 
-// NewReplyFailed returns the sign of a failed call; refused as for
-// NewHealthFailed.
+// NewReplyFailed returns the event of a failed call. Refused has the same meaning as
+// in NewProbeFailed.
 func NewReplyFailed(refused bool) *ReplyFailed { return &ReplyFailed{refused: refused} }
 
 func (*Tick) event()         {}
@@ -59,11 +59,12 @@
 func (*ReplyLeaving) event() {}
 func (*ReplyFailed) event()  {}
 
-// Action is something that the shell does or passes on.
+// Action is an output of the state machine, which the caller of Step carries out or
+// passes on.
 type Action interface{ action() }
 
-// Probe asks the shell to read the health endpoint once. The shell answers
-// with one Health or HealthFailed of the same number.
+// Probe asks the caller to read the health endpoint once. The caller returns one
+// Health or ProbeFailed with the same number.
 type Probe struct {
 	server string
 	number uint64
@@ -72,10 +73,10 @@
 // Server is the backend server's name.
 func (a *Probe) Server() string { return a.server }
 
-// Number names the probe.
+// Number identifies the probe.
 func (a *Probe) Number() uint64 { return a.number }
 
-// StateChanged says that the server is believed to be in another state.
+// StateChanged reports that the prober now assumes another state of the server.
 type StateChanged struct {
 	server string
 	state  tier.BackendState
@@ -85,10 +86,10 @@
 // Server is the backend server's name.
 func (a *StateChanged) Server() string { return a.server }
 
-// State is its state from now on.
+// State is the new state.
 func (a *StateChanged) State() tier.BackendState { return a.state }
 
-// Reason is the sign that changed it, for logs.
+// Reason names the observation behind the change, for logs.
 func (a *StateChanged) Reason() string { return a.reason }
 
 func (*Probe) action()        {}
--- a/tier/prober/prober.go
+++ b/tier/prober/prober.go
@@ -1,9 +1,9 @@
-// Package prober judges the state of one backend server from its health
-// endpoint, the platform's list and the replies to calls. It is a state
-// machine: it does no I/O and holds no clock.
+// Package prober derives the state of one backend server from its health endpoint and
+// from the replies to calls. It is a state machine: it does no I/O and reads no clock.
 //
-// Health and list lag and may be wrong, so replies outweigh them, with one
-// exception: the first sign of leaving, whatever its source, ends new work.
+// The health endpoint lags and may be wrong, so replies outweigh it, with one
+// exception: after the first sign that the server is leaving, whatever its source, it
+// gets no new work.
 package prober
 
 import (
@@ -12,23 +12,23 @@
 	"cicadagrade.example/tier"
 )
 
-// Failures in a row after which a server is lost.
+// Consecutive failures after which a server counts as lost.
 const (
-	lostFailures = 3
-	lostRefusals = 2
+	maxFailures = 3
+	maxRefusals = 2
 )
 
-// toldFactor is how many times rarer a server is probed whose replies tell its
-// state.
-const toldFactor = 4
+// reportedStateIntervalFactor is the factor by which probes become rarer while replies
+// report the server's state.
+const reportedStateIntervalFactor = 4
 
 type config struct {
-	interval    tier.Millis
-	coldRamp    tier.Millis
-	leavingHold tier.Millis
-	shedHold    tier.Millis
-	trust       tier.Millis
-	maxRetry    tier.Millis
+	interval         tier.Millis
+	coldRamp         tier.Millis
+	leavingHoldTime  tier.Millis // without a sign of leaving
+	sheddingHoldTime tier.Millis // without a shed call
+	trustTime        tier.Millis // for which a good reply outweighs the health endpoint
+	maxRetryInterval tier.Millis // between probes of a lost server
 }
 
 // Option sets one field of a Prober.
@@ -37,65 +37,65 @@
 // WithInterval sets the time between probes.
 func WithInterval(m tier.Millis) Option { return func(c *config) { c.interval = m } }
 
-// WithColdRamp sets how long a cold server stays cold at most.
+// WithColdRamp sets the longest time that a server stays cold.
 func WithColdRamp(m tier.Millis) Option { return func(c *config) { c.coldRamp = m } }
 
-// WithLeavingHold sets how long all signs must say otherwise before a leaving
-// server that did not restart is believed to stay.
-func WithLeavingHold(m tier.Millis) Option { return func(c *config) { c.leavingHold = m } }
+// WithLeavingHold sets how long no sign of leaving must come before a leaving server
+// that did not restart counts as staying.
+func WithLeavingHold(m tier.Millis) Option { return func(c *config) { c.leavingHoldTime = m } }
 
 // Defaults sets every field.
 func (c *config) Defaults() {
 	c.interval = tier.Second
 	c.coldRamp = tier.DefaultColdRamp
-	c.leavingHold = tier.Minute
-	c.shedHold = 2 * tier.Second
-	c.trust = 3 * tier.Second
-	c.maxRetry = 16 * tier.Second
+	c.leavingHoldTime = tier.Minute
+	c.sheddingHoldTime = 2 * tier.Second
+	c.trustTime = 3 * tier.Second
+	c.maxRetryInterval = 16 * tier.Second
 }
 
-// Validate reports every bad field in a *tier.InvalidError.
+// Validate reports all invalid fields in one *tier.InvalidError.
 func (c *config) Validate() error {
-	var l []tier.FieldProblem
+	var problems []tier.FieldProblem
 	check := func(ok bool, path string, value any, allowed string) {
 		if !ok {
-			l = append(l, tier.NewFieldProblem(path, value, allowed))
+			problems = append(problems, tier.NewFieldProblem(path, value, allowed))
 		}
 	}
 	check(c.interval >= 10 && c.interval <= tier.Minute, "interval-ms", c.interval, "10 to 60000")
 	check(c.coldRamp >= 0 && c.coldRamp <= tier.MaxColdRamp, "cold-ramp-ms", c.coldRamp, "0 to 600000")
-	check(c.leavingHold >= c.interval, "leaving-hold-ms", c.leavingHold, "at least the interval")
-	return tier.NewInvalidError("prober", l)
+	check(c.leavingHoldTime >= c.interval, "leaving-hold-ms", c.leavingHoldTime, "at least the interval")
+	return tier.NewInvalidError("prober", problems)
 }
 
-// Prober judges one backend server. It is not safe for concurrent use.
+// Prober tracks the state of one backend server. It is not safe for concurrent use.
 type Prober struct {
 	config
 	server string
 	state  tier.BackendState
 	now    tier.Millis
 
-	nextProbe tier.Millis
-	number    uint64 // of the last probe
-	retry     tier.Millis
-
-	since     tier.Millis // of the state
-	refusals  int         // in a row, of calls and probes
-	failures  int         // in a row, of calls
-	missed    int         // in a row, of probes
-	lostAt    uint64      // the last probe sent before the server was lost
-	lastOK    tier.Millis // the last good reply
-	everOK    bool
-	told      bool // the last good reply told the server's state
-	lastShed  tier.Millis
-	leavingAt tier.Millis // the last sign of leaving
-	refusedAt uint64      // the last probe sent before a refusal while leaving
-	refused   bool        // a connection was refused while leaving
+	nextProbeAt   tier.Millis
+	lastProbe     uint64 // number of the last probe
+	retryInterval tier.Millis
+
+	stateSince             tier.Millis // when the state last changed
+	refusals               int         // consecutive, of calls and probes
+	failures               int         // consecutive, of calls
+	probeFailures          int         // consecutive, of probes
+	lastProbeBeforeLost    uint64      // last probe sent before the server was lost
+	lastOK                 tier.Millis // time of the last ReplyOK
+	hadOK                  bool
+	replyReportedState     bool // whether the last good reply carried the server's state
+	lastShedAt             tier.Millis
+	lastLeavingSignalAt    tier.Millis // last sign of leaving, from any source
+	lastProbeBeforeRefusal uint64      // last probe sent before the refusal while leaving
+	refusedWhileLeaving    bool        // a connection was refused while leaving
 
 	actions []Action
 }
 
-// New returns the prober of a server of that name. Its errors are of type
+// New returns the prober of the server with that name. Its errors are of type
 // *tier.InvalidError.
 func New(server string, opts ...Option) (*Prober, error) {
 	p := &Prober{server: server}
@@ -106,20 +106,20 @@
 	if err := p.Validate(); err != nil {
 		return nil, errors.Wrap(err, "New")
 	}
-	p.retry = p.interval
+	p.retryInterval = p.interval
 	return p, nil
 }
 
 // Server is the backend server's name.
 func (p *Prober) Server() string { return p.server }
 
-// State is what the server is believed to be.
+// State returns the state that the server is assumed to be in.
 func (p *Prober) State() tier.BackendState { return p.state }
 
-// Next is when the next Tick is due.
-func (p *Prober) Next() (tier.Millis, bool) { return p.nextProbe, true }
+// Next returns when the next Tick is due.
+func (p *Prober) Next() (tier.Millis, bool) { return p.nextProbeAt, true }
 
-// Step takes a sign and returns what to do about it.
+// Step applies an event and returns the actions that follow from it.
 func (p *Prober) Step(now tier.Millis, e Event) []Action {
 	p.now = now
 	p.actions = nil
@@ -127,63 +127,63 @@
 	case *Tick:
 		p.tick()
 	case *Health:
-		p.health(e)
+		p.handleHealth(e)
 	case *HealthFailed:
-		p.healthFailed(e)
+		p.handleHealthFailed(e)
 	case *ReplyOK:
-		p.replyOK(e.state)
+		p.handleReplyOK(e.state)
 	case *ReplyShed:
-		p.replyShed()
+		p.handleReplyShed()
 	case *ReplyLeaving:
-		p.leave("reply")
+		p.markLeaving("reply")
 	case *ReplyFailed:
-		p.replyFailed(e.refused)
+		p.handleReplyFailed(e.refused)
 	}
 	return p.actions
 }
 
-func (p *Prober) become(s tier.BackendState, reason string) {
+func (p *Prober) setState(s tier.BackendState, reason string) {
 	if s == p.state {
 		return
 	}
 	p.state = s
-	p.since = p.now
+	p.stateSince = p.now
 	p.actions = append(p.actions, &StateChanged{server: p.server, state: s, reason: reason})
 }
 
 func (p *Prober) tick() {
-	p.settle()
-	if p.now < p.nextProbe {
+	p.expireState()
+	if p.now < p.nextProbeAt {
 		return
 	}
-	p.nextProbe = p.now + p.wait()
-	p.number++
-	p.actions = append(p.actions, &Probe{server: p.server, number: p.number})
+	p.nextProbeAt = p.now + p.probeInterval()
+	p.lastProbe++
+	p.actions = append(p.actions, &Probe{server: p.server, number: p.lastProbe})
 }
 
-// wait is the time until the next probe. A live server whose replies tell its
-// state is probed less often.
-func (p *Prober) wait() tier.Millis {
+// probeInterval returns the time until the next probe. A live server whose replies
+// report its state is probed less often, a lost one at a growing interval.
+func (p *Prober) probeInterval() tier.Millis {
 	switch {
 	case p.state == tier.BackendLost:
-		return p.retry
-	case p.state == tier.BackendLive && p.told && p.now-p.lastOK <= p.interval:
-		return toldFactor * p.interval
+		return p.retryInterval
+	case p.state == tier.BackendLive && p.replyReportedState && p.now-p.lastOK <= p.interval:
+		return reportedStateIntervalFactor * p.interval
 	default:
 		return p.interval
 	}
 }
 
-// settle ends states that pass with time.
-func (p *Prober) settle() {
+// expireState ends the states cold and shedding when their time is over.
+func (p *Prober) expireState() {
 	switch {
-	case p.state == tier.BackendCold && p.now-p.since >= p.coldRamp:
-		p.become(tier.BackendLive, "cold ramp over")
-	case p.state == tier.BackendShedding && p.now-p.lastShed >= p.shedHold:
-		p.become(tier.BackendLive, "sheds no more")
+	case p.state == tier.BackendCold && p.now-p.stateSince >= p.coldRamp:
+		p.setState(tier.BackendLive, "cold ramp over")
+	case p.state == tier.BackendShedding && p.now-p.lastShedAt >= p.sheddingHoldTime:
+		p.setState(tier.BackendLive, "sheds no more")
 	}
 }
 
-// trusted reports whether good replies came of late, which outweigh a health
-// endpoint that says otherwise.
-func (p *Prober) trusted() bool { return p.everOK && p.now-p.lastOK <= p.trust && p.failures == 0 }
+// recentOK reports whether a good reply came recently and no call has failed
+// since. Then a health endpoint that says otherwise is not believed.
+func (p *Prober) recentOK() bool { return p.hadOK && p.now-p.lastOK <= p.trustTime && p.failures == 0 }
--- a/tier/prober/prober_test.go
+++ b/tier/prober/prober_test.go
@@ -14,12 +14,12 @@
 	"cicadagrade.example/tier"
 )
 
-// TestScripts runs the scripts of testdata: each line gives a time, a sign
-// and the state afterwards.
+// TestScripts runs the scripts of testdata: each line gives a time, an event and the
+// state afterwards.
 func TestScripts(t *testing.T) {
 	files, _ := filepath.Glob("testdata/*.txt")
 	if len(files) == 0 {
-		t.Fatal("no scripts")
+		t.Fatal("no scripts in testdata")
 	}
 	for _, name := range files {
 		t.Run(filepath.Base(name), func(t *testing.T) { runScript(t, name) })
@@ -46,14 +46,14 @@
 			t.Fatalf("line %d: %v", line, err)
 		}
 		want := words[len(words)-1]
-		p.Step(at, sign(t, p, words[1:len(words)-1]))
+		p.Step(at, parseEvent(t, p, words[1:len(words)-1]))
 		if got := p.State().String(); got != want {
 			t.Fatalf("line %d: %s: state %s, want %s", line, s.Text(), got, want)
 		}
 	}
 }
 
-func state(word string) tier.BackendState {
+func parseState(word string) tier.BackendState {
 	for s := tier.BackendUnknown; s <= tier.BackendLost; s++ {
 		if s.String() == word {
 			return s
@@ -62,18 +62,18 @@
 	return tier.BackendUnknown
 }
 
-func sign(t *testing.T, p *Prober, words []string) Event {
+func parseEvent(t *testing.T, p *Prober, words []string) Event {
 	switch strings.Join(words[:min(2, len(words))], " ") {
 	case "tick":
 		return &Tick{}
 	case "health-failed":
-		return NewHealthFailed(p.number, false)
+		return NewHealthFailed(p.lastProbe, false)
 	case "refused":
-		return NewHealthFailed(p.number, true)
+		return NewHealthFailed(p.lastProbe, true)
 	case "refused-call":
 		return NewReplyFailed(true)
 	case "reply ok":
-		return NewReplyOK(state(words[2]))
+		return NewReplyOK(parseState(words[2]))
 	case "reply shed":
 		return &ReplyShed{}
 	case "reply leaving":
@@ -82,58 +82,59 @@
 		return NewReplyFailed(false)
 	}
 	if words[0] == "health" {
-		return NewHealth(p.number, state(words[1]))
+		return NewHealth(p.lastProbe, parseState(words[1]))
 	}
-	t.Fatalf("unknown sign %q", words)
+	t.Fatalf("unknown event %q", words)
 	return nil
 }
 
-// judge is what takes signs: a Prober, or a broken one.
-type judge interface {
+// stateTracker is a Prober or, to test the check, a broken implementation.
+type stateTracker interface {
 	Step(now tier.Millis, e Event) []Action
 	State() tier.BackendState
 }
 
-// timed is a sign with the time since the one before.
-type timed struct {
-	wait tier.Millis
-	sign Event
+// timedEvent is an event and the time since the one before.
+type timedEvent struct {
+	wait  tier.Millis
+	event Event
 }
 
-func leavingSigns() []Event {
+func leavingEvents() []Event {
 	return []Event{&ReplyLeaving{}, NewReplyOK(tier.BackendLeaving), NewHealth(1, tier.BackendLeaving)}
 }
 
-// drawSigns draws what a server that does not end may show.
-func drawSigns(t *rapid.T, label string) []timed {
-	s := rapid.SampledFrom([]Event{
+// drawEvents draws events that a server whose process does not end can cause.
+func drawEvents(t *rapid.T, label string) []timedEvent {
+	events := rapid.SampledFrom([]Event{
 		&Tick{}, &Tick{}, NewHealth(1<<40, tier.BackendLive), NewHealth(0, tier.BackendLive),
 		NewHealth(1<<40, tier.BackendCold), NewHealth(1<<40, tier.BackendShedding),
 		NewHealthFailed(1, false), NewReplyOK(tier.BackendLive), NewReplyOK(tier.BackendUnknown),
 		&ReplyShed{}, NewReplyFailed(false),
 	})
-	one := rapid.Custom(func(t *rapid.T) timed {
-		return timed{wait: tier.Millis(rapid.IntRange(0, 2000).Draw(t, "wait")), sign: s.Draw(t, "sign")}
+	timed := rapid.Custom(func(t *rapid.T) timedEvent {
+		return timedEvent{wait: tier.Millis(rapid.IntRange(0, 2000).Draw(t, "wait")), event: events.Draw(t, "event")}
 	})
-	return rapid.SliceOfN(one, 0, 25).Draw(t, label)
+	return rapid.SliceOfN(timed, 0, 25).Draw(t, label)
 }
 
-// checkLeaving reports a state that takes new work after a sign of leaving.
-func checkLeaving(j judge, before []timed, first Event, after []timed) error {
+// checkNoNewWork returns an error if the server may get new work after a sign of
+// leaving.
+func checkNoNewWork(tracker stateTracker, before []timedEvent, first Event, after []timedEvent) error {
 	var now tier.Millis
 	for _, s := range before {
 		now += s.wait
-		j.Step(now, s.sign)
+		tracker.Step(now, s.event)
 	}
-	j.Step(now, first)
-	if j.State().TakesWork() {
-		return fmt.Errorf("%v right after %T", j.State(), first)
+	tracker.Step(now, first)
+	if tracker.State().TakesWork() {
+		return fmt.Errorf("state %v, which takes new work, right after %T", tracker.State(), first)
 	}
 	for i, s := range after {
 		now += s.wait
-		j.Step(now, s.sign)
-		if j.State().TakesWork() {
-			return fmt.Errorf("%v after sign %d, %T, at %d ms", j.State(), i, s.sign, now)
+		tracker.Step(now, s.event)
+		if tracker.State().TakesWork() {
+			return fmt.Errorf("state %v, which takes new work, after event %d, %T, at %d ms", tracker.State(), i, s.event, now)
 		}
 	}
 	return nil
@@ -145,38 +146,40 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		first := rapid.SampledFrom(leavingSigns()).Draw(t, "first")
-		if err := checkLeaving(p, drawSigns(t, "before"), first, drawSigns(t, "after")); err != nil {
+		first := rapid.SampledFrom(leavingEvents()).Draw(t, "first")
+		if err := checkNoNewWork(p, drawEvents(t, "before"), first, drawEvents(t, "after")); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// believer takes the health page's word.
-type believer struct{ *Prober }
+// healthTrustingProber is a broken prober: it believes every answer of the health
+// endpoint.
+type healthTrustingProber struct{ *Prober }
 
-func (b believer) Step(now tier.Millis, e Event) []Action {
+func (p healthTrustingProber) Step(now tier.Millis, e Event) []Action {
 	if h, ok := e.(*Health); ok {
-		b.state = h.state
+		p.state = h.state
 		return nil
 	}
-	return b.Prober.Step(now, e)
+	return p.Prober.Step(now, e)
 }
 
-// TestLeavingCheckFails shows that the check sees a state that flaps back.
-func TestLeavingCheckFails(t *testing.T) {
+// TestLeavingCheckDetectsStaleHealth checks that checkNoNewWork detects a leaving
+// server that an outdated health answer brings back.
+func TestLeavingCheckDetectsStaleHealth(t *testing.T) {
 	p, err := New("contas-1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	after := []timed{{wait: 100, sign: NewHealth(1, tier.BackendLive)}}
-	if checkLeaving(believer{p}, nil, &ReplyLeaving{}, after) == nil {
-		t.Fatal("the check accepts a server that a stale page brings back")
+	after := []timedEvent{{wait: 100, event: NewHealth(1, tier.BackendLive)}}
+	if checkNoNewWork(healthTrustingProber{p}, nil, &ReplyLeaving{}, after) == nil {
+		t.Fatal("checkNoNewWork accepts a leaving server that an outdated health answer brings back")
 	}
 }
 
-// init fixes the seed of the properties, unless one is given, so that each run
-// draws the same.
+// init fixes the seed of the property tests, unless one is given, so that each run
+// draws the same cases.
 func init() {
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
 		_ = f.Value.Set("20261204")
