--- a/tier/planner/budget.go
+++ b/tier/planner/budget.go
@@ -2,19 +2,19 @@
 
 import "sync"
 
-// Budget bounds the shard requests that plans of one set repeat, as a
-// fraction of the first ones. It is safe for concurrent use.
+// Budget limits repeated shard requests of the plans of one set to a fraction of the
+// first requests. It is safe for concurrent use.
 type Budget struct {
 	mu       sync.Mutex
 	fraction float64
-	most     float64
+	capacity float64
 	tokens   float64
 }
 
-// NewBudget returns a full budget that earns fraction of a token for each
-// first shard request and keeps at most the given number of tokens.
-func NewBudget(fraction float64, most int) *Budget {
-	return &Budget{fraction: fraction, most: float64(most), tokens: float64(most)}
+// NewBudget returns a full budget. It earns a fraction of a token for each first shard
+// request, and holds at most capacity tokens.
+func NewBudget(fraction float64, capacity int) *Budget {
+	return &Budget{fraction: fraction, capacity: float64(capacity), tokens: float64(capacity)}
 }
 
 func (b *Budget) earn(shards int) {
@@ -23,11 +23,11 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(b.most, b.tokens+b.fraction*float64(shards))
+	b.tokens = min(b.capacity, b.tokens+b.fraction*float64(shards))
 }
 
-// spend takes a token for each shard, or none and reports false. A nil
-// budget always has tokens.
+// spend takes a token for each shard. If there are too few, it takes none and returns
+// false. A nil budget never runs out.
 func (b *Budget) spend(shards int) bool {
 	if b == nil {
 		return true
--- a/tier/planner/events.go
+++ b/tier/planner/event.go
@@ -5,24 +5,24 @@
 	"cicadagrade.example/tier/merger"
 )
 
-// Event is what a plan is told: *PartReplied, *PartRefused, *PartFailed,
-// *SetChanged, *CallerGone or *Tick.
+// Event is an input of a plan: *PartReplied, *PartRefused, *PartFailed, *SetChanged,
+// *CallerGone or *Tick.
 type Event interface{ event() }
 
-// Held says which index versions of a shard the servers of one data centre
-// hold, under which epoch of the shard map.
+// Held lists the index versions of a shard that the backend servers of one data centre
+// hold, and the epoch of the shard map under which they hold them.
 type Held struct {
 	shard    string
 	epoch    tier.Epoch
 	versions []tier.Version
 }
 
-// NewHeld returns what is held of a shard.
+// NewHeld returns the versions of a shard that are held under an epoch.
 func NewHeld(shard string, e tier.Epoch, versions []tier.Version) Held {
 	return Held{shard: shard, epoch: e, versions: versions}
 }
 
-// PartReplied says that an owner answered a part.
+// PartReplied reports that an owner answered a part.
 type PartReplied struct {
 	part      uint64
 	snapshot  tier.Snapshot
@@ -31,27 +31,26 @@
 	leafCalls int
 }
 
-// NewPartReplied returns the answer to a part: the snapshot that the owner
-// served, the results of its shards, what its servers hold now and how many
+// NewPartReplied returns the answer to a part: the snapshot that the owner served, the
+// results of its shards, the versions that its servers now hold, and the number of
 // leaf calls it made.
 func NewPartReplied(part uint64, s tier.Snapshot, results []merger.ShardResult, held []Held, leafCalls int) *PartReplied {
 	return &PartReplied{part: part, snapshot: s, results: results, held: held, leafCalls: leafCalls}
 }
 
-// PartRefused says that a part was not run.
+// PartRefused reports that a part was refused and not run.
 type PartRefused struct {
 	part       uint64
 	reason     tier.RefuseReason
 	retryAfter tier.Millis
 }
 
-// NewPartRefused returns the refusal of a part; retryAfter is 0 when no time
-// can be told.
+// NewPartRefused returns the refusal of a part; retryAfter is 0 if it is not known.
 func NewPartRefused(part uint64, reason tier.RefuseReason, retryAfter tier.Millis) *PartRefused {
 	return &PartRefused{part: part, reason: reason, retryAfter: retryAfter}
 }
 
-// PartFailed says that a part brought nothing, though it may have run.
+// PartFailed reports that a part returned no result, though it may have run.
 type PartFailed struct {
 	part   uint64
 	reason tier.MissReason
@@ -62,16 +61,16 @@
 	return &PartFailed{part: part, reason: reason}
 }
 
-// SetChanged says that a new shard map is in force.
+// SetChanged reports that a new shard map is in force.
 type SetChanged struct{ set *tier.ShardSet }
 
-// NewSetChanged returns the change to a new map.
+// NewSetChanged returns the event of a new shard map.
 func NewSetChanged(set *tier.ShardSet) *SetChanged { return &SetChanged{set: set} }
 
-// CallerGone says that nobody waits for the answer any more.
+// CallerGone reports that the caller no longer waits for the answer.
 type CallerGone struct{}
 
-// Tick starts a plan and tells it the time.
+// Tick starts a plan, and later tells it that time has passed.
 type Tick struct{}
 
 func (*PartReplied) event() {}
@@ -81,7 +80,7 @@
 func (*CallerGone) event()  {}
 func (*Tick) event()        {}
 
-// Action is what a plan wants done: *SendPart, *CancelPart or *Finish.
+// Action is an output of a plan: *SendPart, *CancelPart or *Finish.
 type Action interface{ action() }
 
 // SendPart asks the owner of a data centre for shards of one snapshot.
@@ -96,20 +95,20 @@
 // Part is the part's number in its plan.
 func (s *SendPart) Part() uint64 { return s.part }
 
-// DataCentre is where the part goes.
+// DataCentre is the data centre to which the part is sent.
 func (s *SendPart) DataCentre() string { return s.dataCentre }
 
-// Shards are the ids of the wanted shards.
+// Shards lists the ids of the requested shards.
 func (s *SendPart) Shards() []string { return s.shards }
 
 // Snapshot is the pinned snapshot.
 func (s *SendPart) Snapshot() tier.Snapshot { return s.snapshot }
 
-// Deadline is when the owner has to be done, on the plan's clock. It lies
-// before the plan's own, so that a partial reply still arrives.
+// Deadline is the time by which the owner has to answer, on the plan's clock. It lies
+// before the plan's own deadline, so that a partial reply still arrives in time.
 func (s *SendPart) Deadline() tier.Millis { return s.deadline }
 
-// CancelPart says that a part's reply is no longer wanted.
+// CancelPart says that a part's reply is no longer needed.
 type CancelPart struct{ part uint64 }
 
 // Part is the part's number in its plan.
@@ -118,7 +117,7 @@
 // Finish ends the plan.
 type Finish struct{ outcome tier.Outcome }
 
-// Outcome is the end of the request.
+// Outcome is the outcome of the search.
 func (f *Finish) Outcome() tier.Outcome { return f.outcome }
 
 func (*SendPart) action()   {}
--- a/tier/planner/fakes_test.go
+++ b/tier/planner/fake_test.go
@@ -14,22 +14,22 @@
 	"cicadagrade.example/tier/planner"
 )
 
-// fakeView is a view that tests write.
+// fakeView is a View with contents set by the test.
 type fakeView struct {
-	epochs   map[string]tier.Epoch
-	versions map[string][]tier.Version
-	cut      map[string]bool
-	set      *tier.ShardSet // in force, if it is not the plan's
-	former   *tier.ShardSet
+	epochs      map[string]tier.Epoch
+	versions    map[string][]tier.Version
+	unreachable map[string]bool
+	set         *tier.ShardSet // the map in force, nil for that of the plan
+	earlier     *tier.ShardSet
 }
 
 func newFakeView() *fakeView {
-	return &fakeView{epochs: map[string]tier.Epoch{}, versions: map[string][]tier.Version{}, cut: map[string]bool{}}
+	return &fakeView{epochs: map[string]tier.Epoch{}, versions: map[string][]tier.Version{}, unreachable: map[string]bool{}}
 }
 
 func (v *fakeView) hold(dataCentre string, s tier.Snapshot, shards []string) {
-	for _, h := range shards {
-		k := dataCentre + "/" + h
+	for _, shard := range shards {
+		k := dataCentre + "/" + shard
 		if v.epochs[k] != s.Epoch() {
 			v.epochs[k], v.versions[k] = s.Epoch(), nil
 		}
@@ -39,22 +39,22 @@
 
 func (v *fakeView) Set(string) (*tier.ShardSet, bool) { return v.set, v.set != nil }
 
-func (v *fakeView) Earlier(string) (*tier.ShardSet, bool) { return v.former, v.former != nil }
+func (v *fakeView) Earlier(string) (*tier.ShardSet, bool) { return v.earlier, v.earlier != nil }
 
 func (v *fakeView) Versions(_, dataCentre, shard string) (tier.Epoch, []tier.Version) {
 	k := dataCentre + "/" + shard
 	return v.epochs[k], v.versions[k]
 }
 
-func (v *fakeView) Reachable(dataCentre string) bool { return !v.cut[dataCentre] }
+func (v *fakeView) Reachable(dataCentre string) bool { return !v.unreachable[dataCentre] }
 
-// ledger notes what was truly served whole, by snapshot and shard. It is the
-// oracle of the checks.
-type ledger map[tier.Snapshot]map[string]bool
+// servedLedger records which shards were served completely at each snapshot. Checks
+// compare answers with it.
+type servedLedger map[tier.Snapshot]map[string]bool
 
-// result makes the result that a word asks for. The values of its records
+// result makes the result that a word of a script describes. The values of its records
 // name the snapshot.
-func (l ledger) result(s tier.Snapshot, word string) merger.ShardResult {
+func (l servedLedger) result(s tier.Snapshot, word string) merger.ShardResult {
 	if shard, miss, ok := strings.Cut(word, ":"); ok {
 		return merger.NewMissedShard(shard, tier.MissReason(miss))
 	}
@@ -79,8 +79,8 @@
 	return merger.NewReceivedResult(shard, records, count, digest)
 }
 
-// check compares an outcome with what was served.
-func (l ledger) check(o tier.Outcome) error {
+// check returns an error if an outcome contradicts what was served.
+func (l servedLedger) check(o tier.Outcome) error {
 	a, ok := o.(*tier.Answered)
 	if !ok {
 		return nil
@@ -91,22 +91,23 @@
 			return errors.Errorf("the answer at %s holds a record of %s", a.Snapshot(), r.Value())
 		}
 		if keys[r.Key()] {
-			return errors.Errorf("key %s stands twice", r.Key())
+			return errors.Errorf("key %s occurs twice", r.Key())
 		}
 		keys[r.Key()] = true
 	}
-	for _, h := range a.Coverage().Covered() {
-		if !l[a.Snapshot()][h] || !keys[h+"-1"] || !keys[h+"-2"] {
-			return errors.Errorf("shard %s is said to be covered", h)
+	for _, shard := range a.Coverage().Covered() {
+		if !l[a.Snapshot()][shard] || !keys[shard+"-1"] || !keys[shard+"-2"] {
+			return errors.Errorf("shard %s is listed as covered, but was not served or merged completely", shard)
 		}
 	}
 	if len(keys) != 2*len(a.Coverage().Covered())+1 {
-		return errors.Errorf("%d keys from %d shards", len(keys), len(a.Coverage().Covered()))
+		return errors.Errorf("%d keys from %d covered shards", len(keys), len(a.Coverage().Covered()))
 	}
 	return nil
 }
 
-// makeSet reads SHARD=DC,DC words; the shards share the key hashes equally.
+// makeSet makes a shard set from words SHARD=DC,DC. The shards divide the key hashes
+// equally.
 func makeSet(t rapid.TB, e tier.Epoch, words []string) *tier.ShardSet {
 	var shards []tier.Shard
 	servers := map[string]bool{}
@@ -135,26 +136,26 @@
 	return set
 }
 
-func heldOf(t rapid.TB, words []string) []planner.Held {
+func parseHeld(t rapid.TB, words []string) []planner.Held {
 	var out []planner.Held
 	for _, w := range words {
 		shard, at, _ := strings.Cut(w, "=")
 		epoch, list, _ := strings.Cut(at, ".")
 		var versions []tier.Version
 		for _, v := range strings.Split(list, "+") {
-			versions = append(versions, tier.Version(number(t, v)))
+			versions = append(versions, tier.Version(parseNumber(t, v)))
 		}
-		out = append(out, planner.NewHeld(shard, tier.Epoch(number(t, epoch)), versions))
+		out = append(out, planner.NewHeld(shard, tier.Epoch(parseNumber(t, epoch)), versions))
 	}
 	return out
 }
 
-func snapshotOf(t rapid.TB, s string) tier.Snapshot {
+func parseSnapshot(t rapid.TB, s string) tier.Snapshot {
 	e, v, _ := strings.Cut(s, ".")
-	return tier.NewSnapshot(tier.Epoch(number(t, e)), tier.Version(number(t, v)))
+	return tier.NewSnapshot(tier.Epoch(parseNumber(t, e)), tier.Version(parseNumber(t, v)))
 }
 
-func number(t rapid.TB, s string) uint64 {
+func parseNumber(t rapid.TB, s string) uint64 {
 	n, err := strconv.ParseUint(s, 10, 64)
 	if err != nil {
 		t.Fatalf("number: %v", err)
--- a/tier/planner/finish.go
+++ b/tier/planner/finish.go
@@ -5,87 +5,89 @@
 	"cicadagrade.example/tier/merger"
 )
 
-// conclude ends the plan once nothing more can be gained or the time is up.
-func (p *Plan) conclude(now tier.Millis) []Action {
-	best := p.best()
-	p.waiting = false
-	if best != nil && now < p.end() && p.canGain(best) {
+// finishIfDone ends the plan once no open part can improve the answer, or when the
+// time is up.
+func (p *Plan) finishIfDone(now tier.Millis) []Action {
+	best := p.bestMerge()
+	p.waitingForView = false
+	if best != nil && now < p.finishBy() && p.canImprove(best) {
 		return nil
 	}
-	if best != nil && now < p.end() && p.mayImprove(now, best) {
-		p.waiting, p.pollAt = true, now+viewPoll
+	if best != nil && now < p.finishBy() && p.shouldWaitForView(now, best) {
+		p.waitingForView, p.nextPollAt = true, now+viewPollInterval
 		return nil
 	}
-	if now < p.end() {
-		p.giveUpOpen()
+	if now < p.finishBy() {
+		p.markOpenCancelled()
 	}
-	return p.finish(p.outcome(now, best))
+	return p.finish(p.finalOutcome(now, best))
 }
 
-// mayImprove reports whether a search that can't be answered should wait for
-// the view: its snapshot went, and what goes on is not yet known here.
-func (p *Plan) mayImprove(now tier.Millis, best *merger.Merge) bool {
-	if p.reruns == 0 || !p.lost || best.Fraction() >= p.profile.MinCoverage() {
+// shouldWaitForView reports whether a search that can't be answered yet should wait
+// for the view: its snapshot is no longer served, and the view may soon show one that
+// is.
+func (p *Plan) shouldWaitForView(now tier.Millis, best *merger.Merge) bool {
+	if p.rerunsLeft == 0 || !p.shardsLost || best.Fraction() >= p.profile.MinCoverage() {
 		return false
 	}
-	return now < p.lostAt+p.capped(p.patience) && now < p.partDeadline(p.home)
+	return now < p.shardsLostAt+p.capReserve(p.viewWait) && now < p.partDeadline(p.localDataCentre)
 }
 
-// giveUpOpen notes that the open parts were not waited for.
-func (p *Plan) giveUpOpen() {
-	for _, t := range p.parts {
-		for _, id := range t.shards {
-			t.round.merge.Miss(id, tier.MissCancelled)
+// markOpenCancelled notes that the plan did not wait for the open parts.
+func (p *Plan) markOpenCancelled() {
+	for _, pt := range p.openParts {
+		for _, id := range pt.shards {
+			pt.round.merge.Miss(id, tier.MissCancelled)
 		}
 	}
 }
 
-// canGain reports whether open parts can bring a better answer, or one at
-// all.
-func (p *Plan) canGain(best *merger.Merge) bool {
+// canImprove reports whether open parts can lead to a better answer, or to an answer
+// at all.
+func (p *Plan) canImprove(best *merger.Merge) bool {
 	if best.Complete() {
 		return false
 	}
 	for _, r := range p.rounds {
-		if r.open > 0 && r.potential() > best.Fraction() && r.potential() >= p.profile.MinCoverage() {
+		if r.openShards > 0 && r.potential() > best.Fraction() && r.potential() >= p.profile.MinCoverage() {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *Plan) outcome(now tier.Millis, best *merger.Merge) tier.Outcome {
+func (p *Plan) finalOutcome(now tier.Millis, best *merger.Merge) tier.Outcome {
 	if best == nil {
-		return p.neverRun(now)
+		return p.refusedOutcome(now)
 	}
 	if best.Covered() > 0 && best.Fraction() >= p.profile.MinCoverage() {
 		return best.Answer()
 	}
-	if !p.ran && len(p.parts) == 0 {
-		return p.neverRun(now)
+	if !p.mayHaveRun && len(p.openParts) == 0 {
+		return p.refusedOutcome(now)
 	}
 	reason := tier.UnknownLowCoverage
-	if len(p.parts) > 0 && now >= p.end() {
+	if len(p.openParts) > 0 && now >= p.finishBy() {
 		reason = tier.UnknownDeadline
 	}
 	return tier.NewUnknownPartial(reason, best.Snapshot(), best.Coverage())
 }
 
-// neverRun is the refusal when no part made a leaf call.
-func (p *Plan) neverRun(now tier.Millis) tier.Outcome {
+// refusedOutcome returns the refusal when no part made a leaf call.
+func (p *Plan) refusedOutcome(now tier.Millis) tier.Outcome {
 	switch {
 	case p.refusal != nil:
 		return p.refusal
-	case now >= p.end():
+	case now >= p.finishBy():
 		return tier.NewRefused(tier.RefuseDeadline, 0)
-	case p.cutOff():
+	case p.anyUnreachable():
 		return tier.NewRefused(tier.RefuseUnreachable, 0)
 	}
 	return tier.NewRefused(tier.RefuseNoReplica, 0)
 }
 
-// cutOff reports whether a data centre of the set can't be reached.
-func (p *Plan) cutOff() bool {
+// anyUnreachable reports whether a data centre of the set can't be reached.
+func (p *Plan) anyUnreachable() bool {
 	for _, d := range p.maps[0].DataCentres() {
 		if !p.view.Reachable(d) {
 			return true
@@ -94,8 +96,8 @@
 	return false
 }
 
-func (p *Plan) callerGone() []Action {
-	if p.ran || len(p.parts) > 0 {
+func (p *Plan) handleCallerGone() []Action {
+	if p.mayHaveRun || len(p.openParts) > 0 {
 		return p.finish(tier.NewUnknown(tier.UnknownCallerGone))
 	}
 	return p.finish(tier.NewRefused(tier.RefuseCallerGone, 0))
@@ -104,7 +106,7 @@
 func (p *Plan) finish(o tier.Outcome) []Action {
 	var out []Action
 	for n := uint64(1); n <= p.lastPart; n++ {
-		if _, ok := p.parts[n]; ok {
+		if _, ok := p.openParts[n]; ok {
 			out = append(out, &CancelPart{part: n})
 		}
 	}
--- a/tier/planner/planner.go
+++ b/tier/planner/planner.go
@@ -1,7 +1,7 @@
-// Package planner plans one search at the entry VM that took it: it pins a
-// snapshot, divides the shards among data centres, gathers their results,
-// and ends with one outcome. It asks the own data centre first and others
-// for what the own one does not hold or could not bring.
+// Package planner plans one search on the entry VM that received it: it pins a
+// snapshot, divides the shards among data centres, merges their results, and ends with
+// one outcome. It asks the local data centre first, and others for shards that the
+// local one does not hold or failed to return.
 package planner
 
 import (
@@ -16,88 +16,86 @@
 	DefaultHomeReserve   = 5 * tier.Millis(1)
 	DefaultAwayReserve   = 30 * tier.Millis(1)
 	DefaultPatience      = 300 * tier.Millis(1)
-	viewPoll             = 20 * tier.Millis(1)
+	viewPollInterval     = 20 * tier.Millis(1)
 )
 
-// Plan is the state machine of one search. It is not safe for concurrent
-// use.
+// Plan is the state machine of one search. It is not safe for concurrent use.
 type Plan struct {
-	home          string
-	profile       *tier.Profile
-	view          View
-	begun         tier.Millis
-	deadline      tier.Millis
-	answerReserve tier.Millis
-	homeReserve   tier.Millis
-	awayReserve   tier.Millis
-	patience      tier.Millis
-	budget        *Budget
-	reruns        int
-
-	maps     []*tier.ShardSet // the map in force first
-	round    *round
-	rounds   []*round
-	pinned   map[tier.Snapshot]bool
-	waiting  bool        // for the view to show a snapshot that can be had
-	lost     bool        // a shard of this round was lost to its snapshot
-	lostAt   tier.Millis // when that was first seen
-	pollAt   tier.Millis
-	fresh    map[place]Held
-	gone     map[servedAt]bool
-	parts    map[uint64]*part
-	lastPart uint64
-	ran      bool
-	refusal  *tier.Refused
-	done     bool
-	counters Counters
+	localDataCentre string
+	profile         *tier.Profile
+	view            View
+	startedAt       tier.Millis
+	deadline        tier.Millis
+	answerReserve   tier.Millis
+	localReserve    tier.Millis
+	remoteReserve   tier.Millis
+	viewWait        tier.Millis
+	budget          *Budget
+	rerunsLeft      int
+
+	maps           []*tier.ShardSet // the map in force first
+	currentRound   *round
+	rounds         []*round
+	pinned         map[tier.Snapshot]bool
+	waitingForView bool                  // for the view to show a snapshot that can be served
+	shardsLost     bool                  // a shard of this round is not served at its snapshot
+	shardsLostAt   tier.Millis           // when that was first detected
+	nextPollAt     tier.Millis           // next look at the view while waiting
+	reportedHeld   map[replicaSite]Held  // from replies
+	notServed      map[siteSnapshot]bool // according to replies
+	openParts      map[uint64]*part      // by number, not answered yet
+	lastPart       uint64                // number of the last part sent
+	mayHaveRun     bool                  // a part may have made leaf calls
+	refusal        *tier.Refused
+	done           bool
+	counters       Counters
 }
 
 // Option sets one field of a plan.
 type Option func(*Plan)
 
-// WithReruns sets how often the search may be run again under another
-// snapshot.
-func WithReruns(n int) Option { return func(p *Plan) { p.reruns = n } }
+// WithReruns sets how often the search may be repeated at another snapshot.
+func WithReruns(n int) Option { return func(p *Plan) { p.rerunsLeft = n } }
 
-// WithBudget sets the budget for repeated shard requests, shared by the
-// plans of a set. Without one only the plan's own bounds hold.
+// WithBudget sets the budget of repeated shard requests that the plans of a set share.
+// Without it only the plan's own limits apply.
 func WithBudget(b *Budget) Option { return func(p *Plan) { p.budget = b } }
 
-// WithEarlier adds former shard maps, newest first. They are pinned while
-// the servers don't hold the map in force.
+// WithEarlier adds earlier shard maps, newest first. They are pinned while the
+// servers don't hold the map in force.
 func WithEarlier(sets ...*tier.ShardSet) Option {
 	return func(p *Plan) { p.maps = append(p.maps, sets...) }
 }
 
-// WithReserves sets the time kept for the answer's way to the caller, and
-// for a part's way back from the own and from another data centre.
-func WithReserves(answer, home, away tier.Millis) Option {
-	return func(p *Plan) { p.answerReserve, p.homeReserve, p.awayReserve = answer, home, away }
+// WithReserves sets the time reserved for returning the answer to the caller, and for
+// returning a part from the local and from a remote data centre.
+func WithReserves(answer, local, remote tier.Millis) Option {
+	return func(p *Plan) { p.answerReserve, p.localReserve, p.remoteReserve = answer, local, remote }
 }
 
-// WithPatience sets how long a search that its snapshot failed waits for the
+// WithPatience sets how long a search whose snapshot is no longer served waits for the
 // view to show a better one. A search that can be answered never waits.
-func WithPatience(m tier.Millis) Option { return func(p *Plan) { p.patience = m } }
+func WithPatience(m tier.Millis) Option { return func(p *Plan) { p.viewWait = m } }
 
-// New returns the plan of a search that has to end by deadline. The first
-// Step, with a Tick, starts it. Home is the own data centre.
-func New(now tier.Millis, home string, profile *tier.Profile, set *tier.ShardSet, v View, deadline tier.Millis, opts ...Option) *Plan {
+// New returns the plan of a search that has to end by the deadline. The first Step,
+// with a Tick, starts it.
+func New(now tier.Millis, localDataCentre string, profile *tier.Profile, set *tier.ShardSet, v View, deadline tier.Millis, opts ...Option) *Plan {
 	p := &Plan{
-		home:     home,
-		profile:  profile,
-		view:     v,
-		begun:    now,
-		deadline: deadline,
-		maps:     []*tier.ShardSet{set},
-		pinned:   map[tier.Snapshot]bool{},
-		fresh:    map[place]Held{},
-		gone:     map[servedAt]bool{},
-		parts:    map[uint64]*part{},
+		localDataCentre: localDataCentre,
+		profile:         profile,
+		view:            v,
+		startedAt:       now,
+		deadline:        deadline,
+		maps:            []*tier.ShardSet{set},
+		pinned:          map[tier.Snapshot]bool{},
+		reportedHeld:    map[replicaSite]Held{},
+		notServed:       map[siteSnapshot]bool{},
+		openParts:       map[uint64]*part{},
 	}
 	p.Defaults()
 	if e, ok := v.(EarlierView); ok {
-		if former, ok := e.Earlier(set.Name()); ok && former.Epoch() < set.Epoch() {
-			p.maps = append(p.maps, former)
+		if earlier, ok := e.Earlier(set.Name()); ok && earlier.Epoch() < set.Epoch() {
+			p.maps = append(p.maps, earlier)
 		}
 	}
 	for _, o := range opts {
@@ -106,103 +104,103 @@
 	return p
 }
 
-// Defaults sets reruns and reserves.
+// Defaults sets the number of reruns, the reserves and the wait for the view.
 func (p *Plan) Defaults() {
-	p.reruns = DefaultReruns
+	p.rerunsLeft = DefaultReruns
 	p.answerReserve = DefaultAnswerReserve
-	p.homeReserve = DefaultHomeReserve
-	p.awayReserve = DefaultAwayReserve
-	p.patience = DefaultPatience
+	p.localReserve = DefaultHomeReserve
+	p.remoteReserve = DefaultAwayReserve
+	p.viewWait = DefaultPatience
 }
 
-// Next is when the next Tick is due, if the plan has not ended.
+// Next returns when the next Tick is due, and whether the plan still needs one.
 func (p *Plan) Next() (tier.Millis, bool) {
-	if p.waiting {
-		return min(p.pollAt, p.end()), !p.done
+	if p.waitingForView {
+		return min(p.nextPollAt, p.finishBy()), !p.done
 	}
-	return p.end(), !p.done
+	return p.finishBy(), !p.done
 }
 
-func (p *Plan) end() tier.Millis { return p.deadline - p.capped(p.answerReserve) }
+func (p *Plan) finishBy() tier.Millis { return p.deadline - p.capReserve(p.answerReserve) }
 
 // Done reports whether the plan has ended.
 func (p *Plan) Done() bool { return p.done }
 
-// Step takes an event and returns what is to be done now. After Finish it
-// returns nothing.
+// Step applies an event and returns the actions that follow from it. After Finish it
+// returns none.
 func (p *Plan) Step(now tier.Millis, e Event) []Action {
 	if p.done {
 		p.countLate(e)
 		return nil
 	}
 	var out []Action
-	if p.round == nil && len(p.rounds) == 0 {
+	if p.currentRound == nil && len(p.rounds) == 0 {
 		out = p.start(now)
 	}
 	switch e := e.(type) {
 	case *PartReplied:
-		out = append(out, p.replied(now, e)...)
+		out = append(out, p.handleReply(now, e)...)
 	case *PartRefused:
-		out = append(out, p.refused(now, e)...)
+		out = append(out, p.handleRefusal(now, e)...)
 	case *PartFailed:
-		out = append(out, p.failed(now, e)...)
+		out = append(out, p.handleFailure(now, e)...)
 	case *SetChanged:
-		p.setChanged(e.set)
+		p.addNewerMap(e.set)
 	case *CallerGone:
-		return append(out, p.callerGone()...)
+		return append(out, p.handleCallerGone()...)
 	case *Tick:
 	}
-	out = append(out, p.rerun(now)...)
-	return append(out, p.conclude(now)...)
+	out = append(out, p.rerunIfLost(now)...)
+	return append(out, p.finishIfDone(now)...)
 }
 
 func (p *Plan) start(now tier.Millis) []Action {
-	n, ok := p.choose()
-	if !ok || n.fraction() < p.profile.MinCoverage() || now >= p.end() {
+	c, ok := p.chooseSnapshot()
+	if !ok || c.fraction() < p.profile.MinCoverage() || now >= p.finishBy() {
 		return nil
 	}
-	p.budget.earn(len(n.set.Shards()))
-	return p.run(now, n)
+	p.budget.earn(len(c.set.Shards()))
+	return p.startRound(now, c)
 }
 
-// run starts a round under a snapshot.
-func (p *Plan) run(now tier.Millis, n pin) []Action {
-	p.round = newRound(n)
-	p.rounds = append(p.rounds, p.round)
-	p.pinned[n.snapshot()] = true
-	return p.send(p.place(now, p.round, nil, n.set.Shards()))
+// startRound starts a round at a snapshot.
+func (p *Plan) startRound(now tier.Millis, c candidate) []Action {
+	p.currentRound = newRound(c)
+	p.rounds = append(p.rounds, p.currentRound)
+	p.pinned[c.snapshot()] = true
+	return p.sendParts(p.groupByDataCentre(now, p.currentRound, nil, c.set.Shards()))
 }
 
-// rerun starts another round when shards of this one were lost for its
-// snapshot and another snapshot promises more.
-func (p *Plan) rerun(now tier.Millis) []Action {
-	if p.round == nil || p.reruns == 0 || p.partDeadline(p.home) <= now {
+// rerunIfLost starts another round if shards of this one can't be served at its
+// snapshot and another snapshot allows more coverage.
+func (p *Plan) rerunIfLost(now tier.Millis) []Action {
+	if p.currentRound == nil || p.rerunsLeft == 0 || p.partDeadline(p.localDataCentre) <= now {
 		return nil
 	}
 	if s, ok := p.view.Set(p.maps[0].Name()); ok {
-		p.setChanged(s)
+		p.addNewerMap(s)
 	}
-	if !p.lostToSnapshot() {
+	if !p.lostForSnapshot() {
 		return nil
 	}
-	if !p.lost {
-		p.lost, p.lostAt = true, now
+	if !p.shardsLost {
+		p.shardsLost, p.shardsLostAt = true, now
 	}
-	n, ok := p.choose()
-	if !ok || n.fraction() <= p.round.potential() || !p.budget.spend(len(n.set.Shards())) {
+	c, ok := p.chooseSnapshot()
+	if !ok || c.fraction() <= p.currentRound.potential() || !p.budget.spend(len(c.set.Shards())) {
 		return nil
 	}
-	p.reruns--
-	p.lost = false
+	p.rerunsLeft--
+	p.shardsLost = false
 	p.counters.reruns++
-	return p.run(now, n)
+	return p.startRound(now, c)
 }
 
-func (p *Plan) lostToSnapshot() bool {
-	if len(p.round.lost) > 0 && p.maps[0].Epoch() > p.round.snapshot.Epoch() {
+func (p *Plan) lostForSnapshot() bool {
+	if len(p.currentRound.lost) > 0 && p.maps[0].Epoch() > p.currentRound.snapshot.Epoch() {
 		return true
 	}
-	for _, reason := range p.round.lost {
+	for _, reason := range p.currentRound.lost {
 		if reason == tier.MissWrongSnapshot {
 			return true
 		}
@@ -210,14 +208,15 @@
 	return false
 }
 
-func (p *Plan) setChanged(set *tier.ShardSet) {
+func (p *Plan) addNewerMap(set *tier.ShardSet) {
 	if set.Epoch() > p.maps[0].Epoch() {
 		p.maps = append([]*tier.ShardSet{set}, p.maps...)
 	}
 }
 
-// best is the round whose answer covers most, the newer one of equals.
-func (p *Plan) best() *merger.Merge {
+// bestMerge returns the merge with the greatest coverage; of equals, that of the newer
+// round.
+func (p *Plan) bestMerge() *merger.Merge {
 	var best *merger.Merge
 	for _, r := range p.rounds {
 		if best == nil || r.merge.Fraction() >= best.Fraction() {
--- a/tier/planner/property_test.go
+++ b/tier/planner/property_test.go
@@ -14,7 +14,7 @@
 	"cicadagrade.example/tier/planner"
 )
 
-// TestMain fixes the seed, so that each run has the same verdict.
+// TestMain fixes the seed, so that each run draws the same cases.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "20261204"); err != nil {
 		panic(err)
@@ -25,153 +25,154 @@
 
 var dataCentres = []string{"a", "b", "c"}
 
-// world plays the owners of three data centres at random against one plan
-// and checks each action.
-type world struct {
-	t       *rapid.T
-	view    *fakeView
-	served  ledger
-	profile *tier.Profile
-	plan    *planner.Plan
-	sent    map[uint64]*planner.SendPart
-	open    []uint64
-	asked   map[string]bool
-	brought bool // a part may have run
-	end     tier.Outcome
+// randomRun simulates the owners of three data centres with random behaviour against
+// one plan, and checks each action.
+type randomRun struct {
+	t          *rapid.T
+	view       *fakeView
+	served     servedLedger
+	profile    *tier.Profile
+	plan       *planner.Plan
+	sent       map[uint64]*planner.SendPart
+	openParts  []uint64
+	askedFor   map[string]bool
+	mayHaveRun bool // a part may have run
+	outcome    tier.Outcome
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{t: t, view: newFakeView(), served: ledger{}, sent: map[uint64]*planner.SendPart{}, asked: map[string]bool{}}
+func newRandomRun(t *rapid.T) *randomRun {
+	r := &randomRun{t: t, view: newFakeView(), served: servedLedger{}, sent: map[uint64]*planner.SendPart{}, askedFor: map[string]bool{}}
 	var err error
-	w.profile, err = tier.NewProfile("gate", tier.WithMinCoverage(rapid.SampledFrom([]float64{0.3, 0.7, 1}).Draw(t, "least")))
+	r.profile, err = tier.NewProfile("gate", tier.WithMinCoverage(rapid.SampledFrom([]float64{0.3, 0.7, 1}).Draw(t, "min-coverage")))
 	if err != nil {
 		t.Fatal(err)
 	}
 	set := makeSet(t, 1, []string{"s0=a,b", "s1=b,a", "s2=a", "s3=c,b"})
-	w.draw(1, []string{"s0", "s1", "s2", "s3"})
-	w.plan = planner.New(0, "a", w.profile, set, w.view, w.profile.Deadline())
-	return w
+	r.drawHoldings(1, []string{"s0", "s1", "s2", "s3"})
+	r.plan = planner.New(0, "a", r.profile, set, r.view, r.profile.Deadline())
+	return r
 }
 
-// draw redraws what is held and what can be reached.
-func (w *world) draw(epoch tier.Epoch, shards []string) {
+// drawHoldings draws which versions are held and which data centres can be reached.
+func (r *randomRun) drawHoldings(epoch tier.Epoch, shards []string) {
 	for _, d := range dataCentres {
-		w.view.cut[d] = rapid.IntRange(0, 5).Draw(w.t, "cut") == 0
-		for _, h := range shards {
+		r.view.unreachable[d] = rapid.IntRange(0, 5).Draw(r.t, "cut") == 0
+		for _, shard := range shards {
 			for v := tier.Version(7); v <= 8; v++ {
-				if rapid.IntRange(0, 3).Draw(w.t, "hold") > 0 {
-					w.view.hold(d, tier.NewSnapshot(epoch, v), []string{h})
+				if rapid.IntRange(0, 3).Draw(r.t, "hold") > 0 {
+					r.view.hold(d, tier.NewSnapshot(epoch, v), []string{shard})
 				}
 			}
 		}
 	}
 }
 
-func (w *world) step(now tier.Millis, e planner.Event) {
-	for _, a := range w.plan.Step(now, e) {
-		if w.end != nil {
-			w.t.Fatalf("%s after the end", describe(a))
+func (r *randomRun) step(now tier.Millis, e planner.Event) {
+	for _, a := range r.plan.Step(now, e) {
+		if r.outcome != nil {
+			r.t.Fatalf("%s after Finish", describe(a))
 		}
 		switch a := a.(type) {
 		case *planner.SendPart:
-			w.send(now, a)
+			r.send(now, a)
 		case *planner.CancelPart:
-			w.brought = true
-			w.open = slices.DeleteFunc(w.open, func(n uint64) bool { return n == a.Part() })
+			r.mayHaveRun = true
+			r.openParts = slices.DeleteFunc(r.openParts, func(n uint64) bool { return n == a.Part() })
 		case *planner.Finish:
-			w.finish(a.Outcome())
+			r.finish(a.Outcome())
 		}
 	}
 }
 
-func (w *world) send(now tier.Millis, a *planner.SendPart) {
-	if w.view.cut[a.DataCentre()] || a.Deadline() <= now {
-		w.t.Fatalf("%s at %d: cut off or too late", describe(a), now)
+func (r *randomRun) send(now tier.Millis, a *planner.SendPart) {
+	if r.view.unreachable[a.DataCentre()] || a.Deadline() <= now {
+		r.t.Fatalf("%s at %d: the data centre is unreachable, or the part's deadline has passed", describe(a), now)
 	}
-	for _, h := range a.Shards() {
-		k := a.DataCentre() + h + a.Snapshot().String()
-		if w.asked[k] {
-			w.t.Fatalf("%s: asked twice", describe(a))
+	for _, shard := range a.Shards() {
+		k := a.DataCentre() + shard + a.Snapshot().String()
+		if r.askedFor[k] {
+			r.t.Fatalf("%s: a shard is requested twice from one data centre at one snapshot", describe(a))
 		}
-		w.asked[k] = true
+		r.askedFor[k] = true
 	}
-	w.sent[a.Part()] = a
-	w.open = append(w.open, a.Part())
+	r.sent[a.Part()] = a
+	r.openParts = append(r.openParts, a.Part())
 }
 
-func (w *world) finish(o tier.Outcome) {
-	w.end = o
-	if err := w.served.check(o); err != nil {
-		w.t.Fatal(err)
+func (r *randomRun) finish(o tier.Outcome) {
+	r.outcome = o
+	if err := r.served.check(o); err != nil {
+		r.t.Fatal(err)
 	}
 	switch o := o.(type) {
 	case *tier.Answered:
-		if o.Coverage().Fraction() < w.profile.MinCoverage() {
-			w.t.Fatalf("%s: below the profile's coverage", describeOutcome(o))
+		if o.Coverage().Fraction() < r.profile.MinCoverage() {
+			r.t.Fatalf("%s: coverage below the profile's minimum", describeOutcome(o))
 		}
 	case *tier.Refused:
-		if w.brought || len(w.open) > 0 {
-			w.t.Fatalf("%s, though parts ran", describeOutcome(o))
+		if r.mayHaveRun || len(r.openParts) > 0 {
+			r.t.Fatalf("%s, although parts may have run", describeOutcome(o))
 		}
 	}
 }
 
-// answer plays one owner: replies may be crossed, cut, corrupted, refused.
-func (w *world) answer() planner.Event {
-	i := rapid.IntRange(0, len(w.open)-1).Draw(w.t, "part")
-	part := w.sent[w.open[i]]
-	w.open = slices.Delete(w.open, i, i+1)
-	refused := rapid.IntRange(0, 7).Draw(w.t, "refused") < 2
+// answer draws an owner's answer to one open part: a reply that may be of another
+// snapshot, cut short or corrupted, a refusal or a failure.
+func (r *randomRun) answer() planner.Event {
+	i := rapid.IntRange(0, len(r.openParts)-1).Draw(r.t, "part")
+	part := r.sent[r.openParts[i]]
+	r.openParts = slices.Delete(r.openParts, i, i+1)
+	refused := rapid.IntRange(0, 7).Draw(r.t, "refused") < 2
 	if refused {
 		return planner.NewPartRefused(part.Part(), tier.RefuseOverload, 0)
 	}
-	w.brought = true
-	if rapid.IntRange(0, 7).Draw(w.t, "failed") == 0 {
+	r.mayHaveRun = true
+	if rapid.IntRange(0, 7).Draw(r.t, "failed") == 0 {
 		return planner.NewPartFailed(part.Part(), tier.MissCutOff)
 	}
 	at := part.Snapshot()
-	if rapid.IntRange(0, 7).Draw(w.t, "other") == 0 {
+	if rapid.IntRange(0, 7).Draw(r.t, "other-snapshot") == 0 {
 		at = tier.NewSnapshot(at.Epoch(), 15-at.Version())
 	}
 	var results []merger.ShardResult
 	var held []planner.Held
-	for _, h := range part.Shards() {
-		fault := rapid.SampledFrom([]string{"", "", "", "", "!cut", "!corrupt", ":refused", ":wrong-snapshot"}).Draw(w.t, "fault")
-		results = append(results, w.served.result(at, h+fault))
+	for _, shard := range part.Shards() {
+		fault := rapid.SampledFrom([]string{"", "", "", "", "!cut", "!corrupt", ":refused", ":wrong-snapshot"}).Draw(r.t, "fault")
+		results = append(results, r.served.result(at, shard+fault))
 		if fault == ":wrong-snapshot" {
-			held = append(held, planner.NewHeld(h, at.Epoch(), []tier.Version{8}))
+			held = append(held, planner.NewHeld(shard, at.Epoch(), []tier.Version{8}))
 		}
 	}
 	return planner.NewPartReplied(part.Part(), at, results, held, len(results))
 }
 
-func TestPlanKeepsItsPromises(t *testing.T) {
+func TestPlanInvariantsHoldInRandomRuns(t *testing.T) {
 	next := makeSet(t, 2, []string{"s0=a,b", "s1a=b", "s1b=a", "s2=a", "s3=c,b"})
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		r := newRandomRun(t)
 		var now, idleSince tier.Millis
-		w.step(now, &planner.Tick{})
-		for w.end == nil {
-			working := len(w.open) > 0
+		r.step(now, &planner.Tick{})
+		for r.outcome == nil {
+			working := len(r.openParts) > 0
 			if !working && now-idleSince > planner.DefaultPatience {
-				t.Fatal("nothing is open, and the plan has not ended")
+				t.Fatal("no part is open, but the plan has not ended")
 			}
 			now += tier.Millis(rapid.IntRange(0, 200).Draw(t, "wait"))
 			switch n := rapid.IntRange(0, 9).Draw(t, "event"); {
 			case n == 0:
-				w.step(now, &planner.Tick{})
+				r.step(now, &planner.Tick{})
 			case n == 1:
-				w.draw(2, []string{"s0", "s1a", "s1b", "s2", "s3"})
-				w.step(now, planner.NewSetChanged(next))
-			case len(w.open) == 0:
-				due, _ := w.plan.Next()
+				r.drawHoldings(2, []string{"s0", "s1a", "s1b", "s2", "s3"})
+				r.step(now, planner.NewSetChanged(next))
+			case len(r.openParts) == 0:
+				due, _ := r.plan.Next()
 				now = max(now, due)
-				w.step(now, &planner.Tick{})
+				r.step(now, &planner.Tick{})
 			default:
-				w.step(now, w.answer())
+				r.step(now, r.answer())
 			}
-			if due, more := w.plan.Next(); more && now >= due {
-				t.Fatalf("at %d a tick is due at %d", now, due)
+			if due, more := r.plan.Next(); more && now >= due {
+				t.Fatalf("at %d: Next still returns %d", now, due)
 			}
 			if working {
 				idleSince = now
@@ -180,21 +181,21 @@
 	})
 }
 
-// TestCheckSeesMixedRounds shows that the check can fail: it objects to an
-// answer of two rounds, as a planner without rounds would give it.
-func TestCheckSeesMixedRounds(t *testing.T) {
-	l := ledger{}
+// TestCheckDetectsMixedRounds checks that servedLedger.check rejects an answer that
+// mixes two rounds.
+func TestCheckDetectsMixedRounds(t *testing.T) {
+	l := servedLedger{}
 	old, now := tier.NewSnapshot(1, 7), tier.NewSnapshot(1, 8)
 	records := append(slices.Clone(l.result(old, "s0").Records()), l.result(now, "s1").Records()[1:]...)
 	mixed := tier.NewAnswered(old, tier.NewCoverage([]string{"s0", "s1"}, nil), records)
 	if err := l.check(mixed); err == nil {
-		t.Error("the check passes records of two versions")
+		t.Error("check accepts records of two versions")
 	}
 	short := tier.NewAnswered(old, tier.NewCoverage([]string{"s0", "s1"}, nil), l.result(old, "s0").Records())
 	if err := l.check(short); err == nil {
-		t.Error("the check passes a shard that was not merged")
+		t.Error("check accepts a shard that was not merged")
 	}
 	if err := l.check(tier.NewAnswered(old, tier.NewCoverage([]string{"s0"}, nil), l.result(old, "s0").Records())); err != nil {
-		t.Error(errors.Wrap(err, "a true answer"))
+		t.Error(errors.Wrap(err, "check rejects a correct answer"))
 	}
 }
--- a/tier/planner/replies.go
+++ b/tier/planner/replies.go
@@ -7,7 +7,7 @@
 	"cicadagrade.example/tier/merger"
 )
 
-// Counters count what a plan met.
+// Counters count the replies, reruns and leaf calls of a plan.
 type Counters struct {
 	dropped   int
 	rejected  int
@@ -15,17 +15,17 @@
 	leafCalls int
 }
 
-// Dropped is how many replies and results came for a part, snapshot or shard
-// that did not wait for them.
+// Dropped is the number of replies and results that the plan had not asked for or no
+// longer waited for: of another part, snapshot or shard.
 func (c Counters) Dropped() int { return c.dropped }
 
-// Rejected is how many results were cut short or corrupted.
+// Rejected is the number of results that were truncated or corrupted.
 func (c Counters) Rejected() int { return c.rejected }
 
-// Reruns is how often the search was run again under another snapshot.
+// Reruns is the number of times that the search was repeated at another snapshot.
 func (c Counters) Reruns() int { return c.reruns }
 
-// LeafCalls is how many leaf calls the owners reported.
+// LeafCalls is the number of leaf calls that the owners reported.
 func (c Counters) LeafCalls() int { return c.leafCalls }
 
 // Counters returns the counts so far.
@@ -38,33 +38,34 @@
 	}
 }
 
-func (p *Plan) replied(now tier.Millis, e *PartReplied) []Action {
-	t, ok := p.parts[e.part]
+func (p *Plan) handleReply(now tier.Millis, e *PartReplied) []Action {
+	pt, ok := p.openParts[e.part]
 	if !ok {
 		p.counters.dropped++
 		return nil
 	}
 	p.counters.leafCalls += e.leafCalls
-	p.ran = p.ran || e.leafCalls > 0
-	for _, h := range e.held {
-		p.fresh[place{t.dataCentre, h.shard}] = h
+	p.mayHaveRun = p.mayHaveRun || e.leafCalls > 0
+	for _, held := range e.held {
+		p.reportedHeld[replicaSite{pt.dataCentre, held.shard}] = held
 	}
-	if e.snapshot != t.round.snapshot {
+	if e.snapshot != pt.round.snapshot {
 		p.counters.dropped++
-		p.ran = true
-		return p.lose(now, t, tier.MissWrongSnapshot, true)
+		p.mayHaveRun = true
+		return p.failPart(now, pt, tier.MissWrongSnapshot, true)
 	}
-	missed := p.merge(t, e)
-	return p.settle(now, t, missed, e.leafCalls > 0)
+	missed := p.mergeResults(pt, e)
+	return p.closePart(now, pt, missed, e.leafCalls > 0)
 }
 
-// merge takes what a reply brings and returns why the rest is missing.
-func (p *Plan) merge(t *part, e *PartReplied) map[string]tier.MissReason {
-	missed := make(map[string]tier.MissReason, len(t.shards))
-	for _, id := range t.shards {
+// mergeResults merges the results of a reply, and returns for each shard that is still
+// missing the reason.
+func (p *Plan) mergeResults(pt *part, e *PartReplied) map[string]tier.MissReason {
+	missed := make(map[string]tier.MissReason, len(pt.shards))
+	for _, id := range pt.shards {
 		missed[id] = tier.MissBadReply
 	}
-	seen := make(map[string]bool, len(t.shards))
+	seen := make(map[string]bool, len(pt.shards))
 	for _, r := range e.results {
 		_, asked := missed[r.Shard()]
 		if !asked || seen[r.Shard()] {
@@ -74,33 +75,33 @@
 		seen[r.Shard()] = true
 		if r.Miss() != "" {
 			missed[r.Shard()] = r.Miss()
-			p.noteMiss(t, r)
+			p.recordMiss(pt, r)
 			continue
 		}
-		if err := t.round.merge.Add(e.snapshot, r); err != nil {
+		if err := pt.round.merge.Add(e.snapshot, r); err != nil {
 			p.countRejected(err)
 			continue
 		}
-		p.ran = true
+		p.mayHaveRun = true
 		delete(missed, r.Shard())
 	}
 	return missed
 }
 
-// noteMiss remembers that a data centre does not serve a shard at the pinned
-// snapshot, whatever it says that it holds, and that servers refused.
-func (p *Plan) noteMiss(t *part, r merger.ShardResult) {
+// recordMiss notes that a data centre does not serve a shard at the pinned snapshot,
+// whatever versions it reports, or that servers refused.
+func (p *Plan) recordMiss(pt *part, r merger.ShardResult) {
 	switch r.Miss() {
 	case tier.MissWrongSnapshot:
-		p.gone[servedAt{place{t.dataCentre, r.Shard()}, t.round.snapshot}] = true
+		p.notServed[siteSnapshot{replicaSite{pt.dataCentre, r.Shard()}, pt.round.snapshot}] = true
 	case tier.MissRefused:
-		p.noteRefusal(tier.NewRefused(tier.RefuseByServer, 0))
+		p.recordRefusal(tier.NewRefused(tier.RefuseByServer, 0))
 	}
 }
 
-// noteRefusal keeps the first refusal, but prefers any to one that says only
-// that a data centre can't be reached.
-func (p *Plan) noteRefusal(r *tier.Refused) {
+// recordRefusal keeps the first refusal, but replaces one that only says that a data
+// centre can't be reached.
+func (p *Plan) recordRefusal(r *tier.Refused) {
 	if p.refusal == nil || p.refusal.Reason() == tier.RefuseUnreachable {
 		p.refusal = r
 	}
@@ -113,42 +114,42 @@
 		return
 	}
 	p.counters.rejected++
-	p.ran = true
+	p.mayHaveRun = true
 }
 
-func (p *Plan) refused(now tier.Millis, e *PartRefused) []Action {
-	t, ok := p.parts[e.part]
+func (p *Plan) handleRefusal(now tier.Millis, e *PartRefused) []Action {
+	pt, ok := p.openParts[e.part]
 	if !ok {
 		p.counters.dropped++
 		return nil
 	}
-	p.noteRefusal(tier.NewRefused(e.reason, e.retryAfter))
-	return p.lose(now, t, missOf(e.reason), false)
+	p.recordRefusal(tier.NewRefused(e.reason, e.retryAfter))
+	return p.failPart(now, pt, missReasonFor(e.reason), false)
 }
 
-func (p *Plan) failed(now tier.Millis, e *PartFailed) []Action {
-	t, ok := p.parts[e.part]
+func (p *Plan) handleFailure(now tier.Millis, e *PartFailed) []Action {
+	pt, ok := p.openParts[e.part]
 	if !ok {
 		p.counters.dropped++
 		return nil
 	}
-	p.ran = true
-	return p.lose(now, t, e.reason, true)
+	p.mayHaveRun = true
+	return p.failPart(now, pt, e.reason, true)
 }
 
-// lose settles a part that brought nothing.
-func (p *Plan) lose(now tier.Millis, t *part, reason tier.MissReason, costly bool) []Action {
-	missed := make(map[string]tier.MissReason, len(t.shards))
-	for _, id := range t.shards {
+// failPart closes a part that returned nothing.
+func (p *Plan) failPart(now tier.Millis, pt *part, reason tier.MissReason, costly bool) []Action {
+	missed := make(map[string]tier.MissReason, len(pt.shards))
+	for _, id := range pt.shards {
 		missed[id] = reason
 		if reason == tier.MissWrongSnapshot {
-			p.gone[servedAt{place{t.dataCentre, id}, t.round.snapshot}] = true
+			p.notServed[siteSnapshot{replicaSite{pt.dataCentre, id}, pt.round.snapshot}] = true
 		}
 	}
-	return p.settle(now, t, missed, costly)
+	return p.closePart(now, pt, missed, costly)
 }
 
-func missOf(r tier.RefuseReason) tier.MissReason {
+func missReasonFor(r tier.RefuseReason) tier.MissReason {
 	switch r {
 	case tier.RefuseDeadline:
 		return tier.MissDeadline
--- a/tier/planner/round.go
+++ b/tier/planner/round.go
@@ -7,39 +7,39 @@
 	"cicadagrade.example/tier/merger"
 )
 
-// round is one run of the search under one pinned snapshot.
+// round is one run of the search at one pinned snapshot.
 type round struct {
-	set      *tier.ShardSet
-	snapshot tier.Snapshot
-	merge    *merger.Merge
-	tried    map[place]bool
-	lost     map[string]tier.MissReason // shards that can't be had any more
-	open     int                        // shards that parts still may bring
+	set        *tier.ShardSet
+	snapshot   tier.Snapshot
+	merge      *merger.Merge
+	tried      map[replicaSite]bool
+	lost       map[string]tier.MissReason // shards that can't be served in this round
+	openShards int                        // shards that open parts may still return
 }
 
-func newRound(n pin) *round {
+func newRound(c candidate) *round {
 	return &round{
-		set:      n.set,
-		snapshot: n.snapshot(),
-		merge:    merger.New(n.set, n.version),
-		tried:    map[place]bool{},
+		set:      c.set,
+		snapshot: c.snapshot(),
+		merge:    merger.New(c.set, c.version),
+		tried:    map[replicaSite]bool{},
 		lost:     map[string]tier.MissReason{},
 	}
 }
 
 // potential is the coverage that the round can still reach.
-func (r *round) potential() float64 { return r.fraction(r.merge.Covered() + r.open) }
+func (r *round) potential() float64 { return r.fraction(r.merge.Covered() + r.openShards) }
 
 func (r *round) fraction(shards int) float64 {
 	return float64(shards) / float64(len(r.set.Shards()))
 }
 
-func (r *round) miss(shard string, reason tier.MissReason) {
+func (r *round) markMissing(shard string, reason tier.MissReason) {
 	r.lost[shard] = reason
 	r.merge.Miss(shard, reason)
 }
 
-// part is a group of shards that one data centre was asked for.
+// part is a group of shards requested from one data centre.
 type part struct {
 	number     uint64
 	round      *round
@@ -47,47 +47,49 @@
 	shards     []string
 }
 
-// place finds a data centre for each shard, and notes those that have none.
-// Reason is why the last try failed, or empty.
-func (p *Plan) place(now tier.Millis, r *round, reasons map[string]tier.MissReason, shards []tier.Shard) []*part {
+// groupByDataCentre assigns each shard to a data centre and returns one part for each.
+// A shard that no data centre can serve is marked as missing, with the reason of its
+// last attempt if reasons has one.
+func (p *Plan) groupByDataCentre(now tier.Millis, r *round, reasons map[string]tier.MissReason, shards []tier.Shard) []*part {
 	var parts []*part
-	byPlace := map[string]*part{}
-	for _, h := range shards {
-		d, reason := p.pick(now, r, h)
+	byDataCentre := map[string]*part{}
+	for _, shard := range shards {
+		d, reason := p.pickDataCentre(now, r, shard)
 		if reason != "" {
-			if earlier, ok := reasons[h.ID()]; ok {
+			if earlier, ok := reasons[shard.ID()]; ok {
 				reason = earlier
 			}
-			r.miss(h.ID(), reason)
+			r.markMissing(shard.ID(), reason)
 			continue
 		}
-		r.tried[place{d, h.ID()}] = true
-		r.open++
-		t, ok := byPlace[d]
+		r.tried[replicaSite{d, shard.ID()}] = true
+		r.openShards++
+		pt, ok := byDataCentre[d]
 		if !ok {
-			t = &part{round: r, dataCentre: d}
-			byPlace[d] = t
-			parts = append(parts, t)
+			pt = &part{round: r, dataCentre: d}
+			byDataCentre[d] = pt
+			parts = append(parts, pt)
 		}
-		t.shards = append(t.shards, h.ID())
+		pt.shards = append(pt.shards, shard.ID())
 	}
 	return parts
 }
 
-// pick returns the data centre to ask for a shard, or why there is none.
-func (p *Plan) pick(now tier.Millis, r *round, h tier.Shard) (string, tier.MissReason) {
+// pickDataCentre returns the data centre to ask for a shard, or the reason why there
+// is none.
+func (p *Plan) pickDataCentre(now tier.Millis, r *round, shard tier.Shard) (string, tier.MissReason) {
 	reason := tier.MissNoReplica
-	for _, d := range p.dataCentres(r.set, h) {
+	for _, d := range p.dataCentres(r.set, shard) {
 		if !p.view.Reachable(d) {
 			reason = tier.MissCutOff
 			continue
 		}
-		if r.tried[place{d, h.ID()}] {
+		if r.tried[replicaSite{d, shard.ID()}] {
 			continue
 		}
-		held := p.versions(r.set, d, h.ID())
+		held := p.servableVersions(r.set, d, shard.ID())
 		if !slices.Contains(held, r.snapshot.Version()) {
-			if reason == tier.MissNoReplica && p.holdsAny(r.set, d, h.ID()) {
+			if reason == tier.MissNoReplica && p.holdsAny(r.set, d, shard.ID()) {
 				reason = tier.MissWrongSnapshot
 			}
 			continue
@@ -102,83 +104,82 @@
 }
 
 func (p *Plan) holdsAny(set *tier.ShardSet, dataCentre, shard string) bool {
-	_, held := p.held(set, place{dataCentre, shard})
+	_, held := p.heldVersions(set, replicaSite{dataCentre, shard})
 	return len(held) > 0
 }
 
-// send numbers parts and asks for them.
-func (p *Plan) send(parts []*part) []Action {
+// sendParts numbers the parts and returns the actions that send them.
+func (p *Plan) sendParts(parts []*part) []Action {
 	var out []Action
-	for _, t := range parts {
+	for _, pt := range parts {
 		p.lastPart++
-		t.number = p.lastPart
-		p.parts[t.number] = t
+		pt.number = p.lastPart
+		p.openParts[pt.number] = pt
 		out = append(out, &SendPart{
-			part:       t.number,
-			dataCentre: t.dataCentre,
-			shards:     t.shards,
-			snapshot:   t.round.snapshot,
-			deadline:   p.partDeadline(t.dataCentre),
+			part:       pt.number,
+			dataCentre: pt.dataCentre,
+			shards:     pt.shards,
+			snapshot:   pt.round.snapshot,
+			deadline:   p.partDeadline(pt.dataCentre),
 		})
 	}
 	return out
 }
 
-// partDeadline leaves the way back to the plan, which is longer from another
+// partDeadline leaves time for the reply to return, which takes longer from a remote
 // data centre.
 func (p *Plan) partDeadline(dataCentre string) tier.Millis {
-	reserve := p.awayReserve
-	if dataCentre == p.home {
-		reserve = p.homeReserve
+	reserve := p.remoteReserve
+	if dataCentre == p.localDataCentre {
+		reserve = p.localReserve
 	}
-	return p.deadline - p.capped(reserve)
+	return p.deadline - p.capReserve(reserve)
 }
 
-// capped keeps a reserve below a quarter of the whole time.
-func (p *Plan) capped(m tier.Millis) tier.Millis { return min(m, (p.deadline-p.begun)/4) }
-
-// settle closes a part and tries its missing shards elsewhere. Costly says
-// that the part may have made leaf calls, so that a second try is extra
-// load.
-func (p *Plan) settle(now tier.Millis, t *part, missed map[string]tier.MissReason, costly bool) []Action {
-	delete(p.parts, t.number)
-	r := t.round
-	r.open -= len(t.shards)
-	again := p.again(now, r, missed)
-	if !p.worthTrying(r, len(again), costly) {
-		again = nil
+// capReserve limits a reserve to a quarter of the search's whole time.
+func (p *Plan) capReserve(m tier.Millis) tier.Millis { return min(m, (p.deadline-p.startedAt)/4) }
+
+// closePart closes a part and retries its missing shards in other data centres. Costly
+// says that the part may have made leaf calls, so that a retry is extra load.
+func (p *Plan) closePart(now tier.Millis, pt *part, missed map[string]tier.MissReason, costly bool) []Action {
+	delete(p.openParts, pt.number)
+	r := pt.round
+	r.openShards -= len(pt.shards)
+	retryable := p.retryableShards(now, r, missed)
+	if !p.worthRetrying(r, len(retryable), costly) {
+		retryable = nil
 	}
 	for id, reason := range missed {
-		r.miss(id, reason)
+		r.markMissing(id, reason)
 	}
-	for _, h := range again {
-		delete(r.lost, h.ID())
+	for _, shard := range retryable {
+		delete(r.lost, shard.ID())
 	}
-	return p.send(p.place(now, r, missed, again))
+	return p.sendParts(p.groupByDataCentre(now, r, missed, retryable))
 }
 
-// again lists the missed shards that another data centre may be asked for.
-// Only the newest round tries again.
-func (p *Plan) again(now tier.Millis, r *round, missed map[string]tier.MissReason) []tier.Shard {
-	if r != p.round || len(missed) == 0 {
+// retryableShards lists the missing shards that another data centre can be asked for.
+// Only the newest round retries.
+func (p *Plan) retryableShards(now tier.Millis, r *round, missed map[string]tier.MissReason) []tier.Shard {
+	if r != p.currentRound || len(missed) == 0 {
 		return nil
 	}
 	var out []tier.Shard
-	for _, h := range r.set.Shards() {
-		if _, ok := missed[h.ID()]; !ok {
+	for _, shard := range r.set.Shards() {
+		if _, ok := missed[shard.ID()]; !ok {
 			continue
 		}
-		if _, reason := p.pick(now, r, h); reason == "" {
-			out = append(out, h)
+		if _, reason := p.pickDataCentre(now, r, shard); reason == "" {
+			out = append(out, shard)
 		}
 	}
 	return out
 }
 
-// worthTrying reports whether more shards can lift the round to the
-// profile's coverage, and whether the budget allows to ask again.
-func (p *Plan) worthTrying(r *round, shards int, costly bool) bool {
-	if shards == 0 || r.fraction(r.merge.Covered()+r.open+shards) < p.profile.MinCoverage() {
+// worthRetrying reports whether the shards could lift the round to the profile's
+// minimum coverage, and whether the budget allows the retry.
+func (p *Plan) worthRetrying(r *round, shards int, costly bool) bool {
+	if shards == 0 || r.fraction(r.merge.Covered()+r.openShards+shards) < p.profile.MinCoverage() {
 		return false
 	}
 	return !costly || p.budget.spend(shards)
--- a/tier/planner/script_test.go
+++ b/tier/planner/script_test.go
@@ -16,12 +16,12 @@
 	"cicadagrade.example/tier/planner"
 )
 
-// TestScripts plays each script of testdata and compares the transcript with
-// its golden file. Every answer is also compared with what was served.
+// TestScripts runs each script of testdata and compares the transcript with its golden
+// file. Every answer is also compared with what was served.
 func TestScripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no scripts: %v", err)
+		t.Fatalf("no scripts in testdata: %v", err)
 	}
 	for _, f := range files {
 		name := strings.TrimSuffix(filepath.Base(f), ".txt")
@@ -41,15 +41,17 @@
 	}
 }
 
-// script drives one plan. Its words:
+// script drives one plan. Its commands:
 //
 //	profile MIN-COVERAGE DEADLINE
-//	map EPOCH SHARD=DC[,DC...] ...     the shard map, first home (a)
-//	hold DC EPOCH.VERSION SHARD ...    what a data centre can serve
-//	cut DC, mend DC, at MS, tick, gone
-//	former                             has the last map be the former one
-//	adopt                              tells the plan of the last map
-//	force                              has the view show the last map
+//	map EPOCH SHARD=DC[,DC...] ...     the shard map; a is the local data centre
+//	hold DC EPOCH.VERSION SHARD ...    versions that a data centre can serve
+//	cut DC, mend DC                    a data centre can't, can be reached
+//	at MS, tick                        sets the time, sends a Tick
+//	gone                               the caller no longer waits
+//	former                             makes the last map the earlier one of the view
+//	adopt                              sends the last map to the plan
+//	force                              makes the view show the last map
 //	reply PART SNAPSHOT CALLS RESULT ... [held SHARD=EPOCH.VERSION[+VERSION] ...]
 //	refuse PART REASON, fail PART REASON
 //
@@ -59,15 +61,15 @@
 	now     tier.Millis
 	profile *tier.Profile
 	set     *tier.ShardSet
-	next    *tier.ShardSet
+	lastMap *tier.ShardSet
 	view    *fakeView
 	plan    *planner.Plan
-	served  ledger
+	served  servedLedger
 	out     strings.Builder
 }
 
 func newScript(t *testing.T) *script {
-	return &script{t: t, view: newFakeView(), served: ledger{}}
+	return &script{t: t, view: newFakeView(), served: servedLedger{}}
 }
 
 func (s *script) play(line string) {
@@ -82,28 +84,28 @@
 	case "map":
 		s.newMap(w[1], w[2:])
 	case "hold":
-		s.view.hold(w[1], snapshotOf(s.t, w[2]), w[3:])
+		s.view.hold(w[1], parseSnapshot(s.t, w[2]), w[3:])
 	case "cut":
-		s.view.cut[w[1]] = true
+		s.view.unreachable[w[1]] = true
 	case "former":
-		s.view.former, s.set = s.set, nil
+		s.view.earlier, s.set = s.set, nil
 	case "force":
-		s.view.set = s.next
+		s.view.set = s.lastMap
 	case "mend":
-		delete(s.view.cut, w[1])
+		delete(s.view.unreachable, w[1])
 	case "at":
-		s.now = tier.Millis(number(s.t, w[1]))
+		s.now = tier.Millis(parseNumber(s.t, w[1]))
 	default:
 		s.step(s.event(w))
 	}
 }
 
-func (s *script) newProfile(least, deadline string) {
-	f, err := strconv.ParseFloat(least, 64)
+func (s *script) newProfile(minCoverage, deadline string) {
+	f, err := strconv.ParseFloat(minCoverage, 64)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	p, err := tier.NewProfile("gate", tier.WithMinCoverage(f), tier.WithDeadline(tier.Millis(number(s.t, deadline))))
+	p, err := tier.NewProfile("gate", tier.WithMinCoverage(f), tier.WithDeadline(tier.Millis(parseNumber(s.t, deadline))))
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -111,11 +113,11 @@
 }
 
 func (s *script) newMap(epoch string, words []string) {
-	m := makeSet(s.t, tier.Epoch(number(s.t, epoch)), words)
+	m := makeSet(s.t, tier.Epoch(parseNumber(s.t, epoch)), words)
 	if s.set == nil {
 		s.set = m
 	}
-	s.next = m
+	s.lastMap = m
 }
 
 func (s *script) event(w []string) planner.Event {
@@ -125,30 +127,30 @@
 	case "gone":
 		return &planner.CallerGone{}
 	case "adopt":
-		return planner.NewSetChanged(s.next)
+		return planner.NewSetChanged(s.lastMap)
 	case "refuse":
-		return planner.NewPartRefused(number(s.t, w[1]), tier.RefuseReason(w[2]), 40)
+		return planner.NewPartRefused(parseNumber(s.t, w[1]), tier.RefuseReason(w[2]), 40)
 	case "fail":
-		return planner.NewPartFailed(number(s.t, w[1]), tier.MissReason(w[2]))
+		return planner.NewPartFailed(parseNumber(s.t, w[1]), tier.MissReason(w[2]))
 	case "reply":
 		return s.reply(w[1:])
 	}
-	s.t.Fatalf("unknown word %q", w[0])
+	s.t.Fatalf("unknown command %q", w[0])
 	return nil
 }
 
 func (s *script) reply(w []string) planner.Event {
-	at := snapshotOf(s.t, w[1])
+	at := parseSnapshot(s.t, w[1])
 	var results []merger.ShardResult
 	var held []planner.Held
 	for i, word := range w[3:] {
 		if word == "held" {
-			held = heldOf(s.t, w[3+i+1:])
+			held = parseHeld(s.t, w[3+i+1:])
 			break
 		}
 		results = append(results, s.served.result(at, word))
 	}
-	return planner.NewPartReplied(number(s.t, w[0]), at, results, held, int(number(s.t, w[2])))
+	return planner.NewPartReplied(parseNumber(s.t, w[0]), at, results, held, int(parseNumber(s.t, w[2])))
 }
 
 func (s *script) step(e planner.Event) {
