--- a/cicadagrade/apply.go
+++ b/cicadagrade/apply.go
@@ -11,8 +11,8 @@
 	"github.com/spf13/cobra"
 
 	"cicadagrade.example/tier"
-	"cicadagrade.example/tier/auditor"
-	"cicadagrade.example/tier/keeper"
+	"cicadagrade.example/tier/committer"
+	"cicadagrade.example/tier/replicator"
 )
 
 const applyHelp = `Checks the file and makes it the document, in one compare-and-swap together
@@ -60,7 +60,7 @@
 		},
 	}
 	ch.register(c)
-	c.Flags().Int64Var(&ch.expect, "expect-revision", auditor.AnyRevision, "revision that the document must be at; 0: absent; -1: any")
+	c.Flags().Int64Var(&ch.expect, "expect-revision", committer.AnyRevision, "revision that the document must be at; 0: absent; -1: any")
 	return c
 }
 
@@ -82,7 +82,7 @@
 		return fail(exitBadInput, "--reason: say why, in at most %d characters", maxReason)
 	case ch.id != "" && (!tier.ValidName(ch.id) || len(ch.id) > maxChangeID):
 		return fail(exitBadInput, "--change-id: %q is not allowed: a kebab-case name", ch.id)
-	case ch.expect < auditor.AnyRevision:
+	case ch.expect < committer.AnyRevision:
 		return fail(exitBadInput, "--expect-revision: %d is not allowed: a revision, 0 or -1", ch.expect)
 	case ch.wait && o.vms == "":
 		return fail(exitBadInput, "--wait: --vms is empty: name the VMs to ask")
@@ -102,26 +102,26 @@
 	if err != nil {
 		return err
 	}
-	opts := []auditor.Option{
-		auditor.WithExpect(ch.expect),
-		auditor.WithPatience(tier.Millis(ch.patience)),
-		auditor.WithFloor(o.floor(c, keeper.KeyOf(d))),
+	opts := []committer.Option{
+		committer.WithExpectedRevision(ch.expect),
+		committer.WithTimeout(tier.Millis(ch.patience)),
+		committer.WithHighestServed(o.floor(c, replicator.KeyOf(d))),
 	}
-	return o.drive(c, ch, auditor.New(d, ch.id, ch.who, ch.reason, o.clock.Wall(), opts...))
+	return o.drive(c, ch, committer.New(d, ch.id, ch.who, ch.reason, o.clock.Wall(), opts...))
 }
 
 // floor is the highest state of a document that the VMs serve. It warns when
 // none answers.
-func (o *configurer) floor(c *cobra.Command, key string) keeper.Ref {
+func (o *configurer) floor(c *cobra.Command, key string) replicator.Ref {
 	views := o.ask(c.Context())
-	highest := keeper.NewRef(key, 0, 0, "")
+	highest := replicator.NewRef(key, 0, 0, "")
 	answered := 0
 	for _, v := range views {
 		if v.err != nil {
 			continue
 		}
 		answered++
-		if r := v.ref(key); r.Above(highest) {
+		if r := v.ref(key); r.NewerThan(highest) {
 			highest = r
 		}
 	}
@@ -132,19 +132,19 @@
 }
 
 // drive carries a change out and tells the operator how it ended.
-func (o *configurer) drive(c *cobra.Command, ch *change, machine *auditor.Change) error {
+func (o *configurer) drive(c *cobra.Command, ch *change, machine *committer.Change) error {
 	store := o.open()
 	defer store.Close()
-	switch r := auditor.Drive(c.Context(), o.clock, store, machine).(type) {
-	case *auditor.Accepted:
+	switch r := committer.Run(c.Context(), o.clock, store, machine).(type) {
+	case *committer.Accepted:
 		return o.accepted(c, ch, r)
-	case *auditor.Rejected:
+	case *committer.Rejected:
 		return fail(exitRefused, "change %s was not made: %v", ch.id, r)
-	case *auditor.Invalid:
+	case *committer.Invalid:
 		return badInput(r.Cause())
-	case *auditor.Unavailable:
+	case *committer.Unavailable:
 		return fail(1, "change %s was not made: %v", ch.id, r.Cause())
-	case *auditor.Unknown:
+	case *committer.Unknown:
 		return fail(exitUnknown, "it is unknown whether change %s was made: %v; ask again with --change-id %s", ch.id, r.Cause(), ch.id)
 	default:
 		return fail(1, "change %s ended as %T", ch.id, r)
@@ -159,7 +159,7 @@
 	VMs       *spreadOut `json:"vms,omitempty"`
 }
 
-func (o *configurer) accepted(c *cobra.Command, ch *change, r *auditor.Accepted) error {
+func (o *configurer) accepted(c *cobra.Command, ch *change, r *committer.Accepted) error {
 	ref := r.State().Ref()
 	body := acceptedBody{Change: ch.id, Unchanged: r.Unchanged(), Document: newRefBody(ref)}
 	if ch.wait {
--- a/cicadagrade/configuration.go
+++ b/cicadagrade/configuration.go
@@ -14,8 +14,8 @@
 
 	"cicadagrade.example/platform"
 	"cicadagrade.example/tier"
-	"cicadagrade.example/tier/keeper"
 	"cicadagrade.example/tier/parser"
+	"cicadagrade.example/tier/replicator"
 	"cicadagrade.example/tier/storer"
 )
 
@@ -123,25 +123,25 @@
 // key is the store's key of the document that a command names.
 func (o *configurer) key(args []string) (string, error) {
 	if o.kind == parser.KindProfiles {
-		return keeper.Key(o.kind, ""), nil
+		return replicator.Key(o.kind, ""), nil
 	}
 	if !tier.ValidName(args[0]) {
 		return "", fail(exitBadInput, "%q is not the name of a shard set", args[0])
 	}
-	return keeper.Key(o.kind, args[0]), nil
+	return replicator.Key(o.kind, args[0]), nil
 }
 
 // load reads a document from the store, nil when it is absent.
-func load(ctx context.Context, store storer.Store, key string) (*keeper.State, error) {
+func load(ctx context.Context, store storer.Store, key string) (*replicator.State, error) {
 	v, err := store.Get(ctx, key)
 	if err != nil || !v.Present() {
 		return nil, err
 	}
-	return keeper.Decode(key, v.Data())
+	return replicator.Decode(key, v.Data())
 }
 
 // need is load for commands that can't do without the document.
-func need(ctx context.Context, store storer.Store, key string) (*keeper.State, error) {
+func need(ctx context.Context, store storer.Store, key string) (*replicator.State, error) {
 	s, err := load(ctx, store, key)
 	if err == nil && s == nil {
 		return nil, fail(1, "the store holds no document %s", key)
@@ -189,11 +189,11 @@
 	Digest   string `json:"digest"`
 }
 
-func newRefBody(r keeper.Ref) refBody {
+func newRefBody(r replicator.Ref) refBody {
 	return refBody{Key: r.Key(), Epoch: r.Epoch(), Revision: r.Revision(), Digest: r.Digest()}
 }
 
-func (r refBody) ref() keeper.Ref { return keeper.NewRef(r.Key, r.Epoch, r.Revision, r.Digest) }
+func (r refBody) ref() replicator.Ref { return replicator.NewRef(r.Key, r.Epoch, r.Revision, r.Digest) }
 
 // changeBody is one difference in answers of this command.
 type changeBody struct {
--- a/cicadagrade/diff.go
+++ b/cicadagrade/diff.go
@@ -6,8 +6,8 @@
 
 	"github.com/spf13/cobra"
 
-	"cicadagrade.example/tier/keeper"
 	"cicadagrade.example/tier/parser"
+	"cicadagrade.example/tier/replicator"
 )
 
 const diffHelp = `Prints what apply would change, without changing anything. FILE may be "-" for
@@ -38,11 +38,11 @@
 	}
 	store := o.open()
 	defer store.Close()
-	s, err := load(c.Context(), store, keeper.KeyOf(d))
+	s, err := load(c.Context(), store, replicator.KeyOf(d))
 	if err != nil {
 		return err
 	}
-	body := diffBody{Key: keeper.KeyOf(d)}
+	body := diffBody{Key: replicator.KeyOf(d)}
 	var before parser.Document
 	if s != nil {
 		before = s.Document()
--- a/cicadagrade/history.go
+++ b/cicadagrade/history.go
@@ -10,7 +10,7 @@
 	"github.com/pkg/errors"
 	"github.com/spf13/cobra"
 
-	"cicadagrade.example/tier/keeper"
+	"cicadagrade.example/tier/replicator"
 	"cicadagrade.example/tier/storer"
 )
 
@@ -61,22 +61,24 @@
 	bodies := make([]entryBody, 0, len(entries))
 	for _, e := range entries {
 		bodies = append(bodies, entryBody{
-			e.Epoch(), e.Revision(), atText(e), e.Who(), e.Change(), e.Reason(), newChangeBodies(e.Changes()),
+			e.Epoch(), e.Revision(), atText(e), e.Who(), e.ChangeID(), e.Reason(), newChangeBodies(e.Changes()),
 		})
 	}
 	return o.print(c, bodies, func(w io.Writer) {
 		for _, e := range entries {
-			fmt.Fprintf(w, "epoch %d, revision %d at %s by %s, change %s: %s\n", e.Epoch(), e.Revision(), atText(e), e.Who(), e.Change(), e.Reason())
+			fmt.Fprintf(w, "epoch %d, revision %d at %s by %s, change %s: %s\n", e.Epoch(), e.Revision(), atText(e), e.Who(), e.ChangeID(), e.Reason())
 			printChanges(w, e.Changes())
 		}
 	})
 }
 
-func atText(e keeper.Entry) string { return time.UnixMilli(int64(e.At())).UTC().Format(time.RFC3339) }
+func atText(e replicator.Entry) string {
+	return time.UnixMilli(int64(e.At())).UTC().Format(time.RFC3339)
+}
 
 // trail reads the latest entries, latest first: from the document's tail, and
 // from the archive when more are wanted.
-func trail(ctx context.Context, store storer.Store, key string, limit int) ([]keeper.Entry, error) {
+func trail(ctx context.Context, store storer.Store, key string, limit int) ([]replicator.Entry, error) {
 	s, err := need(ctx, store, key)
 	if err != nil {
 		return nil, err
@@ -87,9 +89,9 @@
 		if err != nil {
 			return nil, err
 		}
-		entries = keeper.Merge(archived, entries)
+		entries = replicator.MergeEntries(archived, entries)
 	}
-	var out []keeper.Entry
+	var out []replicator.Entry
 	for i := len(entries) - 1; i >= 0 && len(out) < limit; i-- {
 		e, err := complete(ctx, store, key, entries[i])
 		if err != nil {
@@ -100,14 +102,14 @@
 	return out, nil
 }
 
-func archive(ctx context.Context, store storer.Store, key string) ([]keeper.Entry, error) {
-	values, err := store.List(ctx, keeper.ArchivePrefix(key), 0)
+func archive(ctx context.Context, store storer.Store, key string) ([]replicator.Entry, error) {
+	values, err := store.List(ctx, replicator.ArchivePrefix(key), 0)
 	if err != nil {
 		return nil, err
 	}
-	out := make([]keeper.Entry, 0, len(values))
+	out := make([]replicator.Entry, 0, len(values))
 	for _, v := range values {
-		var e keeper.Entry
+		var e replicator.Entry
 		if err := json.Unmarshal(v.Data(), &e); err != nil {
 			return nil, errors.Wrapf(err, "archived entry %s", v.Key())
 		}
@@ -117,15 +119,15 @@
 }
 
 // complete reads the changes of an entry that lie under their own key.
-func complete(ctx context.Context, store storer.Store, key string, e keeper.Entry) (keeper.Entry, error) {
-	if !e.Apart() {
+func complete(ctx context.Context, store storer.Store, key string, e replicator.Entry) (replicator.Entry, error) {
+	if !e.ChangesDetached() {
 		return e, nil
 	}
-	v, err := store.Get(ctx, keeper.ChangesKey(key, e.Change()))
+	v, err := store.Get(ctx, replicator.ChangesKey(key, e.ChangeID()))
 	if err != nil || !v.Present() {
 		return e, err
 	}
-	changes, err := keeper.DecodeChanges(v.Data())
+	changes, err := replicator.DecodeChanges(v.Data())
 	if err != nil {
 		return e, err
 	}
--- a/cicadagrade/list.go
+++ b/cicadagrade/list.go
@@ -8,8 +8,8 @@
 	"github.com/pkg/errors"
 	"github.com/spf13/cobra"
 
-	"cicadagrade.example/tier/keeper"
 	"cicadagrade.example/tier/parser"
+	"cicadagrade.example/tier/replicator"
 	"cicadagrade.example/tier/storer"
 )
 
@@ -37,7 +37,7 @@
 }
 
 func (o *configurer) listProfiles(c *cobra.Command, store storer.Store) error {
-	s, err := need(c.Context(), store, keeper.Key(parser.KindProfiles, ""))
+	s, err := need(c.Context(), store, replicator.Key(parser.KindProfiles, ""))
 	if err != nil {
 		return err
 	}
@@ -83,14 +83,14 @@
 	})
 }
 
-func loadSets(ctx context.Context, store storer.Store) ([]*keeper.State, error) {
-	values, err := store.List(ctx, keeper.Key(parser.KindSet, ""), 0)
+func loadSets(ctx context.Context, store storer.Store) ([]*replicator.State, error) {
+	values, err := store.List(ctx, replicator.Key(parser.KindSet, ""), 0)
 	if err != nil {
 		return nil, err
 	}
-	var out []*keeper.State
+	var out []*replicator.State
 	for _, v := range values {
-		s, err := keeper.Decode(v.Key(), v.Data())
+		s, err := replicator.Decode(v.Key(), v.Data())
 		if err != nil {
 			return nil, errors.Wrap(err, "loadSets")
 		}
--- a/cicadagrade/reconcile.go
+++ b/cicadagrade/reconcile.go
@@ -10,8 +10,8 @@
 	"github.com/spf13/cobra"
 
 	"cicadagrade.example/tier"
-	"cicadagrade.example/tier/auditor"
-	"cicadagrade.example/tier/keeper"
+	"cicadagrade.example/tier/committer"
+	"cicadagrade.example/tier/replicator"
 
 	peerv1 "cicadagrade.example/api/peer/v1"
 	"cicadagrade.example/api/peer/v1/peerv1connect"
@@ -26,7 +26,7 @@
 one that --from names, over its peer address.` + exitCodesHelp
 
 func (o *configurer) reconcileCommand(use string, args cobra.PositionalArgs) *cobra.Command {
-	ch := &change{expect: auditor.AnyRevision}
+	ch := &change{expect: committer.AnyRevision}
 	var from string
 	c := &cobra.Command{
 		Use: use, Short: "Write back to the store what VMs serve", Long: reconcileHelp, Args: args,
@@ -61,19 +61,19 @@
 	store := o.open()
 	defer store.Close()
 	held, err := load(c.Context(), store, key)
-	if err == nil && held != nil && held.Descends(fleet) && !fleet.Ref().Above(held.Ref()) {
+	if err == nil && held != nil && held.DescendsFrom(fleet) && !fleet.Ref().NewerThan(held.Ref()) {
 		return fail(1, "nothing to reconcile: the store holds %v, which descends from %v on VM %s", held.Ref(), fleet.Ref(), v.label())
 	}
 	if err != nil && !unreadable(err) {
 		return err
 	}
-	opts := []auditor.Option{auditor.WithPatience(tier.Millis(ch.patience))}
-	return o.drive(c, ch, auditor.NewReconciliation(fleet, ch.id, ch.who, ch.reason, o.clock.Wall(), opts...))
+	opts := []committer.Option{committer.WithTimeout(tier.Millis(ch.patience))}
+	return o.drive(c, ch, committer.NewReconciliation(fleet, ch.id, ch.who, ch.reason, o.clock.Wall(), opts...))
 }
 
 // unreadable reports a stored document that a reconciliation may replace.
 func unreadable(err error) bool {
-	var corrupt *keeper.CorruptError
+	var corrupt *replicator.CorruptError
 	var invalid *tier.InvalidError
 	return errors.As(err, &corrupt) || errors.As(err, &invalid)
 }
@@ -81,12 +81,12 @@
 // source picks the VM whose state is written back.
 func source(views []vmView, key, from string) (vmView, error) {
 	var best vmView
-	highest := keeper.NewRef(key, 0, 0, "")
+	highest := replicator.NewRef(key, 0, 0, "")
 	for _, v := range views {
 		if v.err != nil || (from != "" && v.name != from) {
 			continue
 		}
-		if r := v.ref(key); r.Above(highest) {
+		if r := v.ref(key); r.NewerThan(highest) {
 			best, highest = v, r
 		}
 	}
@@ -97,11 +97,11 @@
 }
 
 // fetchWhole asks a VM for a whole document.
-func fetchWhole(ctx context.Context, address, key string) (*keeper.State, error) {
+func fetchWhole(ctx context.Context, address, key string) (*replicator.State, error) {
 	ctx, cancel := withTimeout(ctx, vmTimeout)
 	defer cancel()
 	peer := peerv1connect.NewPeerServiceClient(http.DefaultClient, "http://"+address)
-	wanted := &peerv1.DocumentRef{Key: strings.TrimPrefix(key, keeper.Prefix)}
+	wanted := &peerv1.DocumentRef{Key: strings.TrimPrefix(key, replicator.KeyPrefix)}
 	r, err := peer.Fetch(ctx, connect.NewRequest(&peerv1.FetchRequest{Have: []*peerv1.DocumentRef{wanted}}))
 	if err != nil {
 		return nil, errors.Wrap(err, "fetchWhole")
@@ -109,5 +109,5 @@
 	if len(r.Msg.GetUpdates()) != 1 {
 		return nil, errors.Errorf("%d documents instead of one", len(r.Msg.GetUpdates()))
 	}
-	return keeper.Decode(key, r.Msg.GetUpdates()[0].GetWhole())
+	return replicator.Decode(key, r.Msg.GetUpdates()[0].GetWhole())
 }
--- a/cicadagrade/session_test.go
+++ b/cicadagrade/session_test.go
@@ -20,8 +20,8 @@
 	"cicadagrade.example/platform"
 	"cicadagrade.example/standin/storeserver"
 	"cicadagrade.example/tier"
-	"cicadagrade.example/tier/keeper"
 	"cicadagrade.example/tier/parser"
+	"cicadagrade.example/tier/replicator"
 
 	peerv1 "cicadagrade.example/api/peer/v1"
 	"cicadagrade.example/api/peer/v1/peerv1connect"
@@ -32,7 +32,7 @@
 	peerv1connect.UnimplementedPeerServiceHandler
 	name   string
 	server *httptest.Server
-	state  *keeper.State
+	state  *replicator.State
 }
 
 func newFakeVM(name string) *fakeVM {
@@ -200,7 +200,7 @@
 	}
 	store := platform.NewStore(s.store)
 	defer store.Close()
-	state, err := load(context.Background(), store, keeper.Key(parser.KindProfiles, ""))
+	state, err := load(context.Background(), store, replicator.Key(parser.KindProfiles, ""))
 	if err != nil {
 		s.t.Fatal(err)
 	}
--- a/cicadagrade/spread.go
+++ b/cicadagrade/spread.go
@@ -12,7 +12,7 @@
 
 	"cicadagrade.example/cicadagrade/requester"
 	"cicadagrade.example/tier"
-	"cicadagrade.example/tier/keeper"
+	"cicadagrade.example/tier/replicator"
 )
 
 const (
@@ -27,7 +27,7 @@
 	name    string
 	peer    string
 	known   []string // the VMs that it knows
-	refs    map[string]keeper.Ref
+	refs    map[string]replicator.Ref
 	err     error
 }
 
@@ -39,11 +39,11 @@
 	return v.name
 }
 
-func (v vmView) ref(key string) keeper.Ref {
+func (v vmView) ref(key string) replicator.Ref {
 	if r, ok := v.refs[key]; ok {
 		return r
 	}
-	return keeper.NewRef(key, 0, 0, "")
+	return replicator.NewRef(key, 0, 0, "")
 }
 
 // vmStatusBody is what these commands read of GET /v1/status.
@@ -81,7 +81,7 @@
 func askVM(ctx context.Context, address string) vmView {
 	ctx, cancel := withTimeout(ctx, vmTimeout)
 	defer cancel()
-	v := vmView{address: address, refs: map[string]keeper.Ref{}}
+	v := vmView{address: address, refs: map[string]replicator.Ref{}}
 	var body vmStatusBody
 	a, err := requester.New(address).Get(ctx, "/v1/status")
 	if err == nil {
@@ -118,7 +118,7 @@
 
 // awaitInForce asks the VMs until the state, or a later one, is in force on
 // all of them or the time is over.
-func (o *configurer) awaitInForce(ctx context.Context, ref keeper.Ref, limit tier.Millis) *spreadOut {
+func (o *configurer) awaitInForce(ctx context.Context, ref replicator.Ref, limit tier.Millis) *spreadOut {
 	end := o.clock.Now() + limit
 	for {
 		s := spread(o.ask(ctx), ref)
@@ -133,7 +133,7 @@
 	}
 }
 
-func spread(views []vmView, ref keeper.Ref) *spreadOut {
+func spread(views []vmView, ref replicator.Ref) *spreadOut {
 	s := &spreadOut{Asked: len(views), InForce: []string{}, Behind: []string{}, NotReached: []string{}, NotAsked: []string{}}
 	asked, known := map[string]bool{}, map[string]bool{}
 	for _, v := range views {
@@ -144,7 +144,7 @@
 		switch r := v.ref(ref.Key()); {
 		case v.err != nil:
 			s.NotReached = append(s.NotReached, v.label())
-		case r == ref || r.Above(ref):
+		case r == ref || r.NewerThan(ref):
 			s.InForce = append(s.InForce, v.label())
 		default:
 			s.Behind = append(s.Behind, v.label())
--- a/cicadagraded/booker/book.go
+++ b/cicadagraded/booker/book.go
@@ -75,7 +75,7 @@
 	fingerprint := claimer.Fingerprint(r.set, r.record, r.body)
 	submit := claimer.NewSubmit(ticket, key, r.set, fingerprint, r.first, r.deadline, c.clock.Wall())
 	if c.tell(ctx, message{event: submit, ticket: ticket, mail: mail}) != nil {
-		return claimer.NotRun(r.first, tier.RefuseCallerGone), nil
+		return claimer.NotRunOutcome(r.first, tier.RefuseCallerGone), nil
 	}
 	o, err := c.await(ctx, ticket, mail, send)
 	return o, errors.Wrap(err, "Booker.Book")
--- a/cicadagraded/booker/booker.go
+++ b/cicadagraded/booker/booker.go
@@ -165,13 +165,13 @@
 			c.call(a, a.Call())
 		case *claimer.Write:
 			c.call(a, a.Call())
-		case *claimer.Drop:
+		case *claimer.DeletePage:
 			c.calls.TryPush(a)
 		case *claimer.Run:
-			c.waiting[a.Ticket()].TryPush(a)
+			c.waiting[a.SubmissionID()].TryPush(a)
 		case *claimer.Finish:
-			c.waiting[a.Ticket()].TryPush(a)
-			delete(c.waiting, a.Ticket())
+			c.waiting[a.SubmissionID()].TryPush(a)
+			delete(c.waiting, a.SubmissionID())
 		}
 	}
 	if len(c.flushers) == 0 || !c.claimer.Idle() {
--- a/cicadagraded/booker/booker_test.go
+++ b/cicadagraded/booker/booker_test.go
@@ -38,7 +38,7 @@
 // store loses answers.
 func TestOneRunOnTwoVMs(t *testing.T) {
 	store := faker.New()
-	store.LoseAnswers(3)
+	store.LoseReplies(3)
 	var runs, booked atomic.Int64
 	var g errgroup.Group
 	var last *booker.Booker
@@ -84,7 +84,7 @@
 	if o, err := c.Book(t.Context(), minted, send); err != nil || o.(*tier.Booked).Repeated() {
 		t.Errorf("a minted key: %v %v", o, err)
 	}
-	if n := store.Calls(faker.CallSwap); n != 0 {
+	if n := store.Calls(faker.CallCompareAndSwap); n != 0 {
 		t.Errorf("%d writes", n)
 	}
 }
--- a/cicadagraded/booker/work.go
+++ b/cicadagraded/booker/work.go
@@ -33,12 +33,12 @@
 		}
 		return claimer.NewReadDone(a.Call(), v.Data(), v.Revision())
 	case *claimer.Write:
-		revision, err := c.store.Swap(ctx, a.Key(), a.Data(), a.Expect(), 0)
+		revision, err := c.store.CompareAndSwap(ctx, a.Key(), a.Data(), a.Expect(), 0)
 		if err != nil {
 			return failed(a.Call(), err)
 		}
 		return claimer.NewWriteDone(a.Call(), revision)
-	case *claimer.Drop:
+	case *claimer.DeletePage:
 		c.drop(ctx, a.Key())
 	}
 	return &claimer.Tick{}
--- a/cicadagraded/control.go
+++ b/cicadagraded/control.go
@@ -125,7 +125,7 @@
 
 // sync passes on members and sets, and has the registry follow them.
 func (c *control) sync(ctx context.Context) error {
-	if d := c.gossip.Dropped(); d != c.dropped {
+	if d := c.gossip.DroppedChanges(); d != c.dropped {
 		c.dropped = d
 		c.reread()
 	}
@@ -238,7 +238,7 @@
 func (c *control) Withdraw(set string) {
 	c.locator.Reported(set, c.self.Name(), owner.Report{}, false)
 	c.publish(setPrefix+set, nil, nil)
-	c.Threshold(set, admitter.AllIn())
+	c.Threshold(set, admitter.AdmitAll())
 }
 
 // Backend logs a change of a backend server's state.
--- a/cicadagraded/daemon.go
+++ b/cicadagraded/daemon.go
@@ -21,7 +21,7 @@
 	"cicadagrade.example/platform"
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/gossiper"
-	"cicadagrade.example/tier/keeper"
+	"cicadagrade.example/tier/replicator"
 	"cicadagrade.example/tier/ring"
 )
 
@@ -111,7 +111,7 @@
 		watcher.WithPeers(d.peer),
 		watcher.WithPublisher(gossip.Publish),
 		watcher.WithWarnings(d.warn),
-		watcher.WithKeeper(keeper.WithSeeds(d.otherSeeds())))
+		watcher.WithKeeper(replicator.WithSeeds(d.otherSeeds())))
 	d.booker = booker.New(store, d.self.Name(), d.self.Incarnation(), d.clock, booker.WithLive(d.live))
 	d.control = &control{
 		self: d.self, logger: d.logger, gossip: gossip, changes: changes,
@@ -156,8 +156,8 @@
 }
 
 // warn logs a trouble of the configuration.
-func (d *daemon) warn(f keeper.Flag) {
-	d.logger.Warn("configuration", "trouble", f.Trouble(), "key", f.Served().Key(), "served", f.Served().Revision(), "seen", f.Seen().Revision(), "source", f.Source())
+func (d *daemon) warn(f replicator.Alert) {
+	d.logger.Warn("configuration", "trouble", f.Kind(), "key", f.Served().Key(), "served", f.Served().Revision(), "seen", f.Offered().Revision(), "source", f.Source())
 }
 
 // buildServers makes the front and the servers of callers and peers.
@@ -177,7 +177,7 @@
 	front := asker.New(d.self.DataCentre(), d.clock, d.locator, d.client, c)
 	h := handler.New(d.self.Name(), d.clock, d.config, front, d.inflight, d,
 		handler.WithMetrics(m.Handler()),
-		handler.WithEnded(m.Ended),
+		handler.WithEnded(m.RecordRequest),
 		handler.WithMaxBody(int64(d.settings.maxBodyBytes)))
 	d.api = &http.Server{Addr: d.settings.apiAddress, Handler: h.Routes(), ReadHeaderTimeout: headerTimeout.Duration(), IdleTimeout: idleTimeout.Duration()}
 	protocols := &http.Protocols{}
--- a/cicadagraded/entry/bench_test.go
+++ b/cicadagraded/entry/bench_test.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	callers := NewCallers(e)
+	callers := NewCallerServer(e)
 	e.calls.Go(func() { _ = callers.Serve(l) })
 	defer callers.Close()
 	defer func() { _ = l.Close() }()
--- a/cicadagraded/entry/callers.go
+++ b/cicadagraded/entry/callers.go
@@ -25,10 +25,10 @@
 	acceptPause = 5 * time.Millisecond
 )
 
-// Callers takes callers' connections. An http.Server's limits are fixed once it
+// CallerServer takes callers' connections. An http.Server's limits are fixed once it
 // serves, and the operator's may change: there is one server for each set of
 // limits, and a connection keeps those under which it came.
-type Callers struct {
+type CallerServer struct {
 	entry *Entry
 	group sync.WaitGroup
 
@@ -37,20 +37,20 @@
 	closed  bool
 }
 
-// NewCallers returns what takes callers' connections for an entry VM.
-func NewCallers(e *Entry) *Callers {
-	return &Callers{entry: e, servers: map[router.Limits]*callersServer{}}
+// NewCallerServer returns what takes callers' connections for an entry VM.
+func NewCallerServer(e *Entry) *CallerServer {
+	return &CallerServer{entry: e, servers: map[router.Limits]*callersServer{}}
 }
 
 // Serve accepts connections until the listener is closed.
-func (c *Callers) Serve(l net.Listener) error {
+func (c *CallerServer) Serve(l net.Listener) error {
 	for {
 		conn, err := l.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		case err != nil:
-			c.entry.log.Fault("connection-not-accepted", "error", err)
+			c.entry.log.Warn("connection-not-accepted", "error", err)
 			time.Sleep(acceptPause)
 			continue
 		}
@@ -62,7 +62,7 @@
 }
 
 // server is the one for the limits in force, or nil after the end.
-func (c *Callers) server() *callersServer {
+func (c *CallerServer) server() *callersServer {
 	var limits router.Limits
 	if t := c.entry.table.Load(); t != nil {
 		limits = t.Limits()
@@ -78,7 +78,7 @@
 		c.servers[limits] = s
 		c.group.Go(func() {
 			if err := s.http.Serve(s); !errors.Is(err, http.ErrServerClosed) {
-				c.entry.log.Fault("callers-not-served", "error", err)
+				c.entry.log.Warn("callers-not-served", "error", err)
 			}
 		})
 	}
@@ -86,7 +86,7 @@
 }
 
 // end marks the end and returns the servers there were.
-func (c *Callers) end() []*callersServer {
+func (c *CallerServer) end() []*callersServer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
@@ -99,7 +99,7 @@
 
 // Shutdown waits until no request is in flight, or for the context's end. The
 // listener has to be closed before.
-func (c *Callers) Shutdown(ctx context.Context) error {
+func (c *CallerServer) Shutdown(ctx context.Context) error {
 	var first error
 	for _, s := range c.end() {
 		if err := s.http.Shutdown(ctx); err != nil && first == nil {
@@ -110,10 +110,10 @@
 }
 
 // Close ends all connections.
-func (c *Callers) Close() {
+func (c *CallerServer) Close() {
 	for _, s := range c.end() {
 		if err := s.http.Close(); err != nil {
-			c.entry.log.Fault("callers-not-closed", "error", err)
+			c.entry.log.Warn("callers-not-closed", "error", err)
 		}
 	}
 	c.group.Wait()
@@ -134,7 +134,7 @@
 		close: sync.OnceFunc(func() { close(closed) }),
 	}
 	s.http = &http.Server{
-		Handler: e, ConnContext: e.ConnectionContext,
+		Handler: e, ConnContext: e.ConnContext,
 		MaxHeaderBytes:    l.HeaderBytes(), // 0 is the library's default
 		ReadHeaderTimeout: orElse(l.HeaderTime(), defaultHeaderTime).Duration(),
 		IdleTimeout:       orElse(l.IdleTime(), defaultIdleTime).Duration(),
--- a/cicadagraded/entry/connection.go
+++ b/cicadagraded/entry/connection.go
@@ -11,8 +11,8 @@
 
 	"cicadagrade.example/platform"
 	"cicadagrade.example/tier"
+	"cicadagrade.example/tier/delayestimator"
 	"cicadagrade.example/tier/router"
-	"cicadagrade.example/tier/timekeeper"
 )
 
 // connectionAge is how long a caller's connection is used, and half as long
@@ -26,19 +26,19 @@
 
 // connection is a caller's.
 type connection struct {
-	end    tier.Millis            // when it is to end
-	caller *timekeeper.Connection // guarded by Entry.mu
+	end    tier.Millis                // when it is to end
+	caller *delayestimator.Connection // guarded by Entry.mu
 }
 
-// ConnectionContext keeps with a caller's connection what is known of it.
-func (e *Entry) ConnectionContext(ctx context.Context, c net.Conn) context.Context {
+// ConnContext keeps with a caller's connection what is known of it.
+func (e *Entry) ConnContext(ctx context.Context, c net.Conn) context.Context {
 	now := e.clock.Now()
 	end := now + connectionAge + tier.Millis(rand.Int64N(int64(connectionAge/2)))
 	trip, err := roundTrip(c)
 	if err != nil && !e.tripless.Swap(true) {
-		e.log.Fault("round-trips-not-known", "error", err)
+		e.log.Warn("round-trips-not-known", "error", err)
 	}
-	return context.WithValue(ctx, connectionKey{}, &connection{end: end, caller: timekeeper.NewConnection(now, trip)})
+	return context.WithValue(ctx, connectionKey{}, &connection{end: end, caller: delayestimator.NewConnection(now, trip)})
 }
 
 // roundTrip is the system's measure of a connection's round trip, which it has
@@ -77,13 +77,13 @@
 
 // arrived reckons how long a request and its caller have been under way when its
 // header was in.
-func (e *Entry) arrived(ctx context.Context, start tier.Millis, route *router.Route, s platform.Sender) timekeeper.Arrival {
+func (e *Entry) arrived(ctx context.Context, start tier.Millis, route *router.Route, s platform.Attempt) delayestimator.Arrival {
 	c, ok := ctx.Value(connectionKey{}).(*connection)
 	if !ok {
-		c = &connection{caller: timekeeper.NewConnection(0, 0)}
+		c = &connection{caller: delayestimator.NewConnection(0, 0)}
 	}
 	left, limited := s.TimeLeft()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.timekeeper.Arrived(start, c.caller, route.Name(), left, limited)
+	return e.timekeeper.RequestArrived(start, c.caller, route.Name(), left, limited)
 }
--- a/cicadagraded/entry/connection_test.go
+++ b/cicadagraded/entry/connection_test.go
@@ -11,8 +11,8 @@
 	"cicadagrade.example/cicadagraded/eventlog"
 	"cicadagrade.example/platform"
 	"cicadagrade.example/tier"
+	"cicadagrade.example/tier/delayestimator"
 	"cicadagrade.example/tier/router"
-	"cicadagrade.example/tier/timekeeper"
 )
 
 // The load: callers that fled to this data centre during a fault, on connections
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx := e.ConnectionContext(context.Background(), nil)
+	ctx := e.ConnContext(context.Background(), nil)
 	asks := func() string {
 		w := httptest.NewRecorder()
 		e.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/x", nil).WithContext(ctx))
@@ -57,10 +57,10 @@
 func TestAimsCountFromTheCallersStart(t *testing.T) {
 	const trip, aim = 6 * tier.Millisecond, 100 * tier.Millisecond
 	route := router.NewRoute("check", "search.example", "/check/", router.WithTimes(tier.Second, aim))
-	k, c := timekeeper.New(), timekeeper.NewConnection(0, trip)
+	k, c := delayestimator.New(), delayestimator.NewConnection(0, trip)
 	left := func(attempt string, want tier.Millis) {
-		q := &request{route: route, arrival: k.Arrived(0, c, route.Name(), tier.Second, true)}
-		if got := q.terms().Aim(); got != want {
+		q := &request{route: route, arrival: k.RequestArrived(0, c, route.Name(), tier.Second, true)}
+		if got := q.terms().Target(); got != want {
 			t.Errorf("%s: %d ms are left until the aim, want %d", attempt, got, want)
 		}
 	}
--- a/cicadagraded/entry/entry.go
+++ b/cicadagraded/entry/entry.go
@@ -10,19 +10,19 @@
 
 	"github.com/pkg/errors"
 
-	"cicadagrade.example/cicadagraded/courier"
 	"cicadagrade.example/cicadagraded/eventlog"
+	"cicadagrade.example/cicadagraded/leafclient"
 	"cicadagrade.example/cicadagraded/meter"
 	"cicadagrade.example/platform"
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/balancer"
 	"cicadagrade.example/tier/budgeter"
+	"cicadagrade.example/tier/delayestimator"
 	"cicadagrade.example/tier/lister"
+	"cicadagrade.example/tier/partitioner"
 	"cicadagrade.example/tier/relayer"
 	"cicadagrade.example/tier/router"
 	"cicadagrade.example/tier/searcher"
-	"cicadagrade.example/tier/sharer"
-	"cicadagrade.example/tier/timekeeper"
 )
 
 // Entry is one VM.
@@ -30,7 +30,7 @@
 	settings atomic.Pointer[platform.Settings]
 	clock    *tier.Clock
 	log      *eventlog.Log
-	courier  *courier.Courier
+	courier  *leafclient.Client
 	store    *platform.Store
 	table    atomic.Pointer[router.Table]
 	seen     atomic.Int64 // when the store last answered, on the clock
@@ -50,11 +50,11 @@
 
 	// mu guards what decides: one search steps at a time.
 	mu   sync.Mutex
-	core *searcher.Core
+	core *searcher.Scheduler
 	// relayer holds what has been read of the store, for other VMs.
 	relayer *relayer.Relayer
 	// timekeeper tells how long callers have waited already.
-	timekeeper *timekeeper.Timekeeper
+	timekeeper *delayestimator.Estimator
 }
 
 // New returns a VM that is not yet serving.
@@ -64,16 +64,16 @@
 		return nil, errors.Wrap(err, "New")
 	}
 	e := &Entry{
-		meter: m, clock: clock, log: log, courier: courier.New(), peers: newPeers(),
-		stopped: make(chan struct{}), relayer: relayer.New(), timekeeper: timekeeper.New(),
+		meter: m, clock: clock, log: log, courier: leafclient.New(), peers: newPeers(),
+		stopped: make(chan struct{}), relayer: relayer.New(), timekeeper: delayestimator.New(),
 	}
 	e.settings.Store(s)
 	e.store = platform.NewStore(s.StoreAddress(), platform.WithTimeout(callTimeout))
 	vm := tier.NewVM(s.Name(), s.DataCentre(), s.PeerAddress(),
 		tier.WithIncarnation(tier.Incarnation(rand.Uint64())), tier.WithVMState(tier.VMLive))
-	self := sharer.NewMember(vm, s.Region(s.DataCentre()), s.Cores())
-	e.core = searcher.NewCore(lister.New(), balancer.New(e.place),
-		budgeter.New(s.RetryRatio(), s.RetrySlack(), assumedMembers), sharer.New(self))
+	self := partitioner.NewMember(vm, s.Region(s.DataCentre()), s.Cores())
+	e.core = searcher.NewScheduler(lister.New(), balancer.New(e.place),
+		budgeter.New(s.RetryBudgetRatio(), s.RetryBudgetSlack(), assumedMembers), partitioner.New(self))
 	return e, errors.Wrap(e.observe(), "New")
 }
 
@@ -81,7 +81,7 @@
 // store has told who there is.
 const assumedMembers = 10
 
-func (e *Entry) place(dataCentre string) balancer.Place {
+func (e *Entry) place(dataCentre string) balancer.Distance {
 	s := e.settings.Load()
 	switch {
 	case dataCentre == s.DataCentre():
@@ -98,7 +98,7 @@
 	e.settings.Store(s)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.core.Budgeter().Configure(s.RetryRatio(), s.RetrySlack())
+	e.core.Budgeter().Configure(s.RetryBudgetRatio(), s.RetryBudgetSlack())
 }
 
 // Ready reports whether callers may be sent to this VM.
@@ -106,11 +106,11 @@
 	return e.table.Load() != nil && !e.stopping.Load() && !e.isolated.Load()
 }
 
-// Stop makes the VM fail its readiness check and ask callers to leave.
-func (e *Entry) Stop() {
+// BeginShutdown makes the VM fail its readiness check and ask callers to leave.
+func (e *Entry) BeginShutdown() {
 	e.stopping.Store(true)
 	close(e.stopped)
-	e.log.State("stopping", "reason", "SIGTERM")
+	e.log.Info("stopping", "reason", "SIGTERM")
 }
 
 // Close drops the connections to leafs, after the servers have stopped.
--- a/cicadagraded/entry/gather.go
+++ b/cicadagraded/entry/gather.go
@@ -14,11 +14,11 @@
 
 	gatherv1 "cicadagrade.example/api/gather/v1"
 	"cicadagrade.example/api/gather/v1/gatherv1connect"
-	"cicadagrade.example/cicadagraded/courier"
+	"cicadagrade.example/cicadagraded/leafclient"
 	"cicadagrade.example/tier"
+	"cicadagrade.example/tier/partitioner"
 	"cicadagrade.example/tier/ranker"
 	"cicadagrade.example/tier/searcher"
-	"cicadagrade.example/tier/sharer"
 )
 
 const (
@@ -77,18 +77,18 @@
 }
 
 // divide gives the shards of a request to VMs near their leafs.
-func (e *Entry) divide(route string, shards []string) []sharer.Share {
+func (e *Entry) divide(route string, shards []string) []partitioner.Share {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s := e.settings.Load()
-	places := func(shard string) []sharer.Place {
-		var list []sharer.Place
+	places := func(shard string) []partitioner.Location {
+		var list []partitioner.Location
 		for _, f := range e.core.Lister().Leafs(shard) {
-			list = append(list, sharer.Place{DataCentre: f.DataCentre(), Region: s.Region(f.DataCentre())})
+			list = append(list, partitioner.Location{DataCentre: f.DataCentre(), Region: s.Region(f.DataCentre())})
 		}
 		return list
 	}
-	return e.core.Sharer().Divide(route, shards, places, rand.Float64)
+	return e.core.Partitioner().Partition(route, shards, places, rand.Float64)
 }
 
 // delegate sends a share to its VM and tells the search what comes back.
@@ -105,14 +105,14 @@
 	q := &gatherv1.GatherRequest{
 		Attempt: r.attempt, Method: r.message.Method(), Head: r.message.Head(), Body: r.message.Body(),
 		Route: r.shared.route, Shards: shards, Top: uint32(r.shared.top), Attempts: uint32(r.shared.attempts),
-		Rank: uint32(r.shared.rank), Spread: a.Member.Region() != r.entry.core.Sharer().Self().Region(),
+		Rank: uint32(r.shared.rank), Spread: a.Member.Region() != r.entry.core.Partitioner().Self().Region(),
 		Minimum: uint32(r.shared.minimum(len(shards))),
-		AimMs:   int64(a.Aim), EndMs: int64(a.End),
+		AimMs:   int64(a.Target), EndMs: int64(a.Deadline),
 	}
 	r.entry.calls.Go(func() {
 		defer cancel()
 		if err := r.follow(ctx, searching, a, q); err != nil && ctx.Err() == nil {
-			r.entry.log.Request("share-failed", "request", r.attempt, "peer", a.Member.VM().Name(), "error", err)
+			r.entry.log.RateLimitedInfo("share-failed", "request", r.attempt, "peer", a.Member.VM().Name(), "error", err)
 			r.tell(searching, func(s *searcher.Search, now tier.Millis) []searcher.Action {
 				return s.ShareFailed(now, a.Share)
 			})
@@ -132,15 +132,15 @@
 		if !accepted {
 			accepted = true
 			r.tell(searching, func(s *searcher.Search, now tier.Millis) []searcher.Action {
-				return s.Accepted(now, a.Share)
+				return s.ShareAccepted(now, a.Share)
 			})
 			continue
 		}
 		reply := stream.Msg()
-		if a.Member.Region() != r.entry.core.Sharer().Self().Region() {
+		if a.Member.Region() != r.entry.core.Partitioner().Self().Region() {
 			r.entry.far.Add(int64(proto.Size(reply)))
 		}
-		b := searcher.Brought{
+		b := searcher.ShareReport{
 			Reply: reply, Last: reply.GetLast(), MayHaveRun: reply.GetMayHaveRun(),
 			Calls: int(reply.GetCalls()), Extra: int(reply.GetExtra()),
 		}
@@ -151,7 +151,7 @@
 			b.Parts = append(b.Parts, a.Parts[i])
 		}
 		r.tell(searching, func(s *searcher.Search, now tier.Millis) []searcher.Action {
-			return s.Brought(now, a.Share, b)
+			return s.ShareReported(now, a.Share, b)
 		})
 		if b.Last {
 			return nil
@@ -171,8 +171,8 @@
 	return &p
 }
 
-// Peers answers other VMs.
-func (e *Entry) Peers() http.Handler {
+// PeerHandler answers other VMs.
+func (e *Entry) PeerHandler() http.Handler {
 	m := http.NewServeMux()
 	m.Handle(gatherv1connect.NewGatherServiceHandler(&gatherer{entry: e}))
 	return m
@@ -198,7 +198,7 @@
 		case <-ticker.C:
 		}
 		e.mu.Lock()
-		due := append(e.core.Sharer().Probes(e.clock.Now()), e.core.Sharer().Unused(e.clock.Now())...)
+		due := append(e.core.Partitioner().Probes(e.clock.Now()), e.core.Partitioner().IdleGateways(e.clock.Now())...)
 		e.mu.Unlock()
 		for _, m := range due {
 			e.calls.Go(func() { e.probe(ctx, m) })
@@ -206,7 +206,7 @@
 	}
 }
 
-func (e *Entry) probe(ctx context.Context, m sharer.Member) {
+func (e *Entry) probe(ctx context.Context, m partitioner.Member) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout.Duration())
 	defer cancel()
 	if _, err := e.peers.at(m.VM().Address()).Ping(ctx, connect.NewRequest(&gatherv1.PingRequest{})); err != nil {
@@ -214,10 +214,10 @@
 		return
 	}
 	e.mu.Lock()
-	back := e.core.Sharer().Found(e.clock.Now(), m.VM().Name())
+	back := e.core.Partitioner().Recovered(e.clock.Now(), m.VM().Name())
 	e.mu.Unlock()
 	if back {
-		e.log.State("vm-answers-again", "peer", m.VM().Name())
+		e.log.Info("vm-answers-again", "peer", m.VM().Name())
 	}
 }
 
@@ -237,14 +237,14 @@
 	}
 	now := e.clock.Now()
 	terms := searcher.NewTerms(q.GetRoute(), now+tier.Millis(q.GetAimMs()), now+tier.Millis(q.GetEndMs()),
-		searcher.Repeatable(), searcher.WithAttempts(int(q.GetAttempts())),
-		searcher.WithMinimum(int(q.GetMinimum())), searcher.WithRank(int(q.GetRank())),
+		searcher.Idempotent(), searcher.WithMaxAttempts(int(q.GetAttempts())),
+		searcher.WithMinimumParts(int(q.GetMinimum())), searcher.WithRank(int(q.GetRank())),
 		searcher.ForAnotherVM())
-	var shares []sharer.Share
+	var shares []partitioner.Share
 	if q.GetSpread() {
 		shares = e.divide(q.GetRoute(), q.GetShards())
 	}
-	run := e.newRun(q.GetAttempt(), true, courier.RestoreMessage(q.GetMethod(), q.GetHead(), q.GetBody()),
+	run := e.newRun(q.GetAttempt(), true, leafclient.RestoreTemplate(q.GetMethod(), q.GetHead(), q.GetBody()),
 		terms, q.GetShards(), shares)
 	run.shared = sharedTerms{
 		route: q.GetRoute(), top: int(q.GetTop()), attempts: int(q.GetAttempts()), rank: int(q.GetRank()),
@@ -254,15 +254,15 @@
 	o, left := run.drive(ctx)
 	e.count(o)
 	if o.Missing() > 0 {
-		e.log.Request("share-ended", "request", q.GetAttempt(), "route", q.GetRoute(), "recalled", left,
+		e.log.RateLimitedInfo("share-ended", "request", q.GetAttempt(), "route", q.GetRoute(), "recalled", left,
 			"took-ms", int64(e.clock.Now()-now), "aim-ms", q.GetAimMs(), "missing", o.Missing(), "of", len(q.GetShards()),
-			"calls", o.Sent(), "extra", o.Extra(), "misses", missText(o))
+			"calls", o.CallsSent(), "extra", o.ExtraCalls(), "misses", missText(o))
 	}
 	if left {
 		return ctx.Err()
 	}
 	return errors.Wrap(stream.Send(&gatherv1.GatherReply{
-		Last: true, MayHaveRun: o.MayHaveRun(), Calls: uint32(o.Sent()), Extra: uint32(o.Extra()),
+		Last: true, MayHaveRun: o.MayHaveRun(), Calls: uint32(o.CallsSent()), Extra: uint32(o.ExtraCalls()),
 	}), "gatherer.Gather")
 }
 
@@ -271,10 +271,10 @@
 	top := ranker.New(int(q.GetTop()))
 	proofs := make([]string, 0, len(q.GetShards()))
 	reply := &gatherv1.GatherReply{Proofs: mergeAll(top, f.Parts, f.Shares, proofs)}
-	for _, i := range f.In {
+	for _, i := range f.Arrived {
 		reply.Parts = append(reply.Parts, uint32(i))
 	}
 	reply.Records = top.Bytes()
-	reply.MayHaveRun = len(f.In) > 0
+	reply.MayHaveRun = len(f.Arrived) > 0
 	return reply
 }
--- a/cicadagraded/entry/handler.go
+++ b/cicadagraded/entry/handler.go
@@ -10,13 +10,13 @@
 	"github.com/pkg/errors"
 
 	gatherv1 "cicadagrade.example/api/gather/v1"
-	"cicadagrade.example/cicadagraded/courier"
+	"cicadagrade.example/cicadagraded/leafclient"
 	"cicadagrade.example/platform"
 	"cicadagrade.example/tier"
+	"cicadagrade.example/tier/delayestimator"
 	"cicadagrade.example/tier/ranker"
 	"cicadagrade.example/tier/router"
 	"cicadagrade.example/tier/searcher"
-	"cicadagrade.example/tier/timekeeper"
 )
 
 const (
@@ -42,9 +42,9 @@
 type request struct {
 	route   *router.Route
 	table   *router.Table
-	sender  platform.Sender
+	sender  platform.Attempt
 	start   tier.Millis
-	arrival timekeeper.Arrival
+	arrival delayestimator.Arrival
 	body    []byte
 }
 
@@ -55,7 +55,7 @@
 		w.Header().Set("Connection", "close")
 	}
 	table := e.table.Load()
-	sender := platform.ReadSender(r.Header)
+	sender := platform.ParseAttempt(r.Header)
 	if table == nil {
 		e.refuse(w, sender, http.StatusServiceUnavailable, "no-configuration", 0)
 		return
@@ -83,7 +83,7 @@
 		route: route, table: table, sender: sender, start: start, body: body,
 		arrival: e.arrived(r.Context(), start, route, sender),
 	}
-	message := courier.NewMessage(r.Method, path, r.Host, platform.LeafHeader(r.Header), body)
+	message := leafclient.NewTemplate(r.Method, path, r.Host, platform.LeafRequestHeader(r.Header), body)
 	if route.Scattered() {
 		e.scatter(w, r, q, message)
 		return
@@ -112,14 +112,14 @@
 }
 
 // refuse answers a request that has not run.
-func (e *Entry) refuse(w http.ResponseWriter, s platform.Sender, status int, cause string, version int64) {
+func (e *Entry) refuse(w http.ResponseWriter, s platform.Attempt, status int, cause string, version int64) {
 	if status == http.StatusServiceUnavailable {
 		platform.WriteRetryAfter(w.Header(), comeBack+tier.Millis(rand.Int64N(int64(comeBack))))
 	}
 	w.Header().Set("Content-Length", "0")
 	w.WriteHeader(status)
-	e.meter.Ended("", "", cause, 0)
-	e.log.Request("refused", "request", s.Attempt(), "status", status, "cause", cause, "version", version,
+	e.meter.RecordRequest("", "", cause, 0)
+	e.log.RateLimitedInfo("refused", "request", s.ID(), "status", status, "cause", cause, "version", version,
 		"view-age-ms", int64(e.viewAge()))
 }
 
@@ -129,45 +129,45 @@
 	if !limited {
 		left = patientTime
 	}
-	trip := q.arrival.Trip()
+	trip := q.arrival.RoundTrip()
 	end := q.start + left - trip - endMargin
 	if t := q.route.Timeout(); t > 0 {
 		end = min(end, q.start+t)
 	}
 	aim := end
 	if a := q.route.Aim(); a > 0 {
-		aim = q.start + a - q.arrival.Spent() - trip - answerMargin
+		aim = q.start + a - q.arrival.Elapsed() - trip - answerMargin
 	}
 	options := []searcher.TermsOption{
-		searcher.WithAttempts(q.route.Attempts()), searcher.WithRank(q.route.Rank()),
+		searcher.WithMaxAttempts(q.route.Attempts()), searcher.WithRank(q.route.Rank()),
 	}
 	if q.route.Repeatable() {
-		options = append(options, searcher.Repeatable())
+		options = append(options, searcher.Idempotent())
 	}
 	if q.route.Scattered() {
-		options = append(options, searcher.WithMinimum(q.route.MinimumParts()))
+		options = append(options, searcher.WithMinimumParts(q.route.MinimumParts()))
 	} else {
-		options = append(options, searcher.PassFailures())
+		options = append(options, searcher.ForwardFailures())
 	}
 	return searcher.NewTerms(q.route.Name(), aim, end, options...)
 }
 
 // scatter answers from the shards.
-func (e *Entry) scatter(w http.ResponseWriter, r *http.Request, q *request, m *courier.Message) {
+func (e *Entry) scatter(w http.ResponseWriter, r *http.Request, q *request, m *leafclient.Template) {
 	shards := q.route.Shards()
 	e.mu.Lock()
-	hopeless := e.core.Forecaster().Hopeless(q.start, shards, q.route.MinimumParts(), q.arrival.CameBack(), rand.Float64())
+	hopeless := e.core.Forecaster().LikelyToFail(q.start, shards, q.route.MinimumParts(), q.arrival.IsRetry(), rand.Float64())
 	e.mu.Unlock()
 	if hopeless {
-		e.meter.Ended(q.route.Name(), strconv.Itoa(q.route.Rank()), "shards-missing", 0)
+		e.meter.RecordRequest(q.route.Name(), strconv.Itoa(q.route.Rank()), "shards-missing", 0)
 		platform.WriteRetryAfter(w.Header(), troubleLasts+tier.Millis(rand.Int64N(int64(troubleLasts))))
 		w.Header().Set("Content-Length", "0")
 		w.WriteHeader(http.StatusServiceUnavailable)
-		e.log.Request("refused", "request", q.sender.Attempt(), "status", http.StatusServiceUnavailable,
+		e.log.RateLimitedInfo("refused", "request", q.sender.ID(), "status", http.StatusServiceUnavailable,
 			"cause", "shards-missing", "version", q.table.Version(), "route", q.route.Name())
 		return
 	}
-	run := e.newRun(q.sender.Attempt(), true, m, q.terms(), shards, e.divide(q.route.Name(), shards))
+	run := e.newRun(q.sender.ID(), true, m, q.terms(), shards, e.divide(q.route.Name(), shards))
 	run.shared = sharedTerms{
 		route: q.route.Name(), top: q.route.Top(), attempts: q.route.Attempts(), rank: q.route.Rank(),
 		minimum: q.route.MinimumPartsOf, shards: shards,
@@ -184,7 +184,7 @@
 	top := ranker.New(q.route.Top())
 	proofs := make([]string, 0, len(q.route.Shards()))
 	proofs = mergeAll(top, o.Parts(), o.Shares(), proofs)
-	platform.WriteParts(w.Header(), proofs, o.Missing())
+	platform.WritePartHeaders(w.Header(), proofs, o.Missing())
 	e.write(w, http.StatusOK, top.Bytes())
 	e.report(q, o, http.StatusOK, string(o.Cause()))
 }
@@ -193,9 +193,9 @@
 // their proofs.
 func mergeAll(top *ranker.Ranker, parts []searcher.Part, shares []any, proofs []string) []string {
 	for _, p := range parts {
-		reply := p.Reply().(*courier.Reply)
+		reply := p.Reply().(*leafclient.Reply)
 		top.Add(reply.Body())
-		proofs = append(proofs, platform.ReadLeafReply(reply.Status(), reply.Header()).Proof())
+		proofs = append(proofs, platform.ParseLeafReply(reply.Status(), reply.Header()).Signature())
 	}
 	for _, s := range shares {
 		reply := s.(*gatherv1.GatherReply)
@@ -206,25 +206,25 @@
 }
 
 // forward answers from one leaf.
-func (e *Entry) forward(w http.ResponseWriter, r *http.Request, q *request, m *courier.Message) {
+func (e *Entry) forward(w http.ResponseWriter, r *http.Request, q *request, m *leafclient.Template) {
 	service := q.route.Target(rand.Float64())
-	o, left := e.newRun(q.sender.Attempt(), q.route.Repeatable(), m, q.terms(), []string{service}, nil).drive(r.Context())
+	o, left := e.newRun(q.sender.ID(), q.route.Repeatable(), m, q.terms(), []string{service}, nil).drive(r.Context())
 	if left {
 		e.report(q, o, 0, string(o.Cause()))
 		return
 	}
-	var reply *courier.Reply
+	var reply *leafclient.Reply
 	switch {
 	case o.Success():
-		reply = o.Parts()[0].Reply().(*courier.Reply)
+		reply = o.Parts()[0].Reply().(*leafclient.Reply)
 	case o.Failure() != nil:
-		reply = o.Failure().(*courier.Reply)
+		reply = o.Failure().(*leafclient.Reply)
 	default:
 		e.fail(w, q, o)
 		return
 	}
 	h := w.Header()
-	for k, v := range platform.CallerHeader(reply.Header()) {
+	for k, v := range platform.CallerReplyHeader(reply.Header()) {
 		h[k] = v
 	}
 	e.write(w, reply.Status(), reply.Body())
@@ -234,7 +234,7 @@
 func (e *Entry) write(w http.ResponseWriter, status int, body []byte) {
 	w.WriteHeader(status)
 	if _, err := w.Write(body); err != nil && !errors.Is(err, http.ErrBodyNotAllowed) {
-		e.log.Request("answer-not-written", "error", err)
+		e.log.RateLimitedInfo("answer-not-written", "error", err)
 	}
 }
 
@@ -256,16 +256,16 @@
 // report counts how a request ended, and logs it unless it was plainly served.
 func (e *Entry) report(q *request, o searcher.Outcome, status int, cause string) {
 	took := e.clock.Now() - q.start
-	e.meter.Ended(q.route.Name(), strconv.Itoa(q.route.Rank()), cause, took)
+	e.meter.RecordRequest(q.route.Name(), strconv.Itoa(q.route.Rank()), cause, took)
 	e.count(o)
-	if o.Cause() == searcher.Complete && o.Extra() == 0 && status < 300 && took <= q.route.Aim() {
+	if o.Cause() == searcher.Complete && o.ExtraCalls() == 0 && status < 300 && took <= q.route.Aim() {
 		return
 	}
-	e.log.Request("request-ended", "request", q.sender.Attempt(), "route", q.route.Name(),
+	e.log.RateLimitedInfo("request-ended", "request", q.sender.ID(), "route", q.route.Name(),
 		"version", q.table.Version(), "status", status, "cause", cause, "took-ms", int64(took),
-		"aim-ms", int64(q.route.Aim()), "spent-ms", int64(q.arrival.Spent()), "trip-ms", int64(q.arrival.Trip()),
+		"aim-ms", int64(q.route.Aim()), "spent-ms", int64(q.arrival.Elapsed()), "trip-ms", int64(q.arrival.RoundTrip()),
 		"missing", o.Missing(), "of", max(1, len(q.route.Shards())),
-		"shares", len(o.Shares()), "calls", o.Sent(), "extra", o.Extra(),
+		"shares", len(o.Shares()), "calls", o.CallsSent(), "extra", o.ExtraCalls(),
 		"may-have-run", o.MayHaveRun(), "view-age-ms", int64(e.viewAge()), "misses", missText(o))
 }
 
--- a/cicadagraded/entry/members.go
+++ b/cicadagraded/entry/members.go
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 
 	"cicadagrade.example/tier"
-	"cicadagrade.example/tier/sharer"
+	"cicadagrade.example/tier/partitioner"
 	"cicadagrade.example/tier/storer"
 )
 
@@ -35,7 +35,7 @@
 }
 
 func (e *Entry) registration() ([]byte, error) {
-	self := e.core.Sharer().Self()
+	self := e.core.Partitioner().Self()
 	raw, err := json.Marshal(registration{
 		Address: self.VM().Address(), DataCentre: self.VM().DataCentre(), Region: self.Region(),
 		Cores: self.Cores(), Incarnation: uint64(self.VM().Incarnation()),
@@ -43,25 +43,25 @@
 	return raw, errors.Wrap(err, "Entry.registration")
 }
 
-func decodeMember(v storer.Value) (sharer.Member, error) {
+func decodeMember(v storer.Value) (partitioner.Member, error) {
 	var r registration
 	if err := json.Unmarshal(v.Data(), &r); err != nil {
-		return sharer.Member{}, errors.Wrapf(err, "decodeMember %q", v.Key())
+		return partitioner.Member{}, errors.Wrapf(err, "decodeMember %q", v.Key())
 	}
 	name := strings.TrimPrefix(v.Key(), membersPrefix)
 	vm := tier.NewVM(name, r.DataCentre, r.Address,
 		tier.WithIncarnation(tier.Incarnation(r.Incarnation)), tier.WithVMState(tier.VMLive))
-	return sharer.NewMember(vm, r.Region, r.Cores), nil
+	return partitioner.NewMember(vm, r.Region, r.Cores), nil
 }
 
-// RunMembership keeps the VM registered until it stops.
-func (e *Entry) RunMembership(ctx context.Context) error {
+// RunRegistration keeps the VM registered until it stops.
+func (e *Entry) RunRegistration(ctx context.Context) error {
 	var lease storer.LeaseID
 	for ctx.Err() == nil && !e.stopping.Load() {
 		err := e.renew(ctx, &lease)
 		pause := membershipInterval
 		if err != nil {
-			e.log.Request("registration-not-renewed", "error", err)
+			e.log.RateLimitedInfo("registration-not-renewed", "error", err)
 			pause = membershipRetry
 		}
 		select {
@@ -74,7 +74,7 @@
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout.Duration())
 		defer cancel()
 		if err := e.store.Release(ctx, lease); err != nil {
-			e.log.Request("registration-not-ended", "error", err)
+			e.log.RateLimitedInfo("registration-not-ended", "error", err)
 		}
 	}
 	<-ctx.Done()
@@ -103,26 +103,26 @@
 	if err != nil {
 		return errors.Wrap(err, "Entry.renew")
 	}
-	if _, err := e.store.Put(ctx, membersPrefix+e.core.Sharer().Self().VM().Name(), raw, id); err != nil {
+	if _, err := e.store.Put(ctx, membersPrefix+e.core.Partitioner().Self().VM().Name(), raw, id); err != nil {
 		return errors.Wrap(err, "Entry.renew")
 	}
 	e.listed.Store(true)
 	*lease = id
-	e.log.State("registered", "lease", int64(id))
+	e.log.Info("registered", "lease", int64(id))
 	return nil
 }
 
 // replaceMembers takes the whole list of VMs.
 func (e *Entry) replaceMembers(list []storer.Value, lapsed bool) {
-	var members []sharer.Member
+	var members []partitioner.Member
 	self := false
 	for _, v := range list {
 		m, err := decodeMember(v)
 		if err != nil {
-			e.log.Fault("vm-entry-skipped", "key", v.Key(), "error", err)
+			e.log.Warn("vm-entry-skipped", "key", v.Key(), "error", err)
 			continue
 		}
-		self = self || m.VM().Name() == e.core.Sharer().Self().VM().Name()
+		self = self || m.VM().Name() == e.core.Partitioner().Self().VM().Name()
 		members = append(members, m)
 	}
 	if !self {
@@ -130,35 +130,35 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.core.Sharer().SetMembers(e.clock.Now(), members, lapsed)
-	e.core.Budgeter().SetMembers(max(assumedMembers, e.core.Sharer().Len()))
+	e.core.Partitioner().SetMembers(e.clock.Now(), members, lapsed)
+	e.core.Budgeter().SetVMs(max(assumedMembers, e.core.Partitioner().MemberCount()))
 }
 
 // applyMember takes the change of one VM's registration.
 func (e *Entry) applyMember(v storer.Value) {
 	name := strings.TrimPrefix(v.Key(), membersPrefix)
-	self := name == e.core.Sharer().Self().VM().Name()
+	self := name == e.core.Partitioner().Self().VM().Name()
 	if !v.Present() {
 		if self {
 			e.listed.Store(false)
 			return
 		}
 		e.mu.Lock()
-		e.core.Sharer().Remove(name)
+		e.core.Partitioner().Remove(name)
 		e.mu.Unlock()
-		e.log.State("vm-gone", "peer", name)
+		e.log.Info("vm-gone", "peer", name)
 		return
 	}
 	m, err := decodeMember(v)
 	if err != nil {
-		e.log.Fault("vm-entry-skipped", "key", v.Key(), "error", err)
+		e.log.Warn("vm-entry-skipped", "key", v.Key(), "error", err)
 		return
 	}
 	e.mu.Lock()
-	e.core.Sharer().Put(m)
-	e.core.Budgeter().SetMembers(max(assumedMembers, e.core.Sharer().Len()))
+	e.core.Partitioner().Put(m)
+	e.core.Budgeter().SetVMs(max(assumedMembers, e.core.Partitioner().MemberCount()))
 	e.mu.Unlock()
 	if !self {
-		e.log.State("vm-listed", "peer", name, "address", m.VM().Address(), "data-centre", m.VM().DataCentre())
+		e.log.Info("vm-listed", "peer", name, "address", m.VM().Address(), "data-centre", m.VM().DataCentre())
 	}
 }
--- a/cicadagraded/entry/metrics.go
+++ b/cicadagraded/entry/metrics.go
@@ -30,20 +30,20 @@
 		{"cicadagrade.entry.view.age", "time since the store answered this VM or the one it follows, in milliseconds", func(e *Entry) int64 { return int64(e.viewAge()) }},
 		{"cicadagrade.entry.view.revision", "revision of the store up to which the VM has read", locked(func(e *Entry) int64 { return e.relayer.Revision() })},
 		{"cicadagrade.entry.leafs", "registrations of leafs, usable or not", locked(func(e *Entry) int64 { return int64(e.core.Lister().Len()) })},
-		{"cicadagrade.entry.leafs.usable", "leafs that calls may go to", locked(func(e *Entry) int64 { return int64(e.core.Lister().Usable()) })},
+		{"cicadagrade.entry.leafs.usable", "leafs that calls may go to", locked(func(e *Entry) int64 { return int64(e.core.Lister().UsableCount()) })},
 		{"cicadagrade.entry.store.away", "1 if the store did not answer this VM's last call", func(e *Entry) int64 { return flag(e.away.Load()) }},
-		{"cicadagrade.entry.vms", "VMs known, with this one", locked(func(e *Entry) int64 { return int64(e.core.Sharer().Len()) })},
-		{"cicadagrade.entry.vms.sound", "other VMs that answer", locked(func(e *Entry) int64 { return int64(len(e.core.Sharer().Sound())) })},
-		{"cicadagrade.entry.parts.waiting", "parts that wait for room at a leaf", locked(func(e *Entry) int64 { return int64(e.core.Waiting()) })},
+		{"cicadagrade.entry.vms", "VMs known, with this one", locked(func(e *Entry) int64 { return int64(e.core.Partitioner().MemberCount()) })},
+		{"cicadagrade.entry.vms.sound", "other VMs that answer", locked(func(e *Entry) int64 { return int64(len(e.core.Partitioner().HealthyPeers())) })},
+		{"cicadagrade.entry.parts.waiting", "parts that wait for room at a leaf", locked(func(e *Entry) int64 { return int64(e.core.QueueLength()) })},
 		{"cicadagrade.entry.calls", "calls to leafs, also those that other VMs made for this one", func(e *Entry) int64 { return e.sent.Load() }},
 		{"cicadagrade.entry.calls.extra", "hedges and retries among them", func(e *Entry) int64 { return e.extra.Load() }},
 		{"cicadagrade.entry.calls.denied", "hedges and retries that the budget did not grant", locked(func(e *Entry) int64 { return e.core.Budgeter().Denied() })},
-		{"cicadagrade.entry.budget.least", "extra calls left to the service that has the fewest", locked(func(e *Entry) int64 { return int64(e.core.Budgeter().Least()) })},
+		{"cicadagrade.entry.budget.least", "extra calls left to the service that has the fewest", locked(func(e *Entry) int64 { return int64(e.core.Budgeter().FewestTokens()) })},
 		{"cicadagrade.entry.bytes.far", "bytes of replies from other regions, of leafs and of VMs", func(e *Entry) int64 { return e.far.Load() }},
 		{"cicadagrade.entry.parts.missing", "parts that were not in when their request ended", func(e *Entry) int64 { return e.missing.Load() }},
 		{"cicadagrade.entry.connections.opened", "connections opened to leafs", func(e *Entry) int64 { return e.courier.Counts().Dials }},
-		{"cicadagrade.entry.connections.spoiled", "connections dropped for bytes that belong to no request", func(e *Entry) int64 { return e.courier.Counts().Spoiled }},
-		{"cicadagrade.entry.replies.stray", "replies to earlier requests that were skipped", func(e *Entry) int64 { return e.courier.Counts().Strays }},
+		{"cicadagrade.entry.connections.spoiled", "connections dropped for bytes that belong to no request", func(e *Entry) int64 { return e.courier.Counts().OutOfSync }},
+		{"cicadagrade.entry.replies.stray", "replies to earlier requests that were skipped", func(e *Entry) int64 { return e.courier.Counts().StaleReplies }},
 		{"cicadagrade.entry.memory", "memory of the process, in bytes", func(*Entry) int64 { return sample("/memory/classes/total:bytes") }},
 		{"cicadagrade.entry.processor.time", "processor time of the process, in milliseconds", func(*Entry) int64 { return processorTime() }},
 		{"cicadagrade.entry.goroutines", "goroutines", func(*Entry) int64 { return sample("/sched/goroutines:goroutines") }},
@@ -95,7 +95,7 @@
 func (e *Entry) observe() error {
 	for _, g := range gauges() {
 		read := g.read
-		if err := e.meter.Observe(g.name, g.description, func() []meter.Point {
+		if err := e.meter.RegisterGauge(g.name, g.description, func() []meter.Point {
 			return []meter.Point{meter.NewPoint(read(e))}
 		}); err != nil {
 			return errors.Wrap(err, "Entry.observe")
@@ -106,16 +106,16 @@
 
 // count adds up what the ends of searches tell.
 func (e *Entry) count(o searcher.Outcome) {
-	e.sent.Add(int64(o.Sent()))
-	e.extra.Add(int64(o.Extra()))
+	e.sent.Add(int64(o.CallsSent()))
+	e.extra.Add(int64(o.ExtraCalls()))
 	e.missing.Add(int64(o.Missing()))
 }
 
 // MetricsPath is where the metrics are served.
 const MetricsPath = "/metrics"
 
-// Metrics serves the metrics in the Prometheus format.
-func (e *Entry) Metrics() http.Handler {
+// MetricsHandler serves the metrics in the Prometheus format.
+func (e *Entry) MetricsHandler() http.Handler {
 	m := http.NewServeMux()
 	m.Handle(MetricsPath, e.meter.Handler())
 	return m
--- a/cicadagraded/entry/ready.go
+++ b/cicadagraded/entry/ready.go
@@ -6,10 +6,10 @@
 	"cicadagrade.example/platform"
 )
 
-// Readiness answers the balancer's check.
-func (e *Entry) Readiness() http.Handler {
+// ReadinessHandler answers the balancer's check.
+func (e *Entry) ReadinessHandler() http.Handler {
 	m := http.NewServeMux()
-	m.HandleFunc(platform.ReadinessCall, func(w http.ResponseWriter, _ *http.Request) {
+	m.HandleFunc(platform.ReadinessPattern, func(w http.ResponseWriter, _ *http.Request) {
 		if !e.Ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
@@ -17,5 +17,5 @@
 	return m
 }
 
-// Cut says that the stop's time ran out with requests in flight.
-func (e *Entry) Cut(err error) { e.log.Fault("requests-cut", "error", err) }
+// LogUnfinishedRequests says that the stop's time ran out with requests in flight.
+func (e *Entry) LogUnfinishedRequests(err error) { e.log.Warn("requests-cut", "error", err) }
--- a/cicadagraded/entry/run.go
+++ b/cicadagraded/entry/run.go
@@ -7,12 +7,12 @@
 
 	"github.com/pkg/errors"
 
-	"cicadagrade.example/cicadagraded/courier"
+	"cicadagrade.example/cicadagraded/leafclient"
 	"cicadagrade.example/platform"
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/balancer"
+	"cicadagrade.example/tier/partitioner"
 	"cicadagrade.example/tier/searcher"
-	"cicadagrade.example/tier/sharer"
 )
 
 // freshConnection is the longest idle time of a connection for a request that
@@ -27,7 +27,7 @@
 	entry      *Entry
 	attempt    string
 	repeatable bool
-	message    *courier.Message
+	message    *leafclient.Template
 	search     *searcher.Search
 	shared     sharedTerms
 	flush      func(searcher.Flush) error
@@ -44,17 +44,17 @@
 const eventBuffer = 32
 
 // newRun returns a run of a search over services.
-func (e *Entry) newRun(attempt string, repeatable bool, m *courier.Message, terms searcher.Terms,
-	services []string, shares []sharer.Share,
+func (e *Entry) newRun(attempt string, repeatable bool, m *leafclient.Template, terms searcher.Terms,
+	services []string, shares []partitioner.Share,
 ) *run {
 	r := &run{
 		entry: e, attempt: attempt, repeatable: repeatable, message: m,
-		search:  searcher.New(e.core, terms, services, shares),
+		search:  searcher.NewSearch(e.core, terms, services, shares),
 		events:  make(chan event, len(services)+eventBuffer),
 		woken:   make(chan struct{}, 1),
 		cancels: make(map[int]context.CancelFunc, len(services)),
 	}
-	r.search.Attach(r)
+	r.search.SetUserData(r)
 	return r
 }
 
@@ -76,7 +76,7 @@
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for !r.done {
-		timer.Reset(max(0, r.search.Next()-e.clock.Now()).Duration() + time.Millisecond/2)
+		timer.Reset(max(0, r.search.NextTick()-e.clock.Now()).Duration() + time.Millisecond/2)
 		select {
 		case advance := <-r.events:
 			r.step(ctx, advance)
@@ -108,7 +108,7 @@
 	woken := e.core.TakeWoken()
 	e.mu.Unlock()
 	for _, s := range woken {
-		s.Attached().(*run).wake()
+		s.UserData().(*run).wake()
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -125,14 +125,14 @@
 			if recall, ok := r.recalls[a.Share]; ok {
 				recall()
 				delete(r.recalls, a.Share)
-				if a.Silent {
+				if a.TimedOut {
 					e.peers.drop(a.Member.VM().Address())
-					e.log.Request("share-taken-back", "request", r.attempt, "peer", a.Member.VM().Name(), "had-got-it", a.Got)
+					e.log.RateLimitedInfo("share-taken-back", "request", r.attempt, "peer", a.Member.VM().Name(), "had-got-it", a.Accepted)
 				}
 			}
 		case searcher.Flush:
 			if err := r.flush(a); err != nil {
-				e.log.Request("share-not-reported", "request", r.attempt, "error", err)
+				e.log.RateLimitedInfo("share-not-reported", "request", r.attempt, "error", err)
 			}
 		case searcher.Finish:
 			r.outcome, r.done = a.Outcome, true
@@ -143,11 +143,11 @@
 func (r *run) send(searching context.Context, a searcher.Send) {
 	ctx, cancel := context.WithTimeout(searching, a.TimeLeft.Duration())
 	r.cancels[a.Call] = cancel
-	headers := platform.CallHeaders(a.Leaf.ID(), a.TimeLeft)
-	call := courier.Call{Method: r.message.Method(), Message: r.message.With(headers[:]...)}
+	headers := platform.LeafCallHeaders(a.Leaf.ID(), a.TimeLeft)
+	call := leafclient.Call{Method: r.message.Method(), Request: r.message.Render(headers[:]...)}
 	if id := r.attempt; id != "" {
-		call.Ours = func(h http.Header) bool {
-			echoed := platform.ReadLeafReply(0, h).Attempt()
+		call.IsReply = func(h http.Header) bool {
+			echoed := platform.ParseLeafReply(0, h).AttemptID()
 			return echoed == "" || echoed == id
 		}
 	}
@@ -164,31 +164,31 @@
 		}
 		result := classify(reply, err)
 		r.tell(searching, func(s *searcher.Search, now tier.Millis) []searcher.Action {
-			return s.Ended(now, a.Call, result)
+			return s.CallEnded(now, a.Call, result)
 		})
 	})
 }
 
 // classify says what a call's end proves.
-func classify(reply *courier.Reply, err error) searcher.Result {
-	var notSent *courier.NotSentError
-	var lost *courier.LostError
+func classify(reply *leafclient.Reply, err error) searcher.Result {
+	var notSent *leafclient.NotSentError
+	var lost *leafclient.NoReplyError
 	switch {
 	case errors.As(err, &notSent):
-		if notSent.Dialled() {
-			return searcher.NotRun{Reason: searcher.BrokenAtStart}
+		if notSent.Connected() {
+			return searcher.NotRun{Reason: searcher.DeadConnection}
 		}
 		return searcher.NotRun{Reason: searcher.NoConnection}
 	case errors.As(err, &lost):
-		return searcher.Lost{Cause: err.Error(), Fresh: lost.Fresh()}
+		return searcher.Lost{Cause: err.Error(), NewConnection: lost.ConnectionRejected()}
 	}
-	head := platform.ReadLeafReply(reply.Status(), reply.Header())
+	head := platform.ParseLeafReply(reply.Status(), reply.Header())
 	switch {
 	case head.WrongServer():
 		return searcher.NotRun{Reason: searcher.WrongServer}
-	case head.NotRun() && reply.Status() == http.StatusBadRequest:
+	case head.NotExecuted() && reply.Status() == http.StatusBadRequest:
 		return searcher.NotRun{Reason: searcher.Declined}
-	case head.NotRun():
+	case head.NotExecuted():
 		return searcher.NotRun{Reason: searcher.Shed}
 	case head.Success():
 		return searcher.Answered{Reply: reply}
--- a/cicadagraded/entry/session_test.go
+++ b/cicadagraded/entry/session_test.go
@@ -107,9 +107,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	callers := NewCallers(s.entry)
+	callers := NewCallerServer(s.entry)
 	ctx, cancel := context.WithCancel(context.Background())
-	s.group.Go(func() { _ = s.entry.RunView(ctx) })
+	s.group.Go(func() { _ = s.entry.RunRefresh(ctx) })
 	s.group.Go(func() { _ = callers.Serve(s.front) })
 	t.Cleanup(func() {
 		cancel()
@@ -182,7 +182,7 @@
 
 // settled waits until the VM has read everything that is in the store.
 func (s *session) settled() {
-	_, at, err := s.store.GetAt(context.Background(), "none")
+	_, at, err := s.store.GetWithRevision(context.Background(), "none")
 	if err != nil {
 		s.t.Fatal(err)
 	}
--- a/cicadagraded/entry/view.go
+++ b/cicadagraded/entry/view.go
@@ -13,7 +13,7 @@
 	"cicadagrade.example/platform"
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/lister"
-	"cicadagrade.example/tier/sharer"
+	"cicadagrade.example/tier/partitioner"
 	"cicadagrade.example/tier/storer"
 )
 
@@ -50,8 +50,8 @@
 	read bool // everything has been read once
 }
 
-// RunView keeps the view until ctx ends.
-func (e *Entry) RunView(ctx context.Context) error {
+// RunRefresh keeps the view until ctx ends.
+func (e *Entry) RunRefresh(ctx context.Context) error {
 	v := &view{}
 	for ctx.Err() == nil {
 		pause := pollInterval
@@ -80,10 +80,10 @@
 		return nil
 	}
 	if ctx.Err() == nil && !e.away.Swap(true) {
-		e.log.Fault("store-lost", "error", err, "view-age-ms", int64(e.viewAge()))
+		e.log.Warn("store-lost", "error", err, "view-age-ms", int64(e.viewAge()))
 	}
 	e.mu.Lock()
-	sound := e.core.Sharer().Sound()
+	sound := e.core.Partitioner().HealthyPeers()
 	e.mu.Unlock()
 	rand.Shuffle(len(sound), func(i, j int) { sound[i], sound[j] = sound[j], sound[i] })
 	for _, m := range sound[:min(len(sound), fetchTries)] {
@@ -93,21 +93,21 @@
 		}
 	}
 	e.mu.Lock()
-	e.core.Lister().Lost()
+	e.core.Lister().StoreUnavailable()
 	e.mu.Unlock()
 	return err
 }
 
 // followed picks the VM to follow, unless this one watches the store itself.
-func (e *Entry) followed() (sharer.Member, bool) {
+func (e *Entry) followed() (partitioner.Member, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s := e.core.Sharer()
-	list := s.Watchers()
-	var near []sharer.Member
+	s := e.core.Partitioner()
+	list := s.StoreWatchers()
+	var near []partitioner.Member
 	for _, m := range list {
 		if m.VM().Name() == s.Self().VM().Name() {
-			return sharer.Member{}, false
+			return partitioner.Member{}, false
 		}
 		if m.Region() == s.Self().Region() {
 			near = append(near, m)
@@ -117,7 +117,7 @@
 		list = near
 	}
 	if len(list) == 0 {
-		return sharer.Member{}, false
+		return partitioner.Member{}, false
 	}
 	return list[rand.IntN(len(list))], true
 }
@@ -135,7 +135,7 @@
 	changes, at, err := e.store.Changes(ctx, "", after, 0)
 	var gone *platform.HistoryLostError
 	if errors.As(err, &gone) {
-		e.log.State("history-lost", "after", gone.After())
+		e.log.Info("history-lost", "after", gone.After())
 		return e.readAll(ctx, v)
 	}
 	if err != nil {
@@ -152,15 +152,15 @@
 // readAll reads the configuration, the leafs and the VMs, and goes on with the
 // changes since the first of these reads.
 func (e *Entry) readAll(ctx context.Context, v *view) error {
-	configuration, at, err := e.store.GetAt(ctx, platform.ConfigurationKey)
+	configuration, at, err := e.store.GetWithRevision(ctx, platform.ConfigurationKey)
 	if err != nil {
 		return errors.Wrap(err, "Entry.readAll")
 	}
-	list, listAt, err := e.store.ListAt(ctx, platform.LeafsPrefix)
+	list, listAt, err := e.store.ListWithRevision(ctx, platform.LeafsPrefix)
 	if err != nil {
 		return errors.Wrap(err, "Entry.readAll")
 	}
-	members, _, err := e.store.ListAt(ctx, membersPrefix)
+	members, _, err := e.store.ListWithRevision(ctx, membersPrefix)
 	if err != nil {
 		return errors.Wrap(err, "Entry.readAll")
 	}
@@ -180,7 +180,7 @@
 }
 
 // follow takes what another VM has read since, if that is fresh enough.
-func (e *Entry) follow(ctx context.Context, m sharer.Member, oldest tier.Millis) error {
+func (e *Entry) follow(ctx context.Context, m partitioner.Member, oldest tier.Millis) error {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout.Duration())
 	defer cancel()
 	e.mu.Lock()
@@ -192,9 +192,9 @@
 			e.peers.drop(m.VM().Address())
 		}
 		e.mu.Lock()
-		e.core.Sharer().Failed(e.clock.Now(), m.VM().Name())
+		e.core.Partitioner().Failed(e.clock.Now(), m.VM().Name())
 		e.mu.Unlock()
-		e.log.Request("fetch-failed", "peer", m.VM().Name(), "error", err)
+		e.log.RateLimitedInfo("fetch-failed", "peer", m.VM().Name(), "error", err)
 		return errors.Wrap(err, "Entry.follow")
 	}
 	reply := p.Msg
@@ -228,7 +228,7 @@
 	if reply.Revision == 0 || c.Msg.GetAfter() > reply.Revision {
 		return connect.NewResponse(reply), nil
 	}
-	list, whole := e.relayer.Since(c.Msg.GetAfter())
+	list, whole := e.relayer.ChangesSince(c.Msg.GetAfter())
 	reply.Whole = whole
 	for _, v := range list {
 		reply.Items = append(reply.Items, &gatherv1.Item{Key: v.Key(), Value: v.Data(), Revision: v.Revision()})
@@ -281,7 +281,7 @@
 func (e *Entry) applyConfiguration(c storer.Value) {
 	t, err := platform.DecodeConfiguration(c.Data())
 	if err != nil {
-		e.log.Fault("configuration-unreadable", "revision", c.Revision(), "error", err)
+		e.log.Warn("configuration-unreadable", "revision", c.Revision(), "error", err)
 		return
 	}
 	old := e.table.Load()
@@ -290,20 +290,20 @@
 	}
 	e.table.Store(t)
 	e.mu.Lock()
-	e.core.Budgeter().Forget(e.clock.Now(), t.Uses)
+	e.core.Budgeter().ForgetUnused(e.clock.Now(), t.Uses)
 	e.mu.Unlock()
 	from := int64(0)
 	if old != nil {
 		from = old.Version()
 	}
-	e.log.State("configuration-in-force", "version", t.Version(), "previous", from,
+	e.log.Info("configuration-in-force", "version", t.Version(), "previous", from,
 		"routes", t.Routes(), "revision", c.Revision())
 }
 
 func (e *Entry) decodeLeaf(c storer.Value) lister.Entry {
 	entry, err := platform.DecodeLeaf(c.Key(), c.Data())
 	if err != nil {
-		e.log.Request("leaf-entry-skipped", "key", c.Key(), "error", err)
+		e.log.RateLimitedInfo("leaf-entry-skipped", "key", c.Key(), "error", err)
 	}
 	return entry
 }
@@ -320,7 +320,7 @@
 	entry := e.decodeLeaf(c)
 	changed := e.core.Lister().Put(now, entry)
 	if entry.Readable() {
-		e.core.Balancer().Heard(now, entry.Leaf())
+		e.core.Balancer().Registered(now, entry.Leaf())
 	}
 	return changed
 }
@@ -330,22 +330,22 @@
 func (e *Entry) settleView() {
 	e.mu.Lock()
 	e.core.Lister().Tick(e.clock.Now())
-	e.core.Sharer().Tick(e.clock.Now())
-	changes := e.core.Lister().Changes()
+	e.core.Partitioner().Tick(e.clock.Now())
+	changes := e.core.Lister().TakeChanges()
 	for _, c := range changes {
 		if c.State() == lister.StateGone {
 			e.core.Balancer().Forget(c.Leaf().ID())
 		}
 	}
-	isolated := e.viewAge() > isolatedAfter && e.core.Sharer().Len() > 1 && len(e.core.Sharer().Sound()) == 0
+	isolated := e.viewAge() > isolatedAfter && e.core.Partitioner().MemberCount() > 1 && len(e.core.Partitioner().HealthyPeers()) == 0
 	e.mu.Unlock()
-	e.courier.Sweep()
+	e.courier.CloseExpired()
 	if e.isolated.Swap(isolated) != isolated {
-		e.log.State("isolation", "isolated", isolated, "view-age-ms", int64(e.viewAge()))
+		e.log.Info("isolation", "isolated", isolated, "view-age-ms", int64(e.viewAge()))
 	}
 	for _, c := range changes {
 		if c.State() != lister.StateReady {
-			e.courier.Drop(c.Leaf().Address())
+			e.courier.CloseIdle(c.Leaf().Address())
 		}
 	}
 	e.logLeafs(changes)
@@ -367,11 +367,11 @@
 			for _, f := range leafs {
 				ids.WriteString(f.ID() + "@" + f.Service() + " ")
 			}
-			e.log.State("leafs-"+state, "count", len(leafs), "leafs", strings.TrimSpace(ids.String()))
+			e.log.Info("leafs-"+state, "count", len(leafs), "leafs", strings.TrimSpace(ids.String()))
 			continue
 		}
 		for _, f := range leafs {
-			e.log.State("leaf-"+state, "leaf", f.ID(), "service", f.Service(),
+			e.log.Info("leaf-"+state, "leaf", f.ID(), "service", f.Service(),
 				"address", f.Address(), "data-centre", f.DataCentre())
 		}
 	}
@@ -380,14 +380,14 @@
 // regained says that the store has answered.
 func (e *Entry) regained() {
 	if e.away.Swap(false) {
-		e.log.State("store-regained", "view-age-ms", int64(e.viewAge()))
+		e.log.Info("store-regained", "view-age-ms", int64(e.viewAge()))
 	}
 }
 
 // reached says that the view holds everything up to a revision, as of an age.
 func (e *Entry) reached(revision int64, age tier.Millis) {
 	e.mu.Lock()
-	e.relayer.Reached(revision)
+	e.relayer.AdvanceTo(revision)
 	e.mu.Unlock()
 	if at := int64(e.clock.Now() - age); at > e.seen.Load() {
 		e.seen.Store(at)
--- a/cicadagraded/eventlog/eventlog.go
+++ b/cicadagraded/eventlog/eventlog.go
@@ -55,15 +55,15 @@
 	}
 }
 
-// State logs a change of what the process believes or depends on.
-func (l *Log) State(message string, pairs ...any) { l.offer(line{message, pairs, log.InfoLevel}) }
+// Info logs a change of what the process believes or depends on.
+func (l *Log) Info(message string, pairs ...any) { l.offer(line{message, pairs, log.InfoLevel}) }
 
-// Fault logs something that needs a person's look.
-func (l *Log) Fault(message string, pairs ...any) { l.offer(line{message, pairs, log.WarnLevel}) }
+// Warn logs something that needs a person's look.
+func (l *Log) Warn(message string, pairs ...any) { l.offer(line{message, pairs, log.WarnLevel}) }
 
-// Request logs a decision about one request, as long as there are not too
+// RateLimitedInfo logs a decision about one request, as long as there are not too
 // many of them.
-func (l *Log) Request(message string, pairs ...any) {
+func (l *Log) RateLimitedInfo(message string, pairs ...any) {
 	if l.admit() {
 		l.offer(line{message, pairs, log.InfoLevel})
 	}
--- a/cicadagraded/eventlog/eventlog_test.go
+++ b/cicadagraded/eventlog/eventlog_test.go
@@ -25,8 +25,8 @@
 	l := New(w, clock.Clock())
 	for range 100 * ringLines {
 		clock.Advance(1)
-		l.Request("request-ended", "request", "x")
-		l.State("leaf-ready", "leaf", "y")
+		l.RateLimitedInfo("request-ended", "request", "x")
+		l.Info("leaf-ready", "leaf", "y")
 	}
 	if n := len(l.lines); n > ringLines {
 		t.Errorf("%d lines wait", n)
@@ -39,7 +39,7 @@
 	clock := tier.NewManualClock(0)
 	l := New(&out, clock.Clock())
 	for range 200 {
-		l.Request("request-ended", "request", "x")
+		l.RateLimitedInfo("request-ended", "request", "x")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/cicadagraded/exchanger/view.go
+++ b/cicadagraded/exchanger/view.go
@@ -92,8 +92,8 @@
 	return x.gossiper.Fresh(x.clock.Now())
 }
 
-// Dropped counts the changes that found their ring full.
-func (x *Exchanger) Dropped() uint64 { return x.dropped.Load() }
+// DroppedChanges counts the changes that found their ring full.
+func (x *Exchanger) DroppedChanges() uint64 { return x.dropped.Load() }
 
 // Traffic counts what was sent and received.
 func (x *Exchanger) Traffic() Traffic {
--- a/cicadagraded/front.go
+++ b/cicadagraded/front.go
@@ -86,14 +86,14 @@
 	debug.SetMemoryLimit(int64(float64(s.MemoryMB()) * memoryShare * (1 << 20)))
 	clock := tier.NewClock()
 	log := eventlog.New(os.Stdout, clock, "vm", s.Name())
-	log.State("starting", "callers", s.CallersAddress(), "readiness", s.ReadinessAddress(),
+	log.Info("starting", "callers", s.CallerAddress(), "readiness", s.ReadinessAddress(),
 		"data-centre", s.DataCentre(), "store", s.StoreAddress())
 	e, err := entry.New(s, clock, log)
 	if err != nil {
 		return errors.Wrap(err, "front")
 	}
 
-	callers, err := net.Listen("tcp", s.CallersAddress())
+	callers, err := net.Listen("tcp", s.CallerAddress())
 	if err != nil {
 		return errors.Wrap(err, "front")
 	}
@@ -105,24 +105,24 @@
 	if err != nil {
 		return errors.Wrap(err, "front")
 	}
-	meters, err := net.Listen("tcp", net.JoinHostPort(s.IP(), strconv.Itoa(metricsPort)))
+	meters, err := net.Listen("tcp", net.JoinHostPort(s.IPAddress(), strconv.Itoa(metricsPort)))
 	if err != nil {
 		return errors.Wrap(err, "front")
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var g run.Group
-	metrics := &http.Server{Handler: e.Metrics(), ReadHeaderTimeout: headerTime, IdleTimeout: idleTime}
+	metrics := &http.Server{Handler: e.MetricsHandler(), ReadHeaderTimeout: headerTime, IdleTimeout: idleTime}
 	addServer(&g, metrics, meters)
 	g.Add(func() error { return log.Run(ctx) }, func(error) { cancel() })
-	g.Add(func() error { return e.RunView(ctx) }, func(error) { cancel() })
-	g.Add(func() error { return e.RunMembership(ctx) }, func(error) { cancel() })
+	g.Add(func() error { return e.RunRefresh(ctx) }, func(error) { cancel() })
+	g.Add(func() error { return e.RunRegistration(ctx) }, func(error) { cancel() })
 	g.Add(func() error { return e.RunProbes(ctx) }, func(error) { cancel() })
-	peer := &http.Server{Handler: e.Peers(), Protocols: entry.PeerProtocols(), ReadHeaderTimeout: headerTime, IdleTimeout: idleTime}
+	peer := &http.Server{Handler: e.PeerHandler(), Protocols: entry.PeerProtocols(), ReadHeaderTimeout: headerTime, IdleTimeout: idleTime}
 	addServer(&g, peer, others)
-	server := entry.NewCallers(e)
+	server := entry.NewCallerServer(e)
 	addCallers(&g, server, callers)
-	check := &http.Server{Handler: e.Readiness(), ReadHeaderTimeout: headerTime, IdleTimeout: idleTime}
+	check := &http.Server{Handler: e.ReadinessHandler(), ReadHeaderTimeout: headerTime, IdleTimeout: idleTime}
 	addServer(&g, check, readiness)
 	g.Add(func() error { return watchSettings(ctx, e, log) }, func(error) { cancel() })
 	g.Add(func() error { return waitForStop(ctx, e, server, callers, s) }, func(error) { cancel() })
@@ -162,11 +162,11 @@
 		changed = modified(path)
 		s, err := platform.LoadSettings(path)
 		if err != nil {
-			log.Fault("settings-kept", "cause", cause, "error", err)
+			log.Warn("settings-kept", "cause", cause, "error", err)
 			continue
 		}
 		e.Reload(s)
-		log.State("settings-read", "cause", cause)
+		log.Info("settings-read", "cause", cause)
 	}
 }
 
@@ -199,7 +199,7 @@
 }
 
 // addCallers serves callers until the group ends.
-func addCallers(g *run.Group, c *entry.Callers, l net.Listener) {
+func addCallers(g *run.Group, c *entry.CallerServer, l net.Listener) {
 	ended := make(chan struct{})
 	g.Add(func() error {
 		if err := c.Serve(l); err != nil {
@@ -214,7 +214,7 @@
 	})
 }
 
-func waitForStop(ctx context.Context, e *entry.Entry, server *entry.Callers, l net.Listener, s *platform.Settings) error {
+func waitForStop(ctx context.Context, e *entry.Entry, server *entry.CallerServer, l net.Listener, s *platform.Settings) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(signals)
@@ -223,20 +223,20 @@
 		return nil
 	case <-signals:
 	}
-	e.Stop()
+	e.BeginShutdown()
 	select {
 	case <-ctx.Done():
 		return nil
 	case <-time.After(balancerLag.Duration()):
 	}
-	left := s.Grace() - balancerLag - stopMargin
+	left := s.GracePeriod() - balancerLag - stopMargin
 	stop, cancel := context.WithTimeout(ctx, max(left, 0).Duration())
 	defer cancel()
 	if err := l.Close(); err != nil {
 		return errors.Wrap(err, "waitForStop")
 	}
 	if err := server.Shutdown(stop); err != nil {
-		e.Cut(err)
+		e.LogUnfinishedRequests(err)
 	}
 	return errStopped
 }
--- a/cicadagraded/handler/session_test.go
+++ b/cicadagraded/handler/session_test.go
@@ -130,7 +130,7 @@
 
 func (o ownerScript) result(shard string) merger.ShardResult {
 	if reason, ok := o.Misses[shard]; ok {
-		return merger.NewMissedShard(shard, reason)
+		return merger.NewMissingShard(shard, reason)
 	}
 	var records []tier.Record
 	for k, v := range o.Records[shard] {
--- a/cicadagraded/handler/status.go
+++ b/cicadagraded/handler/status.go
@@ -128,19 +128,19 @@
 	n := core.Counters()
 	w := ownerStatus{
 		Set: o.Set(), Owned: o.Owned, Epoch: o.Epoch(), Parts: o.Parts(),
-		HedgeTokens: core.HedgeTokens(), LeafCalls: n.Calls(), ExtraLeafCalls: n.Extra(),
+		HedgeTokens: core.HedgeTokens(), LeafCalls: n.Calls(), ExtraLeafCalls: n.ExtraCalls(),
 		Rejected: o.Rejected(), Ranks: []rankStatus{}, Servers: []backendStatus{},
 	}
 	for _, r := range tier.Ranks {
 		w.Ranks = append(w.Ranks, rankStatus{
-			Rank: r.String(), Queued: core.Queued(r), WaitMs: core.Wait(r),
+			Rank: r.String(), Queued: core.Queued(r), WaitMs: core.DrainTime(r),
 			Admit: core.Threshold().Fraction(r), Refused: n.Refused(r),
 		})
 	}
 	for _, b := range core.Servers() {
 		w.Servers = append(w.Servers, backendStatus{
-			Server: b.Name(), State: b.State().String(), Used: b.Used(),
-			Limit: b.Limit(), LatencyMs: b.Latency(),
+			Server: b.Name(), State: b.State().String(), Used: b.UsedSlots(),
+			Limit: b.SlotLimit(), LatencyMs: b.Latency(),
 		})
 	}
 	return w
--- a/cicadagraded/courier/courier.go
+++ b/cicadagraded/leafclient/courier.go
@@ -1,4 +1,4 @@
-// Package courier is an HTTP/1.1 client for calls whose fate must be known:
+// Package leafclient is an HTTP/1.1 client for calls whose fate must be known:
 // whether a request was written, whether its reply came whole, and which
 // connection it used. It never sends a request twice by itself.
 //
@@ -6,7 +6,7 @@
 // goroutines for each connection, and takes whatever bytes come next as the
 // reply; so this package keeps its own connections, and parses replies with
 // net/http.
-package courier
+package leafclient
 
 import (
 	"bufio"
@@ -52,8 +52,8 @@
 	cause   error
 }
 
-// Dialled reports whether a connection had been made.
-func (e *NotSentError) Dialled() bool { return e.dialled }
+// Connected reports whether a connection had been made.
+func (e *NotSentError) Connected() bool { return e.dialled }
 
 // Unwrap is the cause.
 func (e *NotSentError) Unwrap() error { return e.cause }
@@ -63,23 +63,23 @@
 	return "nothing was sent to " + e.address + ": " + e.cause.Error()
 }
 
-// LostError says that the request was sent, at least in part, and no whole
+// NoReplyError says that the request was sent, at least in part, and no whole
 // reply came.
-type LostError struct {
+type NoReplyError struct {
 	address string
 	fresh   bool
 	cause   error
 }
 
-// Fresh reports whether the connection was a new one that the server ended
+// ConnectionRejected reports whether the connection was a new one that the server ended
 // without a byte.
-func (e *LostError) Fresh() bool { return e.fresh }
+func (e *NoReplyError) ConnectionRejected() bool { return e.fresh }
 
 // Unwrap is the cause.
-func (e *LostError) Unwrap() error { return e.cause }
+func (e *NoReplyError) Unwrap() error { return e.cause }
 
 // Error names the address and the cause.
-func (e *LostError) Error() string { return "no reply from " + e.address + ": " + e.cause.Error() }
+func (e *NoReplyError) Error() string { return "no reply from " + e.address + ": " + e.cause.Error() }
 
 // Reply is a whole reply.
 type Reply struct {
@@ -99,14 +99,14 @@
 
 // Counts are totals since the start.
 type Counts struct {
-	Dials   int64 // connections opened
-	Calls   int64 // requests written
-	Strays  int64 // replies to other requests that were skipped
-	Spoiled int64 // connections dropped for bytes that belong to no request
+	Dials        int64 // connections opened
+	Requests     int64 // requests written
+	StaleReplies int64 // replies to other requests that were skipped
+	OutOfSync    int64 // connections dropped for bytes that belong to no request
 }
 
-// Courier keeps connections to many addresses.
-type Courier struct {
+// Client keeps connections to many addresses.
+type Client struct {
 	dialer net.Dialer
 	mu     sync.Mutex
 	idle   map[string][]*conn
@@ -116,18 +116,18 @@
 }
 
 // New returns a courier without connections.
-func New() *Courier {
-	return &Courier{
+func New() *Client {
+	return &Client{
 		dialer: net.Dialer{Timeout: dialTimeout.Duration(), KeepAlive: -1},
 		idle:   map[string][]*conn{},
 	}
 }
 
 // Counts returns the totals.
-func (c *Courier) Counts() Counts {
+func (c *Client) Counts() Counts {
 	return Counts{
-		Dials: c.dials.Load(), Calls: c.calls.Load(),
-		Strays: c.strays.Load(), Spoiled: c.spoiled.Load(),
+		Dials: c.dials.Load(), Requests: c.calls.Load(),
+		StaleReplies: c.strays.Load(), OutOfSync: c.spoiled.Load(),
 	}
 }
 
@@ -143,18 +143,18 @@
 type Call struct {
 	// Method is needed to know whether the reply has a body.
 	Method string
-	// Message is the whole request as it goes over the wire.
-	Message []byte
-	// Ours tells the reply to this request from one to an earlier request
+	// Request is the whole request as it goes over the wire.
+	Request []byte
+	// IsReply tells the reply to this request from one to an earlier request
 	// that came late; nil takes any.
-	Ours func(http.Header) bool
+	IsReply func(http.Header) bool
 	// MaxIdle uses no connection that has been idle for longer; 0 uses any.
 	MaxIdle tier.Millis
 }
 
 // Do sends a request to an address and waits for its whole reply, until ctx
 // ends. The error is a *NotSentError or a *LostError.
-func (c *Courier) Do(ctx context.Context, address string, q Call) (*Reply, error) {
+func (c *Client) Do(ctx context.Context, address string, q Call) (*Reply, error) {
 	n, err := c.take(ctx, address, q.MaxIdle)
 	if err != nil {
 		return nil, &NotSentError{address: address, cause: err}
@@ -163,13 +163,13 @@
 		_ = n.SetDeadline(at)
 	}
 	stop := context.AfterFunc(ctx, func() { _ = n.Close() })
-	if written, err := n.Write(q.Message); err != nil {
+	if written, err := n.Write(q.Request); err != nil {
 		stop()
 		_ = n.Close()
 		if written == 0 {
 			return nil, &NotSentError{address: address, dialled: true, cause: err}
 		}
-		return nil, &LostError{address: address, cause: err}
+		return nil, &NoReplyError{address: address, cause: err}
 	}
 	c.calls.Add(1)
 	r, keep, err := c.read(n, q)
@@ -179,7 +179,7 @@
 	if err != nil {
 		_ = n.Close()
 		fresh := !n.used && ctx.Err() == nil && (errors.Is(err, syscall.ECONNRESET) || errors.Is(err, io.EOF))
-		return nil, &LostError{address: address, fresh: fresh, cause: err}
+		return nil, &NoReplyError{address: address, fresh: fresh, cause: err}
 	}
 	n.used = true
 	if keep {
@@ -192,7 +192,7 @@
 
 // read returns the reply to the request just written, and whether the
 // connection can be used again.
-func (c *Courier) read(n *conn, q Call) (*Reply, bool, error) {
+func (c *Client) read(n *conn, q Call) (*Reply, bool, error) {
 	request := &http.Request{Method: q.Method}
 	for range maxStrays {
 		p, err := http.ReadResponse(n.reader, request)
@@ -206,7 +206,7 @@
 		if p.StatusCode < 200 {
 			continue // an interim reply
 		}
-		if q.Ours != nil && !q.Ours(p.Header) {
+		if q.IsReply != nil && !q.IsReply(p.Header) {
 			c.strays.Add(1)
 			if p.Close {
 				return nil, false, errors.New("Courier.read: the reply was to another request")
@@ -225,7 +225,7 @@
 }
 
 // take returns an idle connection that is still alive, or a new one.
-func (c *Courier) take(ctx context.Context, address string, maxIdleTime tier.Millis) (*conn, error) {
+func (c *Client) take(ctx context.Context, address string, maxIdleTime tier.Millis) (*conn, error) {
 	for {
 		n := c.pop(address)
 		if n == nil {
@@ -246,7 +246,7 @@
 	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, bufferSize), limit: idleLimit.Duration()}, nil
 }
 
-func (c *Courier) pop(address string) *conn {
+func (c *Client) pop(address string) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := c.idle[address]
@@ -259,7 +259,7 @@
 	return n
 }
 
-func (c *Courier) put(address string, n *conn) {
+func (c *Client) put(address string, n *conn) {
 	n.idleAt = time.Now()
 	_ = n.SetDeadline(time.Time{})
 	c.mu.Lock()
@@ -276,7 +276,7 @@
 
 // alive looks, without waiting, whether an idle connection has been closed or
 // has bytes that nobody asked for.
-func (c *Courier) alive(n *conn) bool {
+func (c *Client) alive(n *conn) bool {
 	if n.reader.Buffered() > 0 {
 		return false
 	}
@@ -301,9 +301,9 @@
 	return err == nil && quiet
 }
 
-// Sweep closes connections that have been idle for too long, so that they do
+// CloseExpired closes connections that have been idle for too long, so that they do
 // not count at their servers.
-func (c *Courier) Sweep() {
+func (c *Client) CloseExpired() {
 	now := time.Now()
 	var old []*conn
 	c.mu.Lock()
@@ -329,8 +329,8 @@
 	}
 }
 
-// Drop closes the idle connections to an address.
-func (c *Courier) Drop(address string) {
+// CloseIdle closes the idle connections to an address.
+func (c *Client) CloseIdle(address string) {
 	c.mu.Lock()
 	list := c.idle[address]
 	delete(c.idle, address)
@@ -341,7 +341,7 @@
 }
 
 // Close closes all idle connections and keeps no more.
-func (c *Courier) Close() {
+func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
 	all := c.idle
--- a/cicadagraded/courier/courier_test.go
+++ b/cicadagraded/leafclient/courier_test.go
@@ -1,4 +1,4 @@
-package courier
+package leafclient
 
 import (
 	"bufio"
@@ -81,14 +81,14 @@
 }
 
 func call(id string) Call {
-	m := NewMessage(http.MethodGet, "/x", "h", http.Header{"Id": {id}}, nil)
+	m := NewTemplate(http.MethodGet, "/x", "h", http.Header{"Id": {id}}, nil)
 	return Call{
-		Method: http.MethodGet, Message: m.With(),
-		Ours: func(h http.Header) bool { return h.Get("Id") == id },
+		Method: http.MethodGet, Request: m.Render(),
+		IsReply: func(h http.Header) bool { return h.Get("Id") == id },
 	}
 }
 
-func do(t *testing.T, c *Courier, s *server, id string) (string, error) {
+func do(t *testing.T, c *Client, s *server, id string) (string, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -99,13 +99,13 @@
 	return string(r.Body()), nil
 }
 
-func newCourier(t *testing.T) *Courier {
+func newCourier(t *testing.T) *Client {
 	c := New()
 	t.Cleanup(c.Close)
 	return c
 }
 
-func expect(t *testing.T, c *Courier, s *server, id, want string) {
+func expect(t *testing.T, c *Client, s *server, id, want string) {
 	t.Helper()
 	if got, err := do(t, c, s, id); err != nil || got != want {
 		t.Errorf("call %s: got %q, %v, expected %q", id, got, err, want)
@@ -128,7 +128,7 @@
 	c := newCourier(t)
 	expect(t, c, s, "1", "one")
 	expect(t, c, s, "2", "two")
-	if n := c.Counts().Strays; n != 1 {
+	if n := c.Counts().StaleReplies; n != 1 {
 		t.Errorf("%d strays", n)
 	}
 }
@@ -162,7 +162,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := play(t, step)
 			_, err := do(t, newCourier(t), s, "1")
-			var lost *LostError
+			var lost *NoReplyError
 			if !errors.As(err, &lost) {
 				t.Errorf("got %v", err)
 			}
@@ -176,8 +176,8 @@
 func TestAResetOfANewConnectionIsTold(t *testing.T) {
 	s := play(t, "reset")
 	_, err := do(t, newCourier(t), s, "1")
-	var lost *LostError
-	if !errors.As(err, &lost) || !lost.Fresh() {
+	var lost *NoReplyError
+	if !errors.As(err, &lost) || !lost.ConnectionRejected() {
 		t.Errorf("got %v", err)
 	}
 }
@@ -187,7 +187,7 @@
 	_ = s.listener.Close()
 	_, err := do(t, newCourier(t), s, "1")
 	var notSent *NotSentError
-	if !errors.As(err, &notSent) || notSent.Dialled() {
+	if !errors.As(err, &notSent) || notSent.Connected() {
 		t.Errorf("got %v", err)
 	}
 }
@@ -209,7 +209,7 @@
 }
 
 // idleAlive looks at the idle connection to an address, if there is one.
-func (c *Courier) idleAlive(address string) bool {
+func (c *Client) idleAlive(address string) bool {
 	n := c.pop(address)
 	if n == nil {
 		return false
--- a/cicadagraded/courier/message.go
+++ b/cicadagraded/leafclient/message.go
@@ -1,4 +1,4 @@
-package courier
+package leafclient
 
 import (
 	"bytes"
@@ -11,17 +11,17 @@
 	"github.com/pkg/errors"
 )
 
-// Message is a request that is sent to several servers with few differences.
+// Template is a request that is sent to several servers with few differences.
 // Its common head is built once.
-type Message struct {
+type Template struct {
 	method string
 	head   []byte
 	body   []byte
 }
 
-// NewMessage builds the common part. The headers must hold none that frame
+// NewTemplate builds the common part. The headers must hold none that frame
 // the body or concern the connection.
-func NewMessage(method, uri, host string, header http.Header, body []byte) *Message {
+func NewTemplate(method, uri, host string, header http.Header, body []byte) *Template {
 	var b bytes.Buffer
 	b.Grow(512)
 	b.WriteString(method + " " + uri + " HTTP/1.1\r\nHost: " + host + "\r\n")
@@ -36,25 +36,25 @@
 	if len(body) > 0 || method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(body)) + "\r\n")
 	}
-	return &Message{method: method, head: b.Bytes(), body: body}
+	return &Template{method: method, head: b.Bytes(), body: body}
 }
 
-// RestoreMessage returns a message from another VM's Head and Body.
-func RestoreMessage(method string, head, body []byte) *Message {
-	return &Message{method: method, head: head, body: body}
+// RestoreTemplate returns a message from another VM's Head and Body.
+func RestoreTemplate(method string, head, body []byte) *Template {
+	return &Template{method: method, head: head, body: body}
 }
 
 // Head is the common part as it goes over the wire, without its end.
-func (m *Message) Head() []byte { return m.head }
+func (m *Template) Head() []byte { return m.head }
 
 // Body is the body.
-func (m *Message) Body() []byte { return m.body }
+func (m *Template) Body() []byte { return m.body }
 
 // Method is the request's method.
-func (m *Message) Method() string { return m.method }
+func (m *Template) Method() string { return m.method }
 
-// With returns the whole request with further headers.
-func (m *Message) With(headers ...[2]string) []byte {
+// Render returns the whole request with further headers.
+func (m *Template) Render(headers ...[2]string) []byte {
 	n := len(m.head) + len(m.body) + 2
 	for _, h := range headers {
 		n += len(h[0]) + len(h[1]) + 4
--- a/cicadagraded/locator/locator.go
+++ b/cicadagraded/locator/locator.go
@@ -28,7 +28,7 @@
 	reachable  map[string]bool
 	admitMu    sync.Mutex
 	admitters  map[string]*admitter.Admitter
-	thresholds map[reportKey]admitter.Published
+	thresholds map[reportKey]admitter.ReceivedThreshold
 	failed     sync.Map // name of a VM to its suspicion
 }
 
@@ -91,7 +91,7 @@
 		reports:    map[reportKey]heardReport{},
 		announced:  map[announcedKey]tier.VM{},
 		admitters:  map[string]*admitter.Admitter{},
-		thresholds: map[reportKey]admitter.Published{},
+		thresholds: map[reportKey]admitter.ReceivedThreshold{},
 		reachable:  map[string]bool{},
 	}
 	l.rebuild()
--- a/cicadagraded/locator/locator_test.go
+++ b/cicadagraded/locator/locator_test.go
@@ -112,7 +112,7 @@
 	if wait < 700 || wait > 1051 {
 		t.Errorf("reports may come after %d ms, want 700 to 1051", wait)
 	}
-	l.Threshold("portao", "caxias-1", admitter.AllIn())
+	l.Threshold("portao", "caxias-1", admitter.AdmitAll())
 	if _, ok := l.Admit("portao", tier.Reports); !ok {
 		t.Error("reports refused though the owner lets everything in")
 	}
--- a/cicadagraded/locator/read.go
+++ b/cicadagraded/locator/read.go
@@ -68,11 +68,11 @@
 	l.admitMu.Lock()
 	defer l.admitMu.Unlock()
 	k := reportKey{set: set, vm: vm}
-	if t.AllIn() {
+	if t.AdmitsAll() {
 		delete(l.thresholds, k)
 		return
 	}
-	l.thresholds[k] = admitter.NewPublished(t, l.clock.Now())
+	l.thresholds[k] = admitter.NewReceivedThreshold(t, l.clock.Now())
 }
 
 // Admit applies the thresholds that the owners of a set publish.
@@ -84,7 +84,7 @@
 	}
 	l.admitMu.Lock()
 	defer l.admitMu.Unlock()
-	var all []admitter.Published
+	var all []admitter.ReceivedThreshold
 	for _, d := range s.DataCentres() {
 		p := v.places[placeKey{set, d}]
 		for _, vm := range p.candidates[:min(p.owners, len(p.candidates))] {
--- a/cicadagraded/messenger/convert.go
+++ b/cicadagraded/messenger/convert.go
@@ -71,7 +71,7 @@
 
 // toAdmission leaves out a threshold that lets everything in.
 func toAdmission(t admitter.Threshold) *peerv1.Admission {
-	if t.AllIn() {
+	if t.AdmitsAll() {
 		return nil
 	}
 	w := &peerv1.Admission{}
@@ -84,7 +84,7 @@
 
 func fromAdmission(w *peerv1.Admission) admitter.Threshold {
 	if len(w.GetFractions()) != len(tier.Ranks) || len(w.GetAfterMs()) != len(tier.Ranks) {
-		return admitter.AllIn()
+		return admitter.AdmitAll()
 	}
 	var after [len(tier.Ranks)]tier.Millis
 	for i, m := range w.GetAfterMs() {
@@ -132,7 +132,7 @@
 
 func fromShardResult(r *peerv1.ShardResult) merger.ShardResult {
 	if r.GetMiss() != "" {
-		return merger.NewMissedShard(r.GetShard(), tier.MissReason(r.GetMiss()))
+		return merger.NewMissingShard(r.GetShard(), tier.MissReason(r.GetMiss()))
 	}
 	return merger.NewReceivedResult(r.GetShard(), fromPeerRecords(r.GetRecords()), int(r.GetCount()), r.GetDigest())
 }
--- a/cicadagraded/meter/meter.go
+++ b/cicadagraded/meter/meter.go
@@ -55,8 +55,8 @@
 	return m, nil
 }
 
-// Ended counts a caller's request that ended.
-func (m *Meter) Ended(route, rank, outcome string, took tier.Millis) {
+// RecordRequest counts a caller's request that ended.
+func (m *Meter) RecordRequest(route, rank, outcome string, took tier.Millis) {
 	labels := metric.WithAttributes(
 		attribute.String("route", route),
 		attribute.String("rank", rank),
@@ -81,8 +81,8 @@
 	return p
 }
 
-// Observe registers a gauge whose points are read when the metrics are.
-func (m *Meter) Observe(name, description string, read func() []Point) error {
+// RegisterGauge registers a gauge whose points are read when the metrics are.
+func (m *Meter) RegisterGauge(name, description string, read func() []Point) error {
 	_, err := m.meter.Int64ObservableGauge(name,
 		metric.WithDescription(description),
 		metric.WithInt64Callback(func(_ context.Context, o metric.Int64Observer) error {
--- a/cicadagraded/observe.go
+++ b/cicadagraded/observe.go
@@ -72,7 +72,7 @@
 func (d *daemon) observe() error {
 	o := &observer{daemon: d}
 	for _, g := range gaugeTable() {
-		if err := d.meter.Observe(g.name, g.description, func() []meter.Point { return g.read(o) }); err != nil {
+		if err := d.meter.RegisterGauge(g.name, g.description, func() []meter.Point { return g.read(o) }); err != nil {
 			return errors.Wrap(err, "daemon.observe")
 		}
 	}
@@ -122,15 +122,15 @@
 func partsPoint(s owner.Status) int64    { return int64(s.Parts()) }
 func tokensPoint(s owner.Status) int64   { return int64(s.Core().HedgeTokens() * permille) }
 func callsPoint(s owner.Status) int64    { return int64(s.Core().Counters().Calls()) }
-func extraPoint(s owner.Status) int64    { return int64(s.Core().Counters().Extra()) }
-func failedPoint(s owner.Status) int64   { return int64(s.Core().Counters().Failed()) }
-func notRunPoint(s owner.Status) int64   { return int64(s.Core().Counters().NotRun()) }
+func extraPoint(s owner.Status) int64    { return int64(s.Core().Counters().ExtraCalls()) }
+func failedPoint(s owner.Status) int64   { return int64(s.Core().Counters().FailedCalls()) }
+func notRunPoint(s owner.Status) int64   { return int64(s.Core().Counters().NotRunCalls()) }
 func rejectedPoint(s owner.Status) int64 { return int64(s.Rejected()) }
 
 func usedPoint(s owner.Status) int64 {
 	n := 0
 	for _, b := range s.Core().Servers() {
-		n += b.Used()
+		n += b.UsedSlots()
 	}
 	return int64(n)
 }
@@ -138,13 +138,13 @@
 func limitPoint(s owner.Status) int64 {
 	n := 0
 	for _, b := range s.Core().Servers() {
-		n += b.Limit()
+		n += b.SlotLimit()
 	}
 	return int64(n)
 }
 
 func queuePoint(s owner.Status, r tier.Rank) int64 { return int64(s.Core().Queued(r)) }
-func waitPoint(s owner.Status, r tier.Rank) int64  { return int64(s.Core().Wait(r)) }
+func waitPoint(s owner.Status, r tier.Rank) int64  { return int64(s.Core().DrainTime(r)) }
 
 func admittedPoint(s owner.Status, r tier.Rank) int64 {
 	return int64(s.Core().Threshold().Fraction(r) * permille)
--- a/cicadagraded/owner/lane.go
+++ b/cicadagraded/owner/lane.go
@@ -33,8 +33,8 @@
 }
 
 // expect is what the reply has to echo.
-func (c *call) expect() correlator.Expect {
-	return correlator.NewExpect(c.id, c.set, c.shard, c.snapshot)
+func (c *call) expect() correlator.Expectation {
+	return correlator.NewExpectation(c.id, c.set, c.shard, c.snapshot)
 }
 
 // lane is the link to one backend server with a worker for each of its
@@ -118,10 +118,10 @@
 		return failed(c, err)
 	}
 	records := toRecords(reply.GetRecords())
-	got := correlator.NewReply(reply.GetAttempt(), reply.GetSet(), reply.GetShard(), toSnapshot(reply.GetSnapshot()), records, int(reply.GetCount()), reply.GetDigest())
+	got := correlator.NewSearchReply(reply.GetAttempt(), reply.GetSet(), reply.GetShard(), toSnapshot(reply.GetSnapshot()), records, int(reply.GetCount()), reply.GetDigest())
 	m := &repliedMessage{attempt: c.attempt, state: toState(reply.GetState())}
-	if err := correlator.Check(c.expect(), got); err != nil {
-		m.result = &dispatcher.ReplyBad{}
+	if err := correlator.CheckSearchReply(c.expect(), got); err != nil {
+		m.result = &dispatcher.ReplyRejected{}
 		m.rejected = true
 		return m
 	}
@@ -142,10 +142,10 @@
 	if err != nil {
 		return failed(c, err)
 	}
-	got := correlator.NewReceipt(reply.GetAttempt(), reply.GetSet(), reply.GetShard(), reply.GetReceipt())
+	got := correlator.NewBookingReply(reply.GetAttempt(), reply.GetSet(), reply.GetShard(), reply.GetReceipt())
 	m := &repliedMessage{attempt: c.attempt, state: toState(reply.GetState())}
-	if err := correlator.CheckReceipt(c.expect(), got); err != nil {
-		m.result = &dispatcher.ReplyBad{}
+	if err := correlator.CheckBookingReply(c.expect(), got); err != nil {
+		m.result = &dispatcher.ReplyRejected{}
 		m.rejected = true
 		return m
 	}
--- a/cicadagraded/owner/loop.go
+++ b/cicadagraded/owner/loop.go
@@ -55,7 +55,7 @@
 func (o *Owner) wait() tier.Millis {
 	now := o.clock.Now()
 	due := min(now+idleWait, o.reportAt)
-	if next, ok := o.core.Next(); ok {
+	if next, ok := o.core.NextTick(); ok {
 		due = min(due, next)
 	}
 	if next, ok := o.nextProbe(); ok {
@@ -72,7 +72,7 @@
 
 func (o *Owner) tick() {
 	now := o.clock.Now()
-	if next, ok := o.core.Next(); ok && next <= now {
+	if next, ok := o.core.NextTick(); ok && next <= now {
 		o.step(&dispatcher.Tick{})
 	}
 	o.tickProbers(now)
@@ -153,7 +153,7 @@
 	o.byEnd[p.end] = p.number
 	if b := m.booking; b != nil {
 		p.booking = b
-		o.step(dispatcher.NewSubmit(p.number, b.profile, b.deadline, []string{b.shard}, dispatcher.NotRepeatable()))
+		o.step(dispatcher.NewSubmit(p.number, b.profile, b.deadline, []string{b.shard}, dispatcher.NonIdempotent()))
 		return
 	}
 	s := m.search
@@ -198,7 +198,7 @@
 	if _, waiting := o.parts[c.part]; !waiting {
 		delete(o.calls, m.attempt)
 	}
-	o.step(dispatcher.NewReplied(m.attempt, m.result))
+	o.step(dispatcher.NewCallEnded(m.attempt, m.result))
 }
 
 // noteHolding passes on what a server holds, if it is news.
@@ -282,7 +282,7 @@
 	missed := map[string]bool{}
 	for _, m := range a.Misses() {
 		missed[m.Shard()] = true
-		d.results = append(d.results, merger.NewMissedShard(m.Shard(), m.Reason()))
+		d.results = append(d.results, merger.NewMissingShard(m.Shard(), m.Reason()))
 	}
 	d.held = o.heldOf(missed)
 	o.finish(p.number, d)
--- a/cicadagraded/owner/owner.go
+++ b/cicadagraded/owner/owner.go
@@ -137,7 +137,7 @@
 	if t := o.threshold.Load(); t != nil {
 		return *t
 	}
-	return admitter.AllIn()
+	return admitter.AdmitAll()
 }
 
 // Search is one part of a search.
--- a/cicadagraded/owner/owner_test.go
+++ b/cicadagraded/owner/owner_test.go
@@ -215,7 +215,7 @@
 
 func TestThresholdRoundTrip(t *testing.T) {
 	for _, want := range []admitter.Threshold{
-		admitter.AllIn(),
+		admitter.AdmitAll(),
 		admitter.NewThreshold([3]float64{1, 0.5, 0.25}, [3]tier.Millis{0, 100, 200}),
 	} {
 		b, err := EncodeThreshold(want)
--- a/cicadagraded/owner/registry.go
+++ b/cicadagraded/owner/registry.go
@@ -68,7 +68,7 @@
 	if h, ok := r.owners[set]; ok {
 		return h.owner.Threshold()
 	}
-	return admitter.AllIn()
+	return admitter.AdmitAll()
 }
 
 // Book runs a booking on the owner of its set.
--- a/cicadagraded/owner/report.go
+++ b/cicadagraded/owner/report.go
@@ -56,7 +56,7 @@
 // EncodeThreshold writes a threshold for other VMs; one that lets everything
 // in is empty.
 func EncodeThreshold(t admitter.Threshold) ([]byte, error) {
-	if t.AllIn() {
+	if t.AdmitsAll() {
 		return nil, nil
 	}
 	var w thresholdWire
@@ -71,11 +71,11 @@
 // DecodeThreshold reads a threshold of another VM.
 func DecodeThreshold(b []byte) (admitter.Threshold, error) {
 	if len(b) == 0 {
-		return admitter.AllIn(), nil
+		return admitter.AdmitAll(), nil
 	}
 	var w thresholdWire
 	if err := json.Unmarshal(b, &w); err != nil {
-		return admitter.AllIn(), errors.Wrap(err, "DecodeThreshold")
+		return admitter.AdmitAll(), errors.Wrap(err, "DecodeThreshold")
 	}
 	return admitter.NewThreshold(w.Fractions, w.After), nil
 }
@@ -192,11 +192,11 @@
 func (o *Owner) reportThreshold(now tier.Millis) {
 	t := o.core.Threshold()
 	o.threshold.Store(&t)
-	if t.AllIn() && !o.pressed || now-o.pressedAt < thresholdInterval {
+	if t.AdmitsAll() && !o.pressed || now-o.pressedAt < thresholdInterval {
 		return
 	}
 	o.pressedAt = now
-	o.pressed = !t.AllIn()
+	o.pressed = !t.AdmitsAll()
 	o.outlet.Threshold(o.name, t)
 }
 
--- a/cicadagraded/watcher/duties.go
+++ b/cicadagraded/watcher/duties.go
@@ -5,7 +5,7 @@
 
 	"connectrpc.com/connect"
 
-	"cicadagrade.example/tier/keeper"
+	"cicadagrade.example/tier/replicator"
 	"cicadagrade.example/tier/storer"
 
 	peerv1 "cicadagrade.example/api/peer/v1"
@@ -17,12 +17,12 @@
 		if _, err := w.lists.Pop(ctx); err != nil {
 			return err
 		}
-		values, err := w.store.List(ctx, keeper.Prefix, 0)
+		values, err := w.store.List(ctx, replicator.KeyPrefix, 0)
 		if err != nil {
-			w.step(&keeper.ListFailed{})
+			w.step(&replicator.ListFailed{})
 			continue
 		}
-		w.step(keeper.NewListed(values))
+		w.step(replicator.NewListed(values))
 	}
 }
 
@@ -36,11 +36,11 @@
 		if err != nil {
 			return err
 		}
-		_ = w.store.Watch(order.ctx, keeper.Prefix, order.from, func(v storer.Value) {
-			w.step(keeper.NewChanged(v))
+		_ = w.store.Watch(order.ctx, replicator.KeyPrefix, order.from, func(v storer.Value) {
+			w.step(replicator.NewChanged(v))
 		})
 		if order.ctx.Err() == nil && ctx.Err() == nil {
-			w.step(&keeper.WatchEnded{})
+			w.step(&replicator.WatchEnded{})
 		}
 	}
 }
@@ -54,10 +54,10 @@
 		}
 		updates, err := w.ask(ctx, a)
 		if err != nil {
-			w.step(keeper.NewFetchFailed(a.VM()))
+			w.step(replicator.NewFetchFailed(a.VM()))
 			continue
 		}
-		w.step(keeper.NewFetched(a.VM(), updates))
+		w.step(replicator.NewFetched(a.VM(), updates))
 	}
 }
 
@@ -65,7 +65,7 @@
 
 func (e *unknownPeerError) Error() string { return "no address is known of VM " + e.vm }
 
-func (w *Watcher) ask(ctx context.Context, a *keeper.Fetch) ([]keeper.Update, error) {
+func (w *Watcher) ask(ctx context.Context, a *replicator.Fetch) ([]replicator.Update, error) {
 	peer, ok := w.dial(a.VM())
 	if !ok {
 		return nil, &unknownPeerError{vm: a.VM()}
@@ -83,7 +83,7 @@
 func (w *Watcher) Fetch(_ context.Context, r *connect.Request[peerv1.FetchRequest]) (*connect.Response[peerv1.FetchReply], error) {
 	have := decodeRefs(r.Msg.GetHave())
 	w.lock.Lock()
-	updates := w.keeper.Answer(have, r.Msg.GetAll())
+	updates := w.keeper.UpdatesFor(have, r.Msg.GetAll())
 	w.lock.Unlock()
 	return connect.NewResponse(&peerv1.FetchReply{Updates: encodeUpdates(updates)}), nil
 }
--- a/cicadagraded/watcher/fleet_test.go
+++ b/cicadagraded/watcher/fleet_test.go
@@ -15,9 +15,9 @@
 	"cicadagrade.example/platform"
 	"cicadagrade.example/standin/storeserver"
 	"cicadagrade.example/tier"
-	"cicadagrade.example/tier/auditor"
-	"cicadagrade.example/tier/keeper"
+	"cicadagrade.example/tier/committer"
 	"cicadagrade.example/tier/parser"
+	"cicadagrade.example/tier/replicator"
 	"cicadagrade.example/tier/ring"
 	"cicadagrade.example/tier/storer"
 )
@@ -162,7 +162,7 @@
 			}
 			return v.watcher, true
 		}),
-		watcher.WithKeeper(keeper.WithWatchers(1)))
+		watcher.WithKeeper(replicator.WithWatchers(1)))
 	f.lock.Lock()
 	f.vms[name] = &vm{watcher: w, store: s, cancel: cancel}
 	f.lock.Unlock()
@@ -225,9 +225,9 @@
 	return parser.NewProfilesDocument(p)
 }
 
-func (f *fleet) drive(c *auditor.Change) {
-	r := auditor.Drive(context.Background(), tier.NewClock(), f.store, c)
-	if _, ok := r.(*auditor.Accepted); !ok {
+func (f *fleet) drive(c *committer.Change) {
+	r := committer.Run(context.Background(), tier.NewClock(), f.store, c)
+	if _, ok := r.(*committer.Accepted); !ok {
 		f.t.Fatalf("change ended %T: %+v", r, r)
 	}
 }
@@ -250,7 +250,7 @@
 
 func flagged(w *watcher.Watcher, trouble string) bool {
 	for _, x := range w.Status().Flags() {
-		if strings.EqualFold(string(x.Trouble()), trouble) {
+		if strings.EqualFold(string(x.Kind()), trouble) {
 			return true
 		}
 	}
--- a/cicadagraded/watcher/index.go
+++ b/cicadagraded/watcher/index.go
@@ -8,7 +8,7 @@
 
 	"github.com/pkg/errors"
 
-	"cicadagrade.example/tier/keeper"
+	"cicadagrade.example/tier/replicator"
 )
 
 // IndexKeyPrefix starts the gossip keys of a VM's index.
@@ -22,7 +22,7 @@
 // keys IndexKeyPrefix + "0" and on.
 func (w *Watcher) Index() ([][]byte, error) {
 	w.lock.Lock()
-	refs := w.keeper.Index()
+	refs := w.keeper.RefsToAnnounce()
 	w.lock.Unlock()
 	var out [][]byte
 	for len(refs) > 0 {
@@ -78,22 +78,22 @@
 	if err != nil {
 		return errors.Wrap(err, "Watcher.OnIndex")
 	}
-	w.step(keeper.NewAnnounced(vm, w.merge(vm, key, refs)))
+	w.step(replicator.NewAnnounced(vm, w.merge(vm, key, refs)))
 	return nil
 }
 
 // merge joins the values that a VM published.
-func (w *Watcher) merge(vm, key string, refs []keeper.Ref) []keeper.Ref {
+func (w *Watcher) merge(vm, key string, refs []replicator.Ref) []replicator.Ref {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	if w.heard[vm] == nil {
-		w.heard[vm] = map[string][]keeper.Ref{}
+		w.heard[vm] = map[string][]replicator.Ref{}
 	}
 	w.heard[vm][key] = refs
 	if len(refs) == 0 {
 		delete(w.heard[vm], key)
 	}
-	var all []keeper.Ref
+	var all []replicator.Ref
 	for _, chunk := range w.heard[vm] {
 		all = append(all, chunk...)
 	}
@@ -107,7 +107,7 @@
 // one, and of those elsewhere, each sorted.
 func (w *Watcher) OnMembers(local, remote []string) {
 	if w.keepMembers(local, remote) {
-		w.step(keeper.NewMembers(local, remote))
+		w.step(replicator.NewMembers(local, remote))
 	}
 }
 
--- a/cicadagraded/watcher/index_bench_test.go
+++ b/cicadagraded/watcher/index_bench_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"cicadagrade.example/tier/keeper"
+	"cicadagrade.example/tier/replicator"
 )
 
 // BenchmarkIndexBytes is the size of what a watcher publishes after a change
@@ -12,9 +12,9 @@
 func BenchmarkIndexBytes(b *testing.B) {
 	for _, sets := range []int{4, 24, 120, 360} {
 		b.Run(fmt.Sprintf("sets=%d", sets), func(b *testing.B) {
-			var refs []keeper.Ref
+			var refs []replicator.Ref
 			for i := range sets {
-				refs = append(refs, keeper.NewRef(fmt.Sprintf("cicadagrade/config/sets/portao-%03d", i), 1, uint64(1000+i), "0123456789abcdef"))
+				refs = append(refs, replicator.NewRef(fmt.Sprintf("cicadagrade/config/sets/portao-%03d", i), 1, uint64(1000+i), "0123456789abcdef"))
 			}
 			change, whole := 0, 0
 			for b.Loop() {
--- a/cicadagraded/watcher/spread_test.go
+++ b/cicadagraded/watcher/spread_test.go
@@ -19,7 +19,7 @@
 	"cicadagrade.example/platform"
 	"cicadagrade.example/standin/storeserver"
 	"cicadagrade.example/tier"
-	"cicadagrade.example/tier/auditor"
+	"cicadagrade.example/tier/committer"
 	"cicadagrade.example/tier/gossiper"
 	"cicadagrade.example/tier/ring"
 
@@ -117,8 +117,8 @@
 	nodes := startNodes(ctx, b, group, store, names)
 	change := func(i int) {
 		d := document(b, i+1)
-		r := auditor.Drive(ctx, tier.NewClock(), store, auditor.New(d, fmt.Sprint("change-", i), "op", "", 0))
-		if _, ok := r.(*auditor.Accepted); !ok {
+		r := committer.Run(ctx, tier.NewClock(), store, committer.New(d, fmt.Sprint("change-", i), "op", "", 0))
+		if _, ok := r.(*committer.Accepted); !ok {
 			b.Fatalf("change ended %T", r)
 		}
 	}
--- a/cicadagraded/watcher/view.go
+++ b/cicadagraded/watcher/view.go
@@ -2,19 +2,19 @@
 
 import (
 	"cicadagrade.example/tier"
-	"cicadagrade.example/tier/keeper"
 	"cicadagrade.example/tier/parser"
+	"cicadagrade.example/tier/replicator"
 )
 
 // view is the configuration in force; it is replaced, never changed.
 type view struct {
-	documents []*keeper.State
+	documents []*replicator.State
 	profiles  *parser.ProfilesDocument
 	sets      map[string]*tier.ShardSet
 	ordered   []*tier.ShardSet
 }
 
-func newView(documents []*keeper.State) *view {
+func newView(documents []*replicator.State) *view {
 	v := &view{documents: documents, profiles: parser.NewProfilesDocument(), sets: map[string]*tier.ShardSet{}}
 	for _, s := range documents {
 		switch d := s.Document().(type) {
@@ -65,29 +65,29 @@
 
 // Status is what operators see of the configuration on this VM.
 type Status struct {
-	documents []keeper.Ref
-	flags     []keeper.Flag
+	documents []replicator.Ref
+	flags     []replicator.Alert
 	watcher   bool
-	counts    keeper.Counts
+	counts    replicator.Counts
 }
 
 // Documents names the documents in force, sorted by key.
-func (s Status) Documents() []keeper.Ref { return s.documents }
+func (s Status) Documents() []replicator.Ref { return s.documents }
 
 // Flags lists the troubles that an operator has to look at.
-func (s Status) Flags() []keeper.Flag { return s.flags }
+func (s Status) Flags() []replicator.Alert { return s.flags }
 
 // Watcher reports whether this VM watches the store for its data centre.
 func (s Status) Watcher() bool { return s.watcher }
 
 // Counts counts reads, watches and fetches since the start.
-func (s Status) Counts() keeper.Counts { return s.counts }
+func (s Status) Counts() replicator.Counts { return s.counts }
 
 // Status is the present state.
 func (w *Watcher) Status() Status {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	s := Status{flags: w.keeper.Flags(), watcher: w.keeper.Watcher(), counts: w.keeper.Counts()}
+	s := Status{flags: w.keeper.Alerts(), watcher: w.keeper.Watcher(), counts: w.keeper.Counts()}
 	for _, d := range w.keeper.Documents() {
 		s.documents = append(s.documents, d.Ref())
 	}
--- a/cicadagraded/watcher/warnings.go
+++ b/cicadagraded/watcher/warnings.go
@@ -22,7 +22,7 @@
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	var out []string
-	for _, f := range w.keeper.Flags() {
+	for _, f := range w.keeper.Alerts() {
 		out = append(out, f.String())
 	}
 	return out
--- a/cicadagraded/watcher/watcher.go
+++ b/cicadagraded/watcher/watcher.go
@@ -14,7 +14,7 @@
 
 	"cicadagrade.example/cicadagraded/ticker"
 	"cicadagrade.example/tier"
-	"cicadagrade.example/tier/keeper"
+	"cicadagrade.example/tier/replicator"
 	"cicadagrade.example/tier/ring"
 	"cicadagrade.example/tier/storer"
 
@@ -40,22 +40,22 @@
 	store   storer.Store
 	dial    func(vm string) (Peer, bool)
 	publish func(key string, value []byte) error
-	warn    func(keeper.Flag)
-	options []keeper.Option
+	warn    func(replicator.Alert)
+	options []replicator.Option
 
 	lock     sync.Mutex
-	keeper   *keeper.Keeper
-	heard    map[string]map[string][]keeper.Ref // by VM and gossip key
-	warnings map[string][]string                // by VM
+	keeper   *replicator.Replicator
+	heard    map[string]map[string][]replicator.Ref // by VM and gossip key
+	warnings map[string][]string                    // by VM
 	endWatch context.CancelFunc
 	told     bool // members were told
 	local    []string
 	remote   []string
 
 	view    atomic.Pointer[view]
-	lists   *ring.Ring[*keeper.List]
+	lists   *ring.Ring[*replicator.List]
 	watches *ring.Ring[watchOrder]
-	fetches *ring.Ring[*keeper.Fetch]
+	fetches *ring.Ring[*replicator.Fetch]
 	wake    *ring.Ring[struct{}]
 	changed *ring.Ring[struct{}]
 
@@ -85,10 +85,10 @@
 }
 
 // WithWarnings has warn called for each flag that is raised.
-func WithWarnings(warn func(keeper.Flag)) Option { return func(w *Watcher) { w.warn = warn } }
+func WithWarnings(warn func(replicator.Alert)) Option { return func(w *Watcher) { w.warn = warn } }
 
 // WithKeeper passes options to the keeper.
-func WithKeeper(opts ...keeper.Option) Option {
+func WithKeeper(opts ...replicator.Option) Option {
 	return func(w *Watcher) { w.options = append(w.options, opts...) }
 }
 
@@ -98,12 +98,12 @@
 		name:  self.Name(),
 		clock: clock,
 		store: store,
-		heard: map[string]map[string][]keeper.Ref{},
+		heard: map[string]map[string][]replicator.Ref{},
 
 		warnings: map[string][]string{},
-		lists:    ring.New[*keeper.List](ringSize),
+		lists:    ring.New[*replicator.List](ringSize),
 		watches:  ring.New[watchOrder](ringSize),
-		fetches:  ring.New[*keeper.Fetch](ringSize),
+		fetches:  ring.New[*replicator.Fetch](ringSize),
 		wake:     ring.New[struct{}](1),
 		changed:  ring.New[struct{}](1),
 
@@ -113,8 +113,8 @@
 	for _, o := range opts {
 		o(w)
 	}
-	options := append([]keeper.Option{keeper.WithDataCentre(self.DataCentre())}, w.options...)
-	w.keeper = keeper.New(w.name, options...)
+	options := append([]replicator.Option{replicator.WithDataCentre(self.DataCentre())}, w.options...)
+	w.keeper = replicator.New(w.name, options...)
 	w.view.Store(newView(nil))
 	return w
 }
@@ -123,7 +123,7 @@
 func (w *Watcher) Defaults() {
 	w.dial = func(string) (Peer, bool) { return nil, false }
 	w.publish = func(string, []byte) error { return nil }
-	w.warn = func(keeper.Flag) {}
+	w.warn = func(replicator.Alert) {}
 }
 
 // Run keeps the configuration until ctx ends. It is one duty of a run group.
@@ -143,7 +143,7 @@
 
 // tick steps the keeper whenever it is due.
 func (w *Watcher) tick(ctx context.Context) error {
-	return ticker.Run(ctx, w.wake, func() { w.drive(&keeper.Tick{}) }, w.wait)
+	return ticker.Run(ctx, w.wake, func() { w.drive(&replicator.Tick{}) }, w.wait)
 }
 
 func (w *Watcher) wait() tier.Millis {
@@ -157,13 +157,13 @@
 }
 
 // step drives the keeper and has tick look at its next time again.
-func (w *Watcher) step(e keeper.Event) {
+func (w *Watcher) step(e replicator.Event) {
 	w.drive(e)
 	w.wake.TryPush(struct{}{})
 }
 
 // drive drives the keeper and tells of what came into force and of flags.
-func (w *Watcher) drive(e keeper.Event) {
+func (w *Watcher) drive(e replicator.Event) {
 	took, flags := w.driveLocked(e)
 	if took {
 		w.changed.TryPush(struct{}{})
@@ -175,23 +175,23 @@
 }
 
 // driveLocked passes the keeper's actions to the duties.
-func (w *Watcher) driveLocked(e keeper.Event) (took bool, flags []keeper.Flag) {
+func (w *Watcher) driveLocked(e replicator.Event) (took bool, flags []replicator.Alert) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	for _, a := range w.keeper.Step(w.clock.Now(), e) {
 		switch a := a.(type) {
-		case *keeper.List:
+		case *replicator.List:
 			w.lists.TryPush(a)
-		case *keeper.Watch:
+		case *replicator.Watch:
 			w.watches.TryPush(w.newWatch(a.From()))
-		case *keeper.EndWatch:
+		case *replicator.EndWatch:
 			w.endWatch()
-		case *keeper.Fetch:
+		case *replicator.Fetch:
 			w.fetches.TryPush(a)
-		case *keeper.Took:
+		case *replicator.Adopted:
 			took = true
-		case *keeper.Warned:
-			flags = append(flags, a.Flag())
+		case *replicator.AlertRaised:
+			flags = append(flags, a.Alert())
 		}
 	}
 	if took {
--- a/cicadagraded/watcher/watcher_test.go
+++ b/cicadagraded/watcher/watcher_test.go
@@ -10,8 +10,8 @@
 
 	"cicadagrade.example/cicadagraded/watcher"
 	"cicadagrade.example/standin/storeserver"
-	"cicadagrade.example/tier/auditor"
-	"cicadagrade.example/tier/keeper"
+	"cicadagrade.example/tier/committer"
+	"cicadagrade.example/tier/replicator"
 )
 
 // TestScripts runs each script of changes, faults and cuts.
@@ -51,7 +51,7 @@
 		f.meet()
 	case "apply":
 		n, _ := strconv.Atoi(w[1])
-		f.drive(auditor.New(document(f.t, n), "change-"+w[1], "op", "", 0))
+		f.drive(committer.New(document(f.t, n), "change-"+w[1], "op", "", 0))
 	case "reconcile":
 		f.reconcile(w[1])
 	case "store":
@@ -142,14 +142,14 @@
 
 // reconcile writes what a VM serves back to the store.
 func (f *fleet) reconcile(name string) {
-	key := keeper.KeyOf(document(f.t, 1))
+	key := replicator.KeyOf(document(f.t, 1))
 	b, ok := f.reachableAll()[name].watcher.Document(key)
 	if !ok {
 		f.t.Fatal("no document on " + name)
 	}
-	s, err := keeper.Decode(key, b)
+	s, err := replicator.Decode(key, b)
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	f.drive(auditor.NewReconciliation(s, "reconcile", "op", "", 0))
+	f.drive(committer.NewReconciliation(s, "reconcile", "op", "", 0))
 }
--- a/cicadagraded/watcher/wire.go
+++ b/cicadagraded/watcher/wire.go
@@ -5,13 +5,13 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"cicadagrade.example/tier/keeper"
+	"cicadagrade.example/tier/replicator"
 
 	peerv1 "cicadagrade.example/api/peer/v1"
 )
 
 // encodeRefs writes keys without their common prefix.
-func encodeRefs(refs []keeper.Ref) []*peerv1.DocumentRef {
+func encodeRefs(refs []replicator.Ref) []*peerv1.DocumentRef {
 	out := make([]*peerv1.DocumentRef, 0, len(refs))
 	for _, r := range refs {
 		out = append(out, encodeRef(r))
@@ -19,28 +19,28 @@
 	return out
 }
 
-func encodeRef(r keeper.Ref) *peerv1.DocumentRef {
+func encodeRef(r replicator.Ref) *peerv1.DocumentRef {
 	return &peerv1.DocumentRef{
-		Key:      strings.TrimPrefix(r.Key(), keeper.Prefix),
+		Key:      strings.TrimPrefix(r.Key(), replicator.KeyPrefix),
 		Epoch:    r.Epoch(),
 		Revision: r.Revision(),
 		Digest:   r.Digest(),
 	}
 }
 
-func decodeRefs(refs []*peerv1.DocumentRef) []keeper.Ref {
-	out := make([]keeper.Ref, 0, len(refs))
+func decodeRefs(refs []*peerv1.DocumentRef) []replicator.Ref {
+	out := make([]replicator.Ref, 0, len(refs))
 	for _, r := range refs {
 		out = append(out, decodeRef(r))
 	}
 	return out
 }
 
-func decodeRef(r *peerv1.DocumentRef) keeper.Ref {
-	return keeper.NewRef(keeper.Prefix+r.GetKey(), r.GetEpoch(), r.GetRevision(), r.GetDigest())
+func decodeRef(r *peerv1.DocumentRef) replicator.Ref {
+	return replicator.NewRef(replicator.KeyPrefix+r.GetKey(), r.GetEpoch(), r.GetRevision(), r.GetDigest())
 }
 
-func encodeUpdates(updates []keeper.Update) []*peerv1.DocumentUpdate {
+func encodeUpdates(updates []replicator.Update) []*peerv1.DocumentUpdate {
 	out := make([]*peerv1.DocumentUpdate, 0, len(updates))
 	for _, u := range updates {
 		out = append(out, &peerv1.DocumentUpdate{
@@ -53,24 +53,24 @@
 	return out
 }
 
-func decodeUpdates(updates []*peerv1.DocumentUpdate) []keeper.Update {
-	out := make([]keeper.Update, 0, len(updates))
+func decodeUpdates(updates []*peerv1.DocumentUpdate) []replicator.Update {
+	out := make([]replicator.Update, 0, len(updates))
 	for _, u := range updates {
 		var delta []byte
 		if len(u.GetDelta()) > 0 {
 			delta = u.GetDelta()
 		}
-		out = append(out, keeper.NewUpdate(decodeRef(u.GetRef()), u.GetWhole(), delta, u.GetBaseRevision()))
+		out = append(out, replicator.NewUpdate(decodeRef(u.GetRef()), u.GetWhole(), delta, u.GetBaseRevision()))
 	}
 	return out
 }
 
 // encodeIndex writes refs as one value of the gossip.
-func encodeIndex(refs []keeper.Ref) ([]byte, error) {
+func encodeIndex(refs []replicator.Ref) ([]byte, error) {
 	return proto.MarshalOptions{Deterministic: true}.Marshal(&peerv1.FetchRequest{Have: encodeRefs(refs)})
 }
 
-func decodeIndex(value []byte) ([]keeper.Ref, error) {
+func decodeIndex(value []byte) ([]replicator.Ref, error) {
 	var m peerv1.FetchRequest
 	if err := proto.Unmarshal(value, &m); err != nil {
 		return nil, err
--- a/standin/storeserver/store_test.go
+++ b/standin/storeserver/store_test.go
@@ -93,7 +93,7 @@
 		if len(w) > 4 {
 			lease = s.number(w[4])
 		}
-		r, err := s.store.Swap(ctx, w[1], []byte(w[2]), s.number(w[3]), storer.LeaseID(lease))
+		r, err := s.store.CompareAndSwap(ctx, w[1], []byte(w[2]), s.number(w[3]), storer.LeaseID(lease))
 		return outcome(fmt.Sprintf("revision %d", r), err)
 	case "delete":
 		return outcome("deleted", s.store.Delete(ctx, w[1], s.number(w[2])))
@@ -169,7 +169,7 @@
 // outcome names the kind of an error, without its changing parts.
 func outcome(good string, err error) string {
 	var conflict *storer.ConflictError
-	var unsure *storer.UnsureError
+	var unsure *storer.IndeterminateError
 	var unavailable *storer.UnavailableError
 	switch {
 	case err == nil:
@@ -189,7 +189,7 @@
 func TestRefusedConnection(t *testing.T) {
 	h := httptest.NewServer(nil)
 	h.Close()
-	_, err := platform.NewStore(h.URL).Swap(context.Background(), "a", nil, 0, 0)
+	_, err := platform.NewStore(h.URL).CompareAndSwap(context.Background(), "a", nil, 0, 0)
 	if got := outcome("done", err); got != "unavailable for swap" {
 		t.Error(got)
 	}
@@ -201,7 +201,7 @@
 	h := httptest.NewServer(server)
 	defer h.Close()
 	server.SetFaults(storeserver.Faults{Delay: 2 * tier.Second})
-	_, err := platform.NewStore(h.URL, platform.WithTimeout(20)).Swap(context.Background(), "a", nil, 0, 0)
+	_, err := platform.NewStore(h.URL, platform.WithTimeout(20)).CompareAndSwap(context.Background(), "a", nil, 0, 0)
 	if got := outcome("done", err); got != "unsure of swap" {
 		t.Error(got)
 	}
--- a/tier/admitter/admitter.go
+++ b/tier/admitter/admitter.go
@@ -8,7 +8,7 @@
 // Ages of a threshold, counted from when it was heard.
 const (
 	FreshFor = 1 * tier.Second // applied as published
-	StaleAt  = 5 * tier.Second // no longer applied
+	MaxAge   = 5 * tier.Second // no longer applied
 )
 
 // Threshold is what an owner publishes of its load.
@@ -30,8 +30,8 @@
 // RetryAfter is when a refused request of a rank may come again.
 func (t Threshold) RetryAfter(r tier.Rank) tier.Millis { return t.retryAfter[r] }
 
-// AllIn reports whether every request is let through.
-func (t Threshold) AllIn() bool {
+// AdmitsAll reports whether every request is let through.
+func (t Threshold) AdmitsAll() bool {
 	for _, f := range t.fractions {
 		if f < 1 {
 			return false
@@ -40,8 +40,8 @@
 	return true
 }
 
-// AllIn returns the threshold that lets every request through.
-func AllIn() Threshold {
+// AdmitAll returns the threshold that lets every request through.
+func AdmitAll() Threshold {
 	var t Threshold
 	for r := range t.fractions {
 		t.fractions[r] = 1
@@ -49,28 +49,28 @@
 	return t
 }
 
-// Published is a threshold with the time at which the front heard it.
-type Published struct {
+// ReceivedThreshold is a threshold with the time at which the front heard it.
+type ReceivedThreshold struct {
 	threshold Threshold
 	heard     tier.Millis
 }
 
-// NewPublished returns a threshold heard at a time of the front's clock.
-func NewPublished(t Threshold, heard tier.Millis) Published {
-	return Published{threshold: t, heard: heard}
+// NewReceivedThreshold returns a threshold heard at a time of the front's clock.
+func NewReceivedThreshold(t Threshold, heard tier.Millis) ReceivedThreshold {
+	return ReceivedThreshold{threshold: t, heard: heard}
 }
 
 // fraction is the published fraction, eased towards 1 as it grows stale.
-func (p Published) fraction(now tier.Millis, r tier.Rank) float64 {
+func (p ReceivedThreshold) fraction(now tier.Millis, r tier.Rank) float64 {
 	f := p.threshold.fractions[r]
 	age := now - p.heard
 	if age <= FreshFor {
 		return f
 	}
-	if age >= StaleAt {
+	if age >= MaxAge {
 		return 1
 	}
-	return f + (1-f)*float64(age-FreshFor)/float64(StaleAt-FreshFor)
+	return f + (1-f)*float64(age-FreshFor)/float64(MaxAge-FreshFor)
 }
 
 // Admitter spreads the admitted requests of one shard set evenly.
@@ -90,7 +90,7 @@
 // Admit decides on a request that needs all the owners whose thresholds are
 // given: the strictest counts. It returns true, or false and when to retry,
 // spread over half as long again.
-func (a *Admitter) Admit(now tier.Millis, r tier.Rank, owners ...Published) (tier.Millis, bool) {
+func (a *Admitter) Admit(now tier.Millis, r tier.Rank, owners ...ReceivedThreshold) (tier.Millis, bool) {
 	fraction, after := 1.0, tier.Millis(0)
 	for _, p := range owners {
 		if f := p.fraction(now, r); f < fraction {
--- a/tier/admitter/admitter_test.go
+++ b/tier/admitter/admitter_test.go
@@ -6,7 +6,7 @@
 	"cicadagrade.example/tier"
 )
 
-func admitted(now tier.Millis, r tier.Rank, owners ...Published) int {
+func admitted(now tier.Millis, r tier.Rank, owners ...ReceivedThreshold) int {
 	a := New()
 	n := 0
 	for range 1000 {
@@ -18,8 +18,8 @@
 }
 
 func TestStrictestThresholdCounts(t *testing.T) {
-	easy := NewPublished(NewThreshold([...]float64{1, 1, 0.9}, [...]tier.Millis{0, 0, 10}), 0)
-	hard := NewPublished(NewThreshold([...]float64{1, 0.5, 0.1}, [...]tier.Millis{0, 20, 300}), 0)
+	easy := NewReceivedThreshold(NewThreshold([...]float64{1, 1, 0.9}, [...]tier.Millis{0, 0, 10}), 0)
+	hard := NewReceivedThreshold(NewThreshold([...]float64{1, 0.5, 0.1}, [...]tier.Millis{0, 20, 300}), 0)
 	for r, want := range []int{1000, 500, 100} {
 		if got := admitted(0, tier.Rank(r), easy, hard); got < want-1 || got > want+1 {
 			t.Errorf("rank %s: %d of 1000 admitted, expected %d", tier.Rank(r), got, want)
@@ -33,8 +33,8 @@
 }
 
 func TestStaleThresholdIsEased(t *testing.T) {
-	p := NewPublished(NewThreshold([...]float64{1, 1, 0.2}, [3]tier.Millis{}), 0)
-	for now, want := range map[tier.Millis]int{FreshFor: 200, (FreshFor + StaleAt) / 2: 600, StaleAt: 1000} {
+	p := NewReceivedThreshold(NewThreshold([...]float64{1, 1, 0.2}, [3]tier.Millis{}), 0)
+	for now, want := range map[tier.Millis]int{FreshFor: 200, (FreshFor + MaxAge) / 2: 600, MaxAge: 1000} {
 		if got := admitted(now, tier.Reports, p); got < want-1 || got > want+1 {
 			t.Errorf("at %d: %d of 1000 admitted, expected %d", now, got, want)
 		}
--- a/tier/balancer/balancer.go
+++ b/tier/balancer/balancer.go
@@ -68,11 +68,11 @@
 	crowdedFor = 600 * tier.Millisecond
 )
 
-// Room reports whether another call may be sent to a leaf. owner says that this
+// HasCapacity reports whether another call may be sent to a leaf. owner says that this
 // VM usually asks the leaf's service.
-func (b *Balancer) Room(now tier.Millis, f lister.Leaf, owner bool) bool {
+func (b *Balancer) HasCapacity(now tier.Millis, f lister.Leaf, owner bool) bool {
 	s, ok := b.leafs[f.ID()]
-	if !ok || s.life != f.Life() {
+	if !ok || s.life != f.StartTime() {
 		return true
 	}
 	limit := f.Slots()
@@ -85,12 +85,12 @@
 	return s.inflight < limit
 }
 
-// Place says how far a data centre is.
-type Place int
+// Distance says how far a data centre is.
+type Distance int
 
 // The distances, nearest first.
 const (
-	SameDataCentre Place = iota
+	SameDataCentre Distance = iota
 	SameRegion
 	OtherRegion
 )
@@ -119,42 +119,42 @@
 // Balancer keeps what this VM has seen of leafs. It is not safe for
 // concurrent use.
 type Balancer struct {
-	distance func(dataCentre string) Place
+	distance func(dataCentre string) Distance
 	leafs    map[string]*state
 	base     map[baseKey]float64
 }
 
 // New returns a balancer that asks distance how far a data centre is.
-func New(distance func(dataCentre string) Place) *Balancer {
+func New(distance func(dataCentre string) Distance) *Balancer {
 	return &Balancer{distance: distance, leafs: map[string]*state{}, base: map[baseKey]float64{}}
 }
 
 func (b *Balancer) state(f lister.Leaf) *state {
 	s, ok := b.leafs[f.ID()]
-	if !ok || s.life != f.Life() {
-		s = &state{life: f.Life(), refused: longAgo, crowded: longAgo}
+	if !ok || s.life != f.StartTime() {
+		s = &state{life: f.StartTime(), refused: longAgo, crowded: longAgo}
 		b.leafs[f.ID()] = s
 	}
 	return s
 }
 
-// Heard takes a leaf's registration, for how long it is cold.
-func (b *Balancer) Heard(now tier.Millis, f lister.Leaf) {
+// Registered takes a leaf's registration, for how long it is cold.
+func (b *Balancer) Registered(now tier.Millis, f lister.Leaf) {
 	s := b.state(f)
 	s.wrongTil = 0
-	if f.Cold() > 0 {
-		s.coldTill = now + f.Cold()
+	if f.ColdRemaining() > 0 {
+		s.coldTill = now + f.ColdRemaining()
 	}
 }
 
 // Forget drops what was seen of a leaf that is gone.
 func (b *Balancer) Forget(id string) { delete(b.leafs, id) }
 
-// Near reports whether a leaf is in this VM's region.
-func (b *Balancer) Near(f lister.Leaf) bool { return b.distance(f.DataCentre()) != OtherRegion }
+// InRegion reports whether a leaf is in this VM's region.
+func (b *Balancer) InRegion(f lister.Leaf) bool { return b.distance(f.DataCentre()) != OtherRegion }
 
-// Usual is the latency of a sound leaf where f lies, in milliseconds.
-func (b *Balancer) Usual(class string, f lister.Leaf) float64 { return b.usual(class, f) }
+// BaseLatency is the latency of a sound leaf where f lies, in milliseconds.
+func (b *Balancer) BaseLatency(class string, f lister.Leaf) float64 { return b.usual(class, f) }
 
 // usual is the latency to expect of a sound leaf for a class of requests.
 func (b *Balancer) usual(class string, f lister.Leaf) float64 {
@@ -167,12 +167,12 @@
 	return priorNear
 }
 
-// Expected is the latency to expect of a call to the leaf now, in
+// ExpectedCost is the latency to expect of a call to the leaf now, in
 // milliseconds, with what its failures cost.
-func (b *Balancer) Expected(now tier.Millis, class string, f lister.Leaf) float64 {
+func (b *Balancer) ExpectedCost(now tier.Millis, class string, f lister.Leaf) float64 {
 	usual := b.usual(class, f)
 	s, ok := b.leafs[f.ID()]
-	if !ok || s.life != f.Life() {
+	if !ok || s.life != f.StartTime() {
 		return usual
 	}
 	cost := usual + decayed(s.excess, now-s.excessAt, excessHalfLife)
@@ -199,13 +199,13 @@
 func (b *Balancer) Pick(now tier.Millis, class string, list []lister.Leaf, usable func(lister.Leaf) bool) (lister.Leaf, float64, bool) {
 	best, least, found := lister.Leaf{}, 0.0, false
 	for _, f := range list {
-		if s, ok := b.leafs[f.ID()]; ok && s.life == f.Life() && now < s.wrongTil {
+		if s, ok := b.leafs[f.ID()]; ok && s.life == f.StartTime() && now < s.wrongTil {
 			continue
 		}
 		if usable != nil && !usable(f) {
 			continue
 		}
-		if cost := b.Expected(now, class, f); !found || cost < least {
+		if cost := b.ExpectedCost(now, class, f); !found || cost < least {
 			best, least, found = f, cost, true
 		}
 	}
@@ -249,8 +249,8 @@
 	s.failure, s.failedAt = 1, now
 }
 
-// Crowded counts a call whose new connection the leaf reset.
-func (b *Balancer) Crowded(now tier.Millis, f lister.Leaf) {
+// ConnectionReset counts a call whose new connection the leaf reset.
+func (b *Balancer) ConnectionReset(now tier.Millis, f lister.Leaf) {
 	s := b.ended(now, f)
 	s.crowded, s.refused = now, now
 }
--- a/tier/balancer/load_test.go
+++ b/tier/balancer/load_test.go
@@ -22,14 +22,14 @@
 )
 
 func newWorld() *world {
-	w := &world{b: New(func(dataCentre string) Place {
+	w := &world{b: New(func(dataCentre string) Distance {
 		if dataCentre == "near" {
 			return SameDataCentre
 		}
 		return OtherRegion
 	})}
 	for _, name := range []string{"near", "far"} {
-		w.leafs = append(w.leafs, lister.NewLeaf(name, "s", name+":1", lister.In(name), lister.WithSlots(2)))
+		w.leafs = append(w.leafs, lister.NewLeaf(name, "s", name+":1", lister.InDataCentre(name), lister.WithSlots(2)))
 	}
 	return w
 }
@@ -127,7 +127,7 @@
 	if f, _, _ := w.b.Pick(10, "class", w.leafs, nil); f.ID() != "far" {
 		t.Errorf("the call went to %s", f.ID())
 	}
-	reborn := lister.NewLeaf("near", "s", "near:1", lister.In("near"), lister.Born(7))
+	reborn := lister.NewLeaf("near", "s", "near:1", lister.InDataCentre("near"), lister.StartedAt(7))
 	if f, _, _ := w.b.Pick(20, "class", []lister.Leaf{reborn, w.leafs[1]}, nil); f.ID() != "near" {
 		t.Errorf("a new life of the leaf is passed over for %s", f.ID())
 	}
@@ -137,7 +137,7 @@
 	w := newWorld()
 	f := w.leafs[0]
 	sent := 0
-	for w.b.Room(0, f, true) {
+	for w.b.HasCapacity(0, f, true) {
 		w.b.Sent(0, f)
 		sent++
 	}
@@ -145,13 +145,13 @@
 		t.Errorf("%d calls of an owner, the leaf has %d slots", sent, f.Slots())
 	}
 	for range sent {
-		w.b.Crowded(0, f)
+		w.b.ConnectionReset(0, f)
 	}
 	w.b.Sent(0, f)
-	if w.b.Room(1, f, true) {
+	if w.b.HasCapacity(1, f, true) {
 		t.Error("a second call at a leaf that resets connections")
 	}
-	if !w.b.Room(crowdedFor, f, true) {
+	if !w.b.HasCapacity(crowdedFor, f, true) {
 		t.Error("no room though the crowd has passed")
 	}
 }
--- a/tier/budgeter/budgeter.go
+++ b/tier/budgeter/budgeter.go
@@ -50,8 +50,8 @@
 // Configure changes the bounds.
 func (b *Budgeter) Configure(ratio, slack float64) { b.ratio, b.slack = ratio, slack }
 
-// SetMembers tells among how many VMs the slack is divided.
-func (b *Budgeter) SetMembers(n int) { b.members = max(n, 1) }
+// SetVMs tells among how many VMs the slack is divided.
+func (b *Budgeter) SetVMs(n int) { b.members = max(n, 1) }
 
 // most is the most that a bucket saves up: a window sees at most this and the
 // ratio of its requests.
@@ -77,9 +77,9 @@
 	return u
 }
 
-// First counts the first call of a request to a service. owners is the number
+// CountRequest counts the first call of a request to a service. owners is the number
 // of VMs that usually ask it, or 0 if this VM is none of them.
-func (b *Budgeter) First(service string, owners int) {
+func (b *Budgeter) CountRequest(service string, owners int) {
 	u := b.bucket(service)
 	u.owners = owners
 	u.tokens = min(b.most(u), u.tokens+b.ratio*ratioShare)
@@ -97,10 +97,10 @@
 	return true
 }
 
-// Forget drops the buckets of services that have not been used for long, looked
+// ForgetUnused drops the buckets of services that have not been used for long, looked
 // at with each new configuration. One that comes back soon keeps what it has left:
 // a new bucket for each change would add up to more than the bound.
-func (b *Budgeter) Forget(now tier.Millis, used func(service string) bool) {
+func (b *Budgeter) ForgetUnused(now tier.Millis, used func(service string) bool) {
 	for service, u := range b.buckets {
 		switch {
 		case used(service):
@@ -116,8 +116,8 @@
 // Denied is how many extra calls were not granted.
 func (b *Budgeter) Denied() int64 { return b.denied }
 
-// Least is how many extra calls the service has left that has the fewest.
-func (b *Budgeter) Least() float64 {
+// FewestTokens is how many extra calls the service has left that has the fewest.
+func (b *Budgeter) FewestTokens() float64 {
 	if len(b.buckets) == 0 {
 		return 0
 	}
@@ -128,5 +128,5 @@
 	return least
 }
 
-// Left is how many extra calls a service has left.
-func (b *Budgeter) Left(service string) float64 { return b.bucket(service).tokens }
+// Tokens is how many extra calls a service has left.
+func (b *Budgeter) Tokens(service string) float64 { return b.bucket(service).tokens }
--- a/tier/budgeter/budgeter_test.go
+++ b/tier/budgeter/budgeter_test.go
@@ -27,7 +27,7 @@
 				owners[n/300%2] = draw.IntN(vms) // its VM died
 			}
 			b := list[owners[n%2]]
-			b.First("s", 2)
+			b.CountRequest("s", 2)
 			for b.Take("s") {
 				extra++
 			}
@@ -44,7 +44,7 @@
 
 func TestNoBudgetNoExtraCall(t *testing.T) {
 	b := New(0, 0, 1)
-	b.First("s", 1)
+	b.CountRequest("s", 1)
 	if b.Take("s") {
 		t.Error("an extra call without any budget")
 	}
@@ -53,7 +53,7 @@
 func TestAnOwnerMayHedgeThroughAPause(t *testing.T) {
 	b := New(0.2, 54, 10)
 	for range 200 {
-		b.First("s", 2)
+		b.CountRequest("s", 2)
 	}
 	taken := 0
 	for b.Take("s") {
@@ -72,12 +72,12 @@
 	for b.Take("s") {
 	}
 	for now := tier.Millis(0); now < keepFor; now += tier.Second {
-		b.Forget(now, none)
+		b.ForgetUnused(now, none)
 		if b.Take("s") {
 			t.Fatalf("after %d ms a service that was away got new extra calls", now)
 		}
 	}
-	b.Forget(keepFor+1, none)
+	b.ForgetUnused(keepFor+1, none)
 	if n := len(b.buckets); n > 0 {
 		t.Errorf("%d buckets are kept", n)
 	}
--- a/tier/claimer/booking.go
+++ b/tier/claimer/booking.go
@@ -41,10 +41,10 @@
 	booking  *booking
 }
 
-// NotRun words the refusal of a sending that is known not to run. Unless the
+// NotRunOutcome words the refusal of a sending that is known not to run. Unless the
 // caller vouches that it is the key's first one, an earlier sending may have
 // run.
-func NotRun(first bool, reason tier.RefuseReason) tier.Outcome {
+func NotRunOutcome(first bool, reason tier.RefuseReason) tier.Outcome {
 	r := tier.NewRefused(reason, 0)
 	if reason == tier.RefuseNoStore {
 		r = tier.NewRefused(reason, StoreRetryAfter)
@@ -67,19 +67,19 @@
 		c.finishError(w, invalidKey(e.key.text, datedAllowed))
 		return
 	case e.key.tooOld(e.wall):
-		c.finish(w, NotRun(w.first, tier.RefuseKeyExpired))
+		c.finish(w, NotRunOutcome(w.first, tier.RefuseKeyExpired))
 		return
 	case c.fenced:
-		c.finish(w, NotRun(w.first, tier.RefuseLeaving))
+		c.finish(w, NotRunOutcome(w.first, tier.RefuseLeaving))
 		return
 	case now >= e.deadline:
-		c.finish(w, NotRun(w.first, tier.RefuseDeadline))
+		c.finish(w, NotRunOutcome(w.first, tier.RefuseDeadline))
 		return
 	}
 	g := c.pageOf(e)
 	b, ok := g.bookings[e.key.text]
 	if !ok && g.out(now) && now < g.retryAt {
-		c.finish(w, NotRun(w.first, tier.RefuseNoStore))
+		c.finish(w, NotRunOutcome(w.first, tier.RefuseNoStore))
 		return
 	}
 	if !ok {
@@ -196,7 +196,7 @@
 	b.waiters = nil
 	c.end(b, nil)
 	for _, w := range waiters {
-		c.finish(w, NotRun(w.first, reason))
+		c.finish(w, NotRunOutcome(w.first, reason))
 	}
 }
 
--- a/tier/claimer/calls.go
+++ b/tier/claimer/calls.go
@@ -187,7 +187,7 @@
 
 // delay holds a page back after a failure, longer each time.
 func (c *Claimer) delay(now tier.Millis, g *page) {
-	g.backoff = min(MaxBackoff, max(DefaultBackoff, 2*g.backoff))
+	g.backoff = min(MaxBackoff, max(InitialBackoff, 2*g.backoff))
 	g.retryAt = now + g.backoff/2 + tier.Millis(c.random.Int64N(int64(g.backoff/2)+1))
 }
 
--- a/tier/claimer/claimer.go
+++ b/tier/claimer/claimer.go
@@ -19,14 +19,14 @@
 
 // Defaults of a claimer's options.
 const (
-	DefaultPages       = 8
-	DefaultRecordDelay = 20 * tier.Millis(1)
-	DefaultBackoff     = 10 * tier.Millis(1)
-	MaxBackoff         = 500 * tier.Millis(1)
-	StoreRetryAfter    = 1 * tier.Second // told to callers while the store is down
-	outageAfter        = 300 * tier.Millis(1)
-	DefaultMemory      = 65536
-	maxIdlePages       = 256
+	DefaultPages         = 8
+	DefaultRecordDelay   = 20 * tier.Millis(1)
+	InitialBackoff       = 10 * tier.Millis(1)
+	MaxBackoff           = 500 * tier.Millis(1)
+	StoreRetryAfter      = 1 * tier.Second // told to callers while the store is down
+	outageAfter          = 300 * tier.Millis(1)
+	DefaultMaxMintedKeys = 65536
+	maxIdlePages         = 256
 	// Counters start at random, so that two lives that take the same
 	// incarnation by mistake still share no claim.
 	maxFirstCounter = 1 << 52
@@ -71,8 +71,8 @@
 // recorded.
 func WithRecordDelay(m tier.Millis) Option { return func(c *Claimer) { c.recordDelay = m } }
 
-// WithMemory sets how many minted keys are remembered.
-func WithMemory(n int) Option { return func(c *Claimer) { c.memory = n } }
+// WithMaxMintedKeys sets how many minted keys are remembered.
+func WithMaxMintedKeys(n int) Option { return func(c *Claimer) { c.memory = n } }
 
 // WithLive sets which other VMs are believed to live. Without it, all are.
 func WithLive(f LiveFunc) Option { return func(c *Claimer) { c.live = f } }
@@ -108,7 +108,7 @@
 func (c *Claimer) Defaults() {
 	c.pageCount = DefaultPages
 	c.recordDelay = DefaultRecordDelay
-	c.memory = DefaultMemory
+	c.memory = DefaultMaxMintedKeys
 	c.live = func(string, tier.Incarnation) bool { return true }
 	c.random = rand.New(rand.NewPCG(uint64(c.incarnation), 0))
 }
--- a/tier/claimer/claimer_test.go
+++ b/tier/claimer/claimer_test.go
@@ -48,7 +48,7 @@
 	v.step(v.life, claimer.NewSubmit(1, k, "portao", "one", false, minute, wall))
 	acts := v.claimer.Step(w.now, claimer.NewSubmit(2, k, "portao", "two", false, minute, wall))
 	var reused *claimer.KeyReusedError
-	if len(acts) != 1 || !errors.As(acts[0].(*claimer.Finish).Err(), &reused) || reused.First() != "one" {
+	if len(acts) != 1 || !errors.As(acts[0].(*claimer.Finish).Err(), &reused) || reused.FirstFingerprint() != "one" {
 		t.Errorf("got %+v", acts)
 	}
 }
--- a/tier/claimer/errors.go
+++ b/tier/claimer/errors.go
@@ -13,11 +13,11 @@
 // Key is the idempotency key.
 func (e *KeyReusedError) Key() string { return e.key }
 
-// First is the fingerprint of the request that the key stands for.
-func (e *KeyReusedError) First() string { return e.first }
+// FirstFingerprint is the fingerprint of the request that the key stands for.
+func (e *KeyReusedError) FirstFingerprint() string { return e.first }
 
-// Now is the fingerprint of the request that was sent now.
-func (e *KeyReusedError) Now() string { return e.now }
+// CurrentFingerprint is the fingerprint of the request that was sent now.
+func (e *KeyReusedError) CurrentFingerprint() string { return e.now }
 
 // Error names the key.
 func (e *KeyReusedError) Error() string {
--- a/tier/claimer/events.go
+++ b/tier/claimer/events.go
@@ -161,11 +161,11 @@
 // Expect is the expected revision; 0 says absent.
 func (w *Write) Expect() int64 { return w.expect }
 
-// Drop deletes a page that has expired, if it exists. No event answers it.
-type Drop struct{ key string }
+// DeletePage deletes a page that has expired, if it exists. No event answers it.
+type DeletePage struct{ key string }
 
 // Key is the store's key.
-func (d *Drop) Key() string { return d.key }
+func (d *DeletePage) Key() string { return d.key }
 
 // Run sends a booking on its way, once, until its deadline. Ran ends it.
 type Run struct {
@@ -174,8 +174,8 @@
 	deadline tier.Millis
 }
 
-// Ticket names the booking.
-func (r *Run) Ticket() uint64 { return r.ticket }
+// SubmissionID names the booking.
+func (r *Run) SubmissionID() uint64 { return r.ticket }
 
 // Key is its idempotency key.
 func (r *Run) Key() Key { return r.key }
@@ -190,8 +190,8 @@
 	err     error
 }
 
-// Ticket names the booking.
-func (f *Finish) Ticket() uint64 { return f.ticket }
+// SubmissionID names the booking.
+func (f *Finish) SubmissionID() uint64 { return f.ticket }
 
 // Outcome is the end.
 func (f *Finish) Outcome() tier.Outcome { return f.outcome }
@@ -199,8 +199,8 @@
 // Err is a *KeyReusedError or *tier.InvalidError, or nil.
 func (f *Finish) Err() error { return f.err }
 
-func (*Read) action()   {}
-func (*Write) action()  {}
-func (*Drop) action()   {}
-func (*Run) action()    {}
-func (*Finish) action() {}
+func (*Read) action()       {}
+func (*Write) action()      {}
+func (*DeletePage) action() {}
+func (*Run) action()        {}
+func (*Finish) action()     {}
--- a/tier/claimer/pager.go
+++ b/tier/claimer/pager.go
@@ -55,7 +55,7 @@
 	if !ok {
 		g = &page{key: key, entries: map[string]entry{}, bookings: map[string]*booking{}}
 		c.pages[key] = g
-		c.do(&Drop{key: e.key.expiredPageKey(e.set, c.pageCount)})
+		c.do(&DeletePage{key: e.key.expiredPageKey(e.set, c.pageCount)})
 	}
 	return g
 }
--- a/tier/claimer/world_test.go
+++ b/tier/claimer/world_test.go
@@ -165,14 +165,14 @@
 		w.after(w.delay(), func() { w.read(a, func(e claimer.Event) { v.reply(life, e) }) })
 	case *claimer.Write:
 		w.after(w.delay(), func() { w.write(a, func(e claimer.Event) { v.reply(life, e) }) })
-	case *claimer.Drop:
+	case *claimer.DeletePage:
 		w.dropped = append(w.dropped, a.Key())
 	case *claimer.Run:
 		w.after(w.upTo(3), func() { v.send(life, a) })
 	case *claimer.Finish:
-		s := v.open[a.Ticket()]
+		s := v.open[a.SubmissionID()]
 		s.ended, s.outcome = w.now, a.Outcome()
-		delete(v.open, a.Ticket())
+		delete(v.open, a.SubmissionID())
 	}
 }
 
@@ -190,14 +190,14 @@
 		return
 	}
 	if v.w.now >= a.Deadline() {
-		v.step(life, claimer.NewRan(a.Ticket(), tier.NewRefused(tier.RefuseDeadline, 0)))
+		v.step(life, claimer.NewRan(a.SubmissionID(), tier.NewRefused(tier.RefuseDeadline, 0)))
 		return
 	}
 	o := v.w.book(a.Key().String())
 	if v.w.hedged {
 		o = v.w.book(a.Key().String())
 	}
-	v.w.after(v.w.upTo(30), func() { v.step(life, claimer.NewRan(a.Ticket(), o)) })
+	v.w.after(v.w.upTo(30), func() { v.step(life, claimer.NewRan(a.SubmissionID(), o)) })
 }
 
 // book is the backend server: it runs whatever comes.
--- a/tier/auditor/auditor.go
+++ b/tier/committer/auditor.go
@@ -1,24 +1,24 @@
-// Package auditor carries out one change of a configuration document in the
+// Package committer carries out one change of a configuration document in the
 // store, together with its audit entry: a state machine that reads, archives
 // older entries, swaps, and after a lost answer reads back and looks for the
 // id of its change before it says accepted, rejected or unknown.
-package auditor
+package committer
 
 import (
 	"fmt"
 	"math/rand/v2"
 
 	"cicadagrade.example/tier"
-	"cicadagrade.example/tier/keeper"
 	"cicadagrade.example/tier/parser"
+	"cicadagrade.example/tier/replicator"
 	"cicadagrade.example/tier/storer"
 )
 
 // Defaults of a change.
 const (
-	DefaultPatience = 10 * tier.Second
-	firstPause      = 100 * tier.Millis(1)
-	longestPause    = 2 * tier.Second
+	DefaultTimeout = 10 * tier.Second
+	firstPause     = 100 * tier.Millis(1)
+	longestPause   = 2 * tier.Second
 )
 
 // AnyRevision expects no particular revision.
@@ -27,11 +27,11 @@
 // Change is the state machine of one change. It is not safe for concurrent
 // use.
 type Change struct {
-	author   keeper.Author
+	author   replicator.Author
 	id       string
 	document parser.Document
-	fleet    *keeper.State // set when this reconciles the store
-	floor    keeper.Ref    // the highest state that VMs serve
+	fleet    *replicator.State // set when this reconciles the store
+	floor    replicator.Ref    // the highest state that VMs serve
 	expect   int64
 	patience tier.Millis
 	random   *rand.Rand
@@ -43,7 +43,7 @@
 	resume   Action
 
 	base    storer.Value // what the swap expects
-	next    *keeper.State
+	next    *replicator.State
 	pending []*Put // auxiliary writes before the swap
 	unsure  bool   // a swap may have taken effect
 	done    bool
@@ -52,17 +52,17 @@
 // Option sets one field of a change.
 type Option func(*Change)
 
-// WithExpect has the change rejected unless the document is at this
+// WithExpectedRevision has the change rejected unless the document is at this
 // revision; 0 stands for a document that does not exist yet.
-func WithExpect(revision int64) Option { return func(c *Change) { c.expect = revision } }
+func WithExpectedRevision(revision int64) Option { return func(c *Change) { c.expect = revision } }
 
-// WithFloor tells the highest state of the document that any VM serves: when
+// WithHighestServed tells the highest state of the document that any VM serves: when
 // the store shows an older one the change is rejected, because the store has
 // to be reconciled first.
-func WithFloor(r keeper.Ref) Option { return func(c *Change) { c.floor = r } }
+func WithHighestServed(r replicator.Ref) Option { return func(c *Change) { c.floor = r } }
 
-// WithPatience bounds the time that the change goes on trying.
-func WithPatience(m tier.Millis) Option { return func(c *Change) { c.patience = m } }
+// WithTimeout bounds the time that the change goes on trying.
+func WithTimeout(m tier.Millis) Option { return func(c *Change) { c.patience = m } }
 
 // WithSeed seeds the jitter between tries.
 func WithSeed(seed uint64) Option {
@@ -71,7 +71,7 @@
 
 // New returns a change to document d. The change id must be unique.
 func New(d parser.Document, id, who, reason string, at tier.Millis, opts ...Option) *Change {
-	c := &Change{document: d, id: id, author: keeper.NewAuthor(who, id, reason, at)}
+	c := &Change{document: d, id: id, author: replicator.NewAuthor(who, id, reason, at)}
 	c.Defaults()
 	for _, o := range opts {
 		o(c)
@@ -81,7 +81,7 @@
 
 // NewReconciliation returns a change that writes back the highest state that
 // VMs serve over what the store holds.
-func NewReconciliation(fleet *keeper.State, id, who, reason string, at tier.Millis, opts ...Option) *Change {
+func NewReconciliation(fleet *replicator.State, id, who, reason string, at tier.Millis, opts ...Option) *Change {
 	c := New(fleet.Document(), id, who, reason, at, opts...)
 	c.fleet = fleet
 	return c
@@ -90,12 +90,12 @@
 // Defaults sets patience, seed and no expected revision.
 func (c *Change) Defaults() {
 	c.expect = AnyRevision
-	c.patience = DefaultPatience
+	c.patience = DefaultTimeout
 	WithSeed(1)(c)
 }
 
 // Key is the key of the document.
-func (c *Change) Key() string { return keeper.KeyOf(c.document) }
+func (c *Change) Key() string { return replicator.KeyOf(c.document) }
 
 // Step handles one event at time now and returns what to do: one action, or
 // none while it pauses.
@@ -199,7 +199,7 @@
 func finish(r Result) Action { return &Finish{result: r} }
 
 // describe names the revision of a value for messages.
-func describe(s *keeper.State) string {
+func describe(s *replicator.State) string {
 	if s == nil {
 		return "absent"
 	}
--- a/tier/auditor/drive.go
+++ b/tier/committer/drive.go
@@ -1,4 +1,4 @@
-package auditor
+package committer
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 	"cicadagrade.example/tier/storer"
 )
 
-// Drive carries a change out against a store until it ends or ctx does; then
+// Run carries a change out against a store until it ends or ctx does; then
 // the result is Unknown or Unavailable.
-func Drive(ctx context.Context, clock *tier.Clock, store storer.Store, c *Change) Result {
+func Run(ctx context.Context, clock *tier.Clock, store storer.Store, c *Change) Result {
 	e := Event(&Start{})
 	for {
 		for _, a := range c.Step(clock.Now(), e) {
@@ -44,9 +44,9 @@
 		}
 		return NewRead(v)
 	case *Put:
-		_, err := store.Swap(ctx, a.key, a.data, a.expect, 0)
+		_, err := store.CompareAndSwap(ctx, a.key, a.data, a.expect, 0)
 		var conflict *storer.ConflictError
-		var unsure *storer.UnsureError
+		var unsure *storer.IndeterminateError
 		switch {
 		case err == nil:
 			return &Written{}
--- a/tier/auditor/event.go
+++ b/tier/committer/event.go
@@ -1,9 +1,9 @@
-package auditor
+package committer
 
 import (
 	"fmt"
 
-	"cicadagrade.example/tier/keeper"
+	"cicadagrade.example/tier/replicator"
 	"cicadagrade.example/tier/storer"
 )
 
@@ -73,8 +73,8 @@
 // Data is what to write.
 func (a *Put) Data() []byte { return a.data }
 
-// Expect is the expected revision of the key; 0 stands for an absent key.
-func (a *Put) Expect() int64 { return a.expect }
+// ExpectedRevision is the expected revision of the key; 0 stands for an absent key.
+func (a *Put) ExpectedRevision() int64 { return a.expect }
 
 // Finish ends the change.
 type Finish struct{ result Result }
@@ -92,12 +92,12 @@
 
 // Accepted says that the change is in the store.
 type Accepted struct {
-	state     *keeper.State
+	state     *replicator.State
 	unchanged bool
 }
 
 // State is the document with the change.
-func (r *Accepted) State() *keeper.State { return r.state }
+func (r *Accepted) State() *replicator.State { return r.state }
 
 // Unchanged reports that the document was as wanted before: nothing was
 // written.
@@ -115,15 +115,15 @@
 // Rejected says that the change is not in the store and won't be.
 type Rejected struct {
 	reason  Reason
-	current *keeper.State
-	floor   keeper.Ref
+	current *replicator.State
+	floor   replicator.Ref
 }
 
 // Reason says why.
 func (r *Rejected) Reason() Reason { return r.reason }
 
 // Current is the document as the store holds it, or nil when it is absent.
-func (r *Rejected) Current() *keeper.State { return r.current }
+func (r *Rejected) Current() *replicator.State { return r.current }
 
 // Error tells an operator what stood in the way.
 func (r *Rejected) Error() string {
@@ -133,8 +133,8 @@
 	if r.current == nil {
 		return "the document is absent from the store"
 	}
-	e := r.current.Last()
-	return fmt.Sprintf("the document is %s: %s changed it (change %s, reason %q)", describe(r.current), e.Who(), e.Change(), e.Reason())
+	e := r.current.LastEntry()
+	return fmt.Sprintf("the document is %s: %s changed it (change %s, reason %q)", describe(r.current), e.Who(), e.ChangeID(), e.Reason())
 }
 
 // Invalid says that the change can't be made; nothing was written.
--- a/tier/auditor/history_test.go
+++ b/tier/committer/history_test.go
@@ -1,4 +1,4 @@
-package auditor_test
+package committer_test
 
 import (
 	"encoding/json"
@@ -10,9 +10,9 @@
 	"github.com/anishathalye/porcupine"
 
 	"cicadagrade.example/tier"
-	"cicadagrade.example/tier/auditor"
-	"cicadagrade.example/tier/keeper"
+	"cicadagrade.example/tier/committer"
 	"cicadagrade.example/tier/parser"
+	"cicadagrade.example/tier/replicator"
 	"cicadagrade.example/tier/storer"
 )
 
@@ -44,9 +44,9 @@
 	now     tier.Millis
 	keys    map[string][]storer.Value // all states of each key
 	counter int64
-	late    []*auditor.Put // sent, but not yet carried out
+	late    []*committer.Put // sent, but not yet carried out
 	events  []porcupine.Operation
-	results map[string]auditor.Result
+	results map[string]committer.Result
 	key     string
 }
 
@@ -54,11 +54,11 @@
 type operator struct {
 	number int
 	round  int
-	change *auditor.Change
+	change *committer.Change
 	id     string
 	called tier.Millis
-	action auditor.Action
-	answer auditor.Event
+	action committer.Action
+	answer committer.Event
 }
 
 func newWorld(seed uint64, b breakage) *world {
@@ -66,8 +66,8 @@
 		random:  rand.New(rand.NewPCG(seed, 1)),
 		broken:  b,
 		keys:    map[string][]storer.Value{},
-		results: map[string]auditor.Result{},
-		key:     keeper.Key(parser.KindProfiles, ""),
+		results: map[string]committer.Result{},
+		key:     replicator.Key(parser.KindProfiles, ""),
 	}
 }
 
@@ -79,41 +79,41 @@
 	return states[len(states)-1]
 }
 
-func (w *world) put(p *auditor.Put) auditor.Event {
+func (w *world) put(p *committer.Put) committer.Event {
 	if w.broken == noArchive && p.Key() != w.key {
-		return &auditor.Written{}
+		return &committer.Written{}
 	}
 	current := w.get(p.Key())
-	if current.Revision() != p.Expect() {
-		return auditor.NewConflicted(current)
+	if current.Revision() != p.ExpectedRevision() {
+		return committer.NewConflicted(current)
 	}
 	w.counter++
 	w.keys[p.Key()] = append(w.keys[p.Key()], storer.NewValue(p.Key(), p.Data(), w.counter))
-	return &auditor.Written{}
+	return &committer.Written{}
 }
 
 var errLost = errors.New("lost")
 
 // perform carries out an action, with faults.
-func (w *world) perform(a auditor.Action) auditor.Event {
+func (w *world) perform(a committer.Action) committer.Event {
 	dice := w.random.Float64()
 	switch a := a.(type) {
-	case *auditor.Get:
+	case *committer.Get:
 		if states := w.keys[a.Key()]; dice < staleRead && len(states) > 0 {
-			return auditor.NewRead(states[w.random.IntN(len(states))])
+			return committer.NewRead(states[w.random.IntN(len(states))])
 		}
 		if dice < staleRead+refused {
-			return auditor.NewFailed(a, false, errLost)
+			return committer.NewFailed(a, false, errLost)
 		}
-		return auditor.NewRead(w.get(a.Key()))
-	case *auditor.Put:
+		return committer.NewRead(w.get(a.Key()))
+	case *committer.Put:
 		return w.send(a, dice)
 	}
 	return nil
 }
 
-func (w *world) send(p *auditor.Put, dice float64) auditor.Event {
-	lost := auditor.NewFailed(p, true, errLost)
+func (w *world) send(p *committer.Put, dice float64) committer.Event {
+	lost := committer.NewFailed(p, true, errLost)
 	switch {
 	case dice < lostBefore:
 		return lost
@@ -124,7 +124,7 @@
 		w.late = append(w.late, p)
 		return lost
 	case dice < lostBefore+lostAfter+lateEffect+refused:
-		return auditor.NewFailed(p, false, errLost)
+		return committer.NewFailed(p, false, errLost)
 	default:
 		return w.put(p)
 	}
@@ -172,7 +172,7 @@
 	default:
 		at, _ := o.change.Next()
 		w.now = max(w.now, at)
-		w.step(o, &auditor.Tick{})
+		w.step(o, &committer.Tick{})
 	}
 }
 
@@ -184,17 +184,17 @@
 		t.Fatal(err)
 	}
 	o.called = w.now
-	o.change = auditor.New(parser.NewProfilesDocument(p), o.id, "op", "", w.now, auditor.WithSeed(w.random.Uint64()))
-	w.step(o, &auditor.Start{})
+	o.change = committer.New(parser.NewProfilesDocument(p), o.id, "op", "", w.now, committer.WithSeed(w.random.Uint64()))
+	w.step(o, &committer.Start{})
 }
 
-func (w *world) step(o *operator, e auditor.Event) {
-	if f, ok := e.(*auditor.Failed); ok && w.broken == noReadBack && f.Unsure() {
-		w.finish(o, &auditor.Unavailable{})
+func (w *world) step(o *operator, e committer.Event) {
+	if f, ok := e.(*committer.Failed); ok && w.broken == noReadBack && f.Unsure() {
+		w.finish(o, &committer.Unavailable{})
 		return
 	}
 	for _, a := range o.change.Step(w.now, e) {
-		if f, ok := a.(*auditor.Finish); ok {
+		if f, ok := a.(*committer.Finish); ok {
 			w.finish(o, f.Result())
 			return
 		}
@@ -223,19 +223,19 @@
 	register register
 }
 
-func (w *world) finish(o *operator, r auditor.Result) {
+func (w *world) finish(o *operator, r committer.Result) {
 	w.results[o.id] = r
 	out := result{outcome: notMade, register: register{change: o.id}}
 	returned := w.now
 	switch r := r.(type) {
-	case *auditor.Accepted:
+	case *committer.Accepted:
 		out.outcome = accepted
 		for _, e := range r.State().Tail() {
-			if e.Change() == o.id {
+			if e.ChangeID() == o.id {
 				out.register.revision = e.Revision()
 			}
 		}
-	case *auditor.Unknown:
+	case *committer.Unknown:
 		out.outcome = maybe
 		returned = 1 << 40 // it may take effect at any later time
 	}
@@ -255,13 +255,13 @@
 	out := result{outcome: isRead}
 	if v.Present() {
 		s := decode(t, v)
-		out.register = register{revision: s.Ref().Revision(), change: s.Last().Change()}
+		out.register = register{revision: s.Ref().Revision(), change: s.LastEntry().ChangeID()}
 	}
 	w.record(operators, w.now, w.now, out)
 }
 
-func decode(t *testing.T, v storer.Value) *keeper.State {
-	s, err := keeper.Decode(v.Key(), v.Data())
+func decode(t *testing.T, v storer.Value) *replicator.State {
+	s, err := replicator.Decode(v.Key(), v.Data())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -294,28 +294,28 @@
 // auditProblem compares the audit trail with what operators were told.
 func (w *world) auditProblem(t *testing.T) error {
 	final := decode(t, w.get(w.key))
-	var archived []keeper.Entry
+	var archived []replicator.Entry
 	for key := range w.keys {
 		if key == w.key {
 			continue
 		}
-		var e keeper.Entry
+		var e replicator.Entry
 		if err := json.Unmarshal(w.get(key).Data(), &e); err != nil {
 			t.Fatal(err)
 		}
 		archived = append(archived, e)
 	}
-	trail := keeper.Merge(archived, final.Tail())
+	trail := replicator.MergeEntries(archived, final.Tail())
 	made := map[string]bool{}
 	for i, e := range trail {
-		made[e.Change()] = true
+		made[e.ChangeID()] = true
 		if e.Revision() != uint64(i+1) {
 			return fmt.Errorf("entry %d is of revision %d", i, e.Revision())
 		}
 	}
 	for id, r := range w.results {
-		_, yes := r.(*auditor.Accepted)
-		_, unknown := r.(*auditor.Unknown)
+		_, yes := r.(*committer.Accepted)
+		_, unknown := r.(*committer.Unknown)
 		if yes != made[id] && !unknown {
 			return fmt.Errorf("change %s ended %T, in the trail: %t", id, r, made[id])
 		}
--- a/tier/auditor/read.go
+++ b/tier/committer/read.go
@@ -1,4 +1,4 @@
-package auditor
+package committer
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"github.com/pkg/errors"
 
 	"cicadagrade.example/tier"
-	"cicadagrade.example/tier/keeper"
 	"cicadagrade.example/tier/parser"
+	"cicadagrade.example/tier/replicator"
 	"cicadagrade.example/tier/storer"
 )
 
@@ -30,26 +30,26 @@
 	return c.propose(v, current) // a reconciliation replaces what can't be read
 }
 
-func decode(v storer.Value) (*keeper.State, error) {
+func decode(v storer.Value) (*replicator.State, error) {
 	if !v.Present() {
 		return nil, nil
 	}
-	return keeper.Decode(v.Key(), v.Data())
+	return replicator.Decode(v.Key(), v.Data())
 }
 
 // propose builds the next state on the current one.
-func (c *Change) propose(v storer.Value, current *keeper.State) Action {
+func (c *Change) propose(v storer.Value, current *replicator.State) Action {
 	c.base = v
 	if a := c.check(current); a != nil {
 		return a
 	}
 	var changes []parser.Change
 	if c.fleet != nil {
-		c.next = keeper.Reconcile(c.fleet, current, c.author)
+		c.next = replicator.Reconcile(c.fleet, current, c.author)
 	} else {
-		c.next, changes = keeper.Next(current, c.document, c.author)
+		c.next, changes = replicator.NextState(current, c.document, c.author)
 	}
-	if size := len(c.next.Encode()); size > keeper.MaxStored {
+	if size := len(c.next.Encode()); size > replicator.MaxStoredBytes {
 		return finish(&Invalid{cause: tooLarge("document", size)})
 	}
 	if a := c.prepare(current, changes); a != nil {
@@ -59,11 +59,11 @@
 }
 
 // check ends a change that must not or need not be made.
-func (c *Change) check(current *keeper.State) Action {
+func (c *Change) check(current *replicator.State) Action {
 	if current == nil {
 		return c.checkAbsent()
 	}
-	if _, ok := current.Find(c.id); ok {
+	if _, ok := current.FindChange(c.id); ok {
 		return finish(&Accepted{state: current})
 	}
 	if c.fleet != nil {
@@ -71,7 +71,7 @@
 	}
 	r := current.Ref()
 	switch {
-	case c.floor.Above(r):
+	case c.floor.NewerThan(r):
 		return finish(&Rejected{reason: ReasonStoreBehind, current: current, floor: c.floor})
 	case c.expect != AnyRevision && uint64(c.expect) != r.Revision():
 		return finish(&Rejected{reason: ReasonConflict, current: current})
@@ -136,50 +136,50 @@
 
 // prepare lists the writes that come before the swap: the changes that are
 // too long for the tail, and the entries that the swap takes from the tail.
-func (c *Change) prepare(current *keeper.State, changes []parser.Change) Action {
+func (c *Change) prepare(current *replicator.State, changes []parser.Change) Action {
 	c.pending = nil
-	if c.next.Last().Apart() {
+	if c.next.LastEntry().ChangesDetached() {
 		if c.fleet != nil {
 			changes = parser.Diff(documentOf(current), c.document)
 		}
-		b, err := keeper.EncodeChanges(changes)
-		if err == nil && len(b) > keeper.MaxStored {
+		b, err := replicator.EncodeChanges(changes)
+		if err == nil && len(b) > replicator.MaxStoredBytes {
 			err = tooLarge("list of changes", len(b))
 		}
 		if err != nil {
 			return finish(&Invalid{cause: err})
 		}
-		c.pending = append(c.pending, &Put{key: keeper.ChangesKey(c.Key(), c.id), data: b})
+		c.pending = append(c.pending, &Put{key: replicator.ChangesKey(c.Key(), c.id), data: b})
 	}
 	for _, e := range c.leaving(current) {
 		b, err := e.MarshalJSON()
 		if err != nil {
 			return finish(&Invalid{cause: err})
 		}
-		c.pending = append(c.pending, &Put{key: keeper.ArchiveKey(c.Key(), e), data: b})
+		c.pending = append(c.pending, &Put{key: replicator.ArchiveKey(c.Key(), e), data: b})
 	}
 	return nil
 }
 
 // leaving lists the entries that are in no tail after the swap.
-func (c *Change) leaving(current *keeper.State) []keeper.Entry {
-	var held []keeper.Entry
+func (c *Change) leaving(current *replicator.State) []replicator.Entry {
+	var held []replicator.Entry
 	if current != nil {
 		held = current.Tail()
 	}
 	if c.fleet != nil {
-		held = keeper.Merge(c.fleet.Tail(), held)
+		held = replicator.MergeEntries(c.fleet.Tail(), held)
 	}
-	var out []keeper.Entry
+	var out []replicator.Entry
 	for _, e := range held {
-		if _, ok := c.next.Find(e.Change()); !ok {
+		if _, ok := c.next.FindChange(e.ChangeID()); !ok {
 			out = append(out, e)
 		}
 	}
 	return out
 }
 
-func documentOf(s *keeper.State) parser.Document {
+func documentOf(s *replicator.State) parser.Document {
 	if s == nil {
 		return nil
 	}
@@ -209,7 +209,7 @@
 		return finish(&Unknown{cause: err})
 	}
 	if current != nil {
-		if _, ok := current.Find(c.id); ok {
+		if _, ok := current.FindChange(c.id); ok {
 			return finish(&Accepted{state: current})
 		}
 	}
@@ -217,11 +217,11 @@
 	switch {
 	case !c.unsure:
 		return finish(&Rejected{reason: ReasonConflict, current: current})
-	case current == nil || r.Above(current.Ref()):
+	case current == nil || r.NewerThan(current.Ref()):
 		return finish(&Unknown{cause: fmt.Errorf("the store shows the document %s, below this change", describe(current))})
-	case current.Covers(r.Epoch(), r.Revision()):
+	case current.TailCovers(r.Epoch(), r.Revision()):
 		return finish(&Rejected{reason: ReasonConflict, current: current})
 	default:
-		return &Get{key: keeper.ArchiveKey(c.Key(), c.next.Last())}
+		return &Get{key: replicator.ArchiveKey(c.Key(), c.next.LastEntry())}
 	}
 }
--- a/tier/correlator/correlator.go
+++ b/tier/correlator/correlator.go
@@ -11,34 +11,34 @@
 	"cicadagrade.example/tier"
 )
 
-// Expect is what the reply of one leaf call has to echo.
-type Expect struct {
+// Expectation is what the reply of one leaf call has to echo.
+type Expectation struct {
 	attempt  tier.AttemptID
 	set      string
 	shard    string
 	snapshot tier.Snapshot
 }
 
-// NewExpect returns what the reply of a search of one shard has to echo. For
+// NewExpectation returns what the reply of a search of one shard has to echo. For
 // a booking the snapshot is the zero one.
-func NewExpect(attempt tier.AttemptID, set, shard string, s tier.Snapshot) Expect {
-	return Expect{attempt: attempt, set: set, shard: shard, snapshot: s}
+func NewExpectation(attempt tier.AttemptID, set, shard string, s tier.Snapshot) Expectation {
+	return Expectation{attempt: attempt, set: set, shard: shard, snapshot: s}
 }
 
 // Attempt is the id of the leaf call.
-func (e Expect) Attempt() tier.AttemptID { return e.attempt }
+func (e Expectation) Attempt() tier.AttemptID { return e.attempt }
 
 // Set is the name of the shard set.
-func (e Expect) Set() string { return e.set }
+func (e Expectation) Set() string { return e.set }
 
 // Shard is the id of the shard.
-func (e Expect) Shard() string { return e.shard }
+func (e Expectation) Shard() string { return e.shard }
 
 // Snapshot is the pinned snapshot.
-func (e Expect) Snapshot() tier.Snapshot { return e.snapshot }
+func (e Expectation) Snapshot() tier.Snapshot { return e.snapshot }
 
-// Reply is the reply of a backend server to a search, as it came.
-type Reply struct {
+// SearchReply is the reply of a backend server to a search, as it came.
+type SearchReply struct {
 	attempt  string
 	set      string
 	shard    string
@@ -48,34 +48,34 @@
 	digest   string
 }
 
-// NewReply returns the reply to a search. Count and digest are those that
+// NewSearchReply returns the reply to a search. Count and digest are those that
 // the server stated, not those of the records that arrived.
-func NewReply(attempt, set, shard string, s tier.Snapshot, records []tier.Record, count int, digest string) Reply {
-	return Reply{attempt: attempt, set: set, shard: shard, snapshot: s, records: records, count: count, digest: digest}
+func NewSearchReply(attempt, set, shard string, s tier.Snapshot, records []tier.Record, count int, digest string) SearchReply {
+	return SearchReply{attempt: attempt, set: set, shard: shard, snapshot: s, records: records, count: count, digest: digest}
 }
 
 // Records are the records that arrived.
-func (r Reply) Records() []tier.Record { return r.records }
+func (r SearchReply) Records() []tier.Record { return r.records }
 
-// Receipt is the reply of a backend server to a booking, as it came.
-type Receipt struct {
+// BookingReply is the reply of a backend server to a booking, as it came.
+type BookingReply struct {
 	attempt string
 	set     string
 	shard   string
 	receipt string
 }
 
-// NewReceipt returns the reply to a booking.
-func NewReceipt(attempt, set, shard, receipt string) Receipt {
-	return Receipt{attempt: attempt, set: set, shard: shard, receipt: receipt}
+// NewBookingReply returns the reply to a booking.
+func NewBookingReply(attempt, set, shard, receipt string) BookingReply {
+	return BookingReply{attempt: attempt, set: set, shard: shard, receipt: receipt}
 }
 
-// Text is the receipt's text.
-func (r Receipt) Text() string { return r.receipt }
+// Receipt is the receipt's text.
+func (r BookingReply) Receipt() string { return r.receipt }
 
-// Check reports whether a reply is whole and that of the call that e
+// CheckSearchReply reports whether a reply is whole and that of the call that e
 // describes. Its error is a *MismatchError.
-func Check(e Expect, r Reply) error {
+func CheckSearchReply(e Expectation, r SearchReply) error {
 	if err := checkEcho(e, r.attempt, r.set, r.shard); err != nil {
 		return errors.Wrap(err, "Check")
 	}
@@ -85,8 +85,8 @@
 	return errors.Wrap(CheckRecords(r.records, r.count, r.digest), "Check")
 }
 
-// CheckReceipt is Check for the reply to a booking.
-func CheckReceipt(e Expect, r Receipt) error {
+// CheckBookingReply is Check for the reply to a booking.
+func CheckBookingReply(e Expectation, r BookingReply) error {
 	if err := checkEcho(e, r.attempt, r.set, r.shard); err != nil {
 		return errors.Wrap(err, "CheckReceipt")
 	}
@@ -108,7 +108,7 @@
 	return nil
 }
 
-func checkEcho(e Expect, attempt, set, shard string) error {
+func checkEcho(e Expectation, attempt, set, shard string) error {
 	if id := e.attempt.String(); attempt != id {
 		return newMismatch(FieldAttempt, id, attempt)
 	}
--- a/tier/correlator/correlator_test.go
+++ b/tier/correlator/correlator_test.go
@@ -16,19 +16,19 @@
 	id := tier.NewAttemptID("caxias-1", 5, 42)
 	for _, c := range []struct {
 		field correlator.Field
-		reply correlator.Reply
+		reply correlator.SearchReply
 	}{
-		{"", correlator.NewReply("caxias-1/5/42", "portao", "p-01", at, records, 1, digest)},
-		{correlator.FieldAttempt, correlator.NewReply("caxias-1/5/41", "portao", "p-01", at, records, 1, digest)},
-		{correlator.FieldSet, correlator.NewReply("caxias-1/5/42", "agenda", "p-01", at, records, 1, digest)},
-		{correlator.FieldShard, correlator.NewReply("caxias-1/5/42", "portao", "p-02", at, records, 1, digest)},
-		{correlator.FieldSnapshot, correlator.NewReply("caxias-1/5/42", "portao", "p-01", tier.NewSnapshot(1, 8), records, 1, digest)},
-		{correlator.FieldCount, correlator.NewReply("caxias-1/5/42", "portao", "p-01", at, nil, 1, digest)},
-		{correlator.FieldDigest, correlator.NewReply("caxias-1/5/42", "portao", "p-01", at, []tier.Record{tier.NewRecord("k", "w")}, 1, digest)},
+		{"", correlator.NewSearchReply("caxias-1/5/42", "portao", "p-01", at, records, 1, digest)},
+		{correlator.FieldAttempt, correlator.NewSearchReply("caxias-1/5/41", "portao", "p-01", at, records, 1, digest)},
+		{correlator.FieldSet, correlator.NewSearchReply("caxias-1/5/42", "agenda", "p-01", at, records, 1, digest)},
+		{correlator.FieldShard, correlator.NewSearchReply("caxias-1/5/42", "portao", "p-02", at, records, 1, digest)},
+		{correlator.FieldSnapshot, correlator.NewSearchReply("caxias-1/5/42", "portao", "p-01", tier.NewSnapshot(1, 8), records, 1, digest)},
+		{correlator.FieldCount, correlator.NewSearchReply("caxias-1/5/42", "portao", "p-01", at, nil, 1, digest)},
+		{correlator.FieldDigest, correlator.NewSearchReply("caxias-1/5/42", "portao", "p-01", at, []tier.Record{tier.NewRecord("k", "w")}, 1, digest)},
 	} {
-		table := correlator.NewTable()
-		table.Open(correlator.NewExpect(id, "portao", "p-01", at))
-		err := table.Accept(id, c.reply)
+		table := correlator.NewPendingCalls()
+		table.Add(correlator.NewExpectation(id, "portao", "p-01", at))
+		err := table.AcceptSearch(id, c.reply)
 		var m *correlator.MismatchError
 		if c.field == "" && err != nil {
 			t.Errorf("a good reply: %v", err)
@@ -36,8 +36,8 @@
 		if c.field != "" && (!errors.As(err, &m) || m.Field() != c.field || table.Rejected(c.field) != 1) {
 			t.Errorf("%s: %v, counted %d", c.field, err, table.Rejected(c.field))
 		}
-		var late *correlator.NotOpenError
-		if err := table.Accept(id, c.reply); !errors.As(err, &late) || table.NotOpen() != 1 {
+		var late *correlator.NotPendingError
+		if err := table.AcceptSearch(id, c.reply); !errors.As(err, &late) || table.NotPending() != 1 {
 			t.Errorf("a repeated reply: %v", err)
 		}
 	}
@@ -45,9 +45,9 @@
 
 func TestTableRejectsReceipts(t *testing.T) {
 	id := tier.NewAttemptID("caxias-1", 5, 42)
-	table := correlator.NewTable()
-	table.Open(correlator.NewExpect(id, "portao", "p-01", tier.Snapshot{}))
-	err := table.AcceptReceipt(id, correlator.NewReceipt("caxias-1/5/42", "portao", "p-01", ""))
+	table := correlator.NewPendingCalls()
+	table.Add(correlator.NewExpectation(id, "portao", "p-01", tier.Snapshot{}))
+	err := table.AcceptBooking(id, correlator.NewBookingReply("caxias-1/5/42", "portao", "p-01", ""))
 	var m *correlator.MismatchError
 	if !errors.As(err, &m) || m.Field() != correlator.FieldReceipt {
 		t.Errorf("an empty receipt: %v", err)
--- a/tier/correlator/errors.go
+++ b/tier/correlator/errors.go
@@ -41,14 +41,14 @@
 	return fmt.Sprintf("the reply's %s is %q, want %q", e.field, e.got, e.want)
 }
 
-// NotOpenError says that no call of this id waits for a reply: the reply is
+// NotPendingError says that no call of this id waits for a reply: the reply is
 // late, repeated or meant for another VM.
-type NotOpenError struct{ attempt string }
+type NotPendingError struct{ attempt string }
 
 // Attempt is the id that the reply carries.
-func (e *NotOpenError) Attempt() string { return e.attempt }
+func (e *NotPendingError) Attempt() string { return e.attempt }
 
 // Error names the id.
-func (e *NotOpenError) Error() string {
+func (e *NotPendingError) Error() string {
 	return fmt.Sprintf("no call %q waits for a reply", e.attempt)
 }
--- a/tier/correlator/table.go
+++ b/tier/correlator/table.go
@@ -6,60 +6,60 @@
 	"cicadagrade.example/tier"
 )
 
-// Table holds the leaf calls that wait for a reply and counts the replies
+// PendingCalls holds the leaf calls that wait for a reply and counts the replies
 // that it rejects. It is not safe for concurrent use.
-type Table struct {
-	open     map[string]Expect
+type PendingCalls struct {
+	open     map[string]Expectation
 	rejected map[Field]int
 	notOpen  int
 }
 
-// NewTable returns an empty table.
-func NewTable() *Table {
-	return &Table{open: map[string]Expect{}, rejected: map[Field]int{}}
+// NewPendingCalls returns an empty table.
+func NewPendingCalls() *PendingCalls {
+	return &PendingCalls{open: map[string]Expectation{}, rejected: map[Field]int{}}
 }
 
-// Open notes that a call waits for its reply.
-func (t *Table) Open(e Expect) { t.open[e.attempt.String()] = e }
+// Add notes that a call waits for its reply.
+func (t *PendingCalls) Add(e Expectation) { t.open[e.attempt.String()] = e }
 
-// Close forgets a call; a reply that still comes is rejected.
-func (t *Table) Close(id tier.AttemptID) { delete(t.open, id.String()) }
+// Remove forgets a call; a reply that still comes is rejected.
+func (t *PendingCalls) Remove(id tier.AttemptID) { delete(t.open, id.String()) }
 
-// Waiting is how many calls wait for a reply.
-func (t *Table) Waiting() int { return len(t.open) }
+// Len is how many calls wait for a reply.
+func (t *PendingCalls) Len() int { return len(t.open) }
 
-// Accept checks a reply that came to the call named waited and closes that
+// AcceptSearch checks a reply that came to the call named waited and closes that
 // call, whatever the reply is. Its error is a *MismatchError or a
 // *NotOpenError.
-func (t *Table) Accept(waited tier.AttemptID, r Reply) error {
+func (t *PendingCalls) AcceptSearch(waited tier.AttemptID, r SearchReply) error {
 	e, err := t.take(waited)
 	if err != nil {
 		return errors.Wrap(err, "Table.Accept")
 	}
-	return errors.Wrap(t.count(Check(e, r)), "Table.Accept")
+	return errors.Wrap(t.count(CheckSearchReply(e, r)), "Table.Accept")
 }
 
-// AcceptReceipt is Accept for the reply to a booking.
-func (t *Table) AcceptReceipt(waited tier.AttemptID, r Receipt) error {
+// AcceptBooking is Accept for the reply to a booking.
+func (t *PendingCalls) AcceptBooking(waited tier.AttemptID, r BookingReply) error {
 	e, err := t.take(waited)
 	if err != nil {
 		return errors.Wrap(err, "Table.AcceptReceipt")
 	}
-	return errors.Wrap(t.count(CheckReceipt(e, r)), "Table.AcceptReceipt")
+	return errors.Wrap(t.count(CheckBookingReply(e, r)), "Table.AcceptReceipt")
 }
 
-func (t *Table) take(waited tier.AttemptID) (Expect, error) {
+func (t *PendingCalls) take(waited tier.AttemptID) (Expectation, error) {
 	id := waited.String()
 	e, ok := t.open[id]
 	if !ok {
 		t.notOpen++
-		return Expect{}, &NotOpenError{attempt: id}
+		return Expectation{}, &NotPendingError{attempt: id}
 	}
 	delete(t.open, id)
 	return e, nil
 }
 
-func (t *Table) count(err error) error {
+func (t *PendingCalls) count(err error) error {
 	var m *MismatchError
 	if errors.As(err, &m) {
 		t.rejected[m.field]++
@@ -68,7 +68,7 @@
 }
 
 // Rejected is how many replies were rejected because of a field.
-func (t *Table) Rejected(f Field) int { return t.rejected[f] }
+func (t *PendingCalls) Rejected(f Field) int { return t.rejected[f] }
 
-// NotOpen is how many replies came for calls that waited for none.
-func (t *Table) NotOpen() int { return t.notOpen }
+// NotPending is how many replies came for calls that waited for none.
+func (t *PendingCalls) NotPending() int { return t.notOpen }
--- a/tier/timekeeper/timekeeper.go
+++ b/tier/delayestimator/timekeeper.go
@@ -1,7 +1,7 @@
-// Package timekeeper tells how much of a caller's patience is gone when its
+// Package delayestimator tells how much of a caller's patience is gone when its
 // request arrives, and how long the answer will be on its way. Callers say only
 // how much time they have left when they send.
-package timekeeper
+package delayestimator
 
 import "cicadagrade.example/tier"
 
@@ -37,28 +37,28 @@
 	cameBack bool
 }
 
-// Spent is the time from the caller's decision to ask until it sent the request.
-func (a Arrival) Spent() tier.Millis { return a.spent }
+// Elapsed is the time from the caller's decision to ask until it sent the request.
+func (a Arrival) Elapsed() tier.Millis { return a.spent }
 
-// Trip is the time that the request and its answer are under way.
-func (a Arrival) Trip() tier.Millis { return a.trip }
+// RoundTrip is the time that the request and its answer are under way.
+func (a Arrival) RoundTrip() tier.Millis { return a.trip }
 
-// CameBack reports whether the caller has asked before.
-func (a Arrival) CameBack() bool { return a.cameBack }
+// IsRetry reports whether the caller has asked before.
+func (a Arrival) IsRetry() bool { return a.cameBack }
 
-// Timekeeper keeps what callers' requests have shown. It is not safe for
+// Estimator keeps what callers' requests have shown. It is not safe for
 // concurrent use.
-type Timekeeper struct {
+type Estimator struct {
 	most map[string]tier.Millis // time left of a route's first requests
 }
 
 // New returns a timekeeper that has seen nothing.
-func New() *Timekeeper { return &Timekeeper{most: map[string]tier.Millis{}} }
+func New() *Estimator { return &Estimator{most: map[string]tier.Millis{}} }
 
-// Arrived takes a request on a connection; left is what its caller says it has
+// RequestArrived takes a request on a connection; left is what its caller says it has
 // left, if limited. A caller that opens a connection for a request has spent a
 // round trip on that.
-func (k *Timekeeper) Arrived(now tier.Millis, c *Connection, route string, left tier.Millis, limited bool) Arrival {
+func (k *Estimator) RequestArrived(now tier.Millis, c *Connection, route string, left tier.Millis, limited bool) Arrival {
 	a := Arrival{trip: c.trip}
 	if !c.used && now-c.opened <= openedFor {
 		a.spent = c.trip
--- a/tier/timekeeper/timekeeper_test.go
+++ b/tier/delayestimator/timekeeper_test.go
@@ -1,4 +1,4 @@
-package timekeeper
+package delayestimator
 
 import (
 	"fmt"
@@ -38,8 +38,8 @@
 			if f[4] != "-" {
 				left = number(f[4])
 			}
-			a := k.Arrived(number(f[2]), conns[f[1]], f[3], left, f[4] != "-")
-			fmt.Fprintf(&out, "  spent %d, trip %d, came back %t\n", a.Spent(), a.Trip(), a.CameBack())
+			a := k.RequestArrived(number(f[2]), conns[f[1]], f[3], left, f[4] != "-")
+			fmt.Fprintf(&out, "  spent %d, trip %d, came back %t\n", a.Elapsed(), a.RoundTrip(), a.IsRetry())
 		}
 	}
 	goldie.New(t).Assert(t, "trips", []byte(out.String()))
@@ -48,7 +48,7 @@
 func TestRoutesAreBounded(t *testing.T) {
 	k := New()
 	for i := range 3 * maxRoutes {
-		k.Arrived(0, NewConnection(0, 0), strconv.Itoa(i), 1000, true)
+		k.RequestArrived(0, NewConnection(0, 0), strconv.Itoa(i), 1000, true)
 	}
 	if len(k.most) > maxRoutes+1 {
 		t.Errorf("%d routes are kept", len(k.most))
--- a/tier/dispatcher/bench_test.go
+++ b/tier/dispatcher/bench_test.go
@@ -16,7 +16,7 @@
 			for _, m := range set.Shards() {
 				ids = append(ids, m.ID())
 			}
-			d := New(set, "here", WithTakeover(0))
+			d := New(set, "here", WithTakeoverDelay(0))
 			now, part := tier.Millis(0), uint64(0)
 			var running []uint64
 			take := func(actions []Action) {
@@ -39,7 +39,7 @@
 				batch := running
 				running = nil
 				for _, a := range batch {
-					take(d.Step(now, NewReplied(a, &ReplyOK{})))
+					take(d.Step(now, NewCallEnded(a, &ReplyOK{})))
 				}
 			}
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(d.attempts), "ns/leaf-call")
@@ -53,7 +53,7 @@
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) {
 			set := testSet(40, 20, 2)
 			p := testProfile("bulk", tier.Daily, tier.WithQueueLimit(tier.MaxQueueLimit))
-			q := &queueBench{d: New(set, "here", WithTakeover(0)), profile: p}
+			q := &queueBench{d: New(set, "here", WithTakeoverDelay(0)), profile: p}
 			for _, m := range set.Shards() {
 				q.ids = append(q.ids, m.ID())
 			}
@@ -85,7 +85,7 @@
 	batch := q.running
 	q.running = nil
 	for _, a := range batch {
-		q.take(NewReplied(a, &ReplyOK{}))
+		q.take(NewCallEnded(a, &ReplyOK{}))
 	}
 }
 
--- a/tier/dispatcher/dispatcher.go
+++ b/tier/dispatcher/dispatcher.go
@@ -14,8 +14,8 @@
 
 // Limits of every dispatcher.
 const (
-	DefaultTakeover  = 3 * tier.Second
-	DefaultQueueSize = 4096 // parts that wait, for each rank
+	DefaultTakeoverDelay = 3 * tier.Second
+	DefaultQueueSize     = 4096 // parts that wait, for each rank
 )
 
 // Dispatcher is the state of one owned shard set in one data centre.
@@ -65,9 +65,9 @@
 	return func(d *Dispatcher) { d.owners, d.index = owners, index }
 }
 
-// WithTakeover sets for how long a new or larger share is held back: until
+// WithTakeoverDelay sets for how long a new or larger share is held back: until
 // then at most one slot of each server is used beyond the earlier share.
-func WithTakeover(m tier.Millis) Option { return func(d *Dispatcher) { d.takeover = m } }
+func WithTakeoverDelay(m tier.Millis) Option { return func(d *Dispatcher) { d.takeover = m } }
 
 // WithQueueSize sets how many parts may wait, for each rank.
 func WithQueueSize(n int) Option { return func(d *Dispatcher) { d.queueSize = n } }
@@ -95,7 +95,7 @@
 // Defaults makes the dispatcher the only owner, with the first seed.
 func (d *Dispatcher) Defaults() {
 	d.owners, d.index = 1, 0
-	d.takeover = DefaultTakeover
+	d.takeover = DefaultTakeoverDelay
 	d.queueSize = DefaultQueueSize
 	d.random = rand.New(rand.NewPCG(1, 1))
 	d.shared = 0
@@ -116,7 +116,7 @@
 	switch e := e.(type) {
 	case *Submit:
 		d.submit(e)
-	case *Replied:
+	case *CallEnded:
 		d.replied(e)
 	case *Cancelled:
 		d.cancelled(e)
@@ -146,8 +146,8 @@
 	}
 }
 
-// Next is when the next Tick is due; false while there is nothing to wait for.
-func (d *Dispatcher) Next() (tier.Millis, bool) {
+// NextTick is when the next Tick is due; false while there is nothing to wait for.
+func (d *Dispatcher) NextTick() (tier.Millis, bool) {
 	at, ok := d.timers.next()
 	if d.pressure.eased() {
 		return at, ok
--- a/tier/dispatcher/events.go
+++ b/tier/dispatcher/events.go
@@ -24,9 +24,9 @@
 // WithSnapshot pins the snapshot that every leaf call names.
 func WithSnapshot(s tier.Snapshot) SubmitOption { return func(e *Submit) { e.snapshot = s } }
 
-// NotRepeatable says that the part may run at most once: it gets one leaf
+// NonIdempotent says that the part may run at most once: it gets one leaf
 // call, without hedge or retry.
-func NotRepeatable() SubmitOption { return func(e *Submit) { e.repeatable = false } }
+func NonIdempotent() SubmitOption { return func(e *Submit) { e.repeatable = false } }
 
 // NewSubmit returns a repeatable part without a pinned snapshot. The part's
 // number is the shell's, unused by any part that has not ended. The deadline
@@ -40,15 +40,17 @@
 	return e
 }
 
-// Replied ends a leaf call. The shell sends exactly one for each *Call, also
+// CallEnded ends a leaf call. The shell sends exactly one for each *Call, also
 // after a *CancelCall, since the call holds its slot until then.
-type Replied struct {
+type CallEnded struct {
 	attempt uint64
 	result  Result
 }
 
-// NewReplied returns the end of a leaf call.
-func NewReplied(attempt uint64, r Result) *Replied { return &Replied{attempt: attempt, result: r} }
+// NewCallEnded returns the end of a leaf call.
+func NewCallEnded(attempt uint64, r Result) *CallEnded {
+	return &CallEnded{attempt: attempt, result: r}
+}
 
 // Result is the end of a leaf call: *ReplyOK, *ReplyNotRun, *ReplyFailed or
 // *ReplyBad.
@@ -76,13 +78,13 @@
 // ReplyFailed is a call without a usable reply; the server may have run it.
 type ReplyFailed struct{}
 
-// ReplyBad is a reply that correlation rejected; the server may have run it.
-type ReplyBad struct{}
+// ReplyRejected is a reply that correlation rejected; the server may have run it.
+type ReplyRejected struct{}
 
-func (*ReplyOK) result()     {}
-func (*ReplyNotRun) result() {}
-func (*ReplyFailed) result() {}
-func (*ReplyBad) result()    {}
+func (*ReplyOK) result()       {}
+func (*ReplyNotRun) result()   {}
+func (*ReplyFailed) result()   {}
+func (*ReplyRejected) result() {}
 
 // Cancelled says that nobody waits for a part any more.
 type Cancelled struct{ part uint64 }
@@ -139,7 +141,7 @@
 type Tick struct{}
 
 func (*Submit) event()         {}
-func (*Replied) event()        {}
+func (*CallEnded) event()      {}
 func (*Cancelled) event()      {}
 func (*BackendChanged) event() {}
 func (*HoldingChanged) event() {}
--- a/tier/dispatcher/handover_test.go
+++ b/tier/dispatcher/handover_test.go
@@ -44,7 +44,7 @@
 			for a, at := range running[d] {
 				if at <= now {
 					delete(running[d], a)
-					step(now, d, NewReplied(a, &ReplyOK{}))
+					step(now, d, NewCallEnded(a, &ReplyOK{}))
 				}
 			}
 			step(now, d, &Tick{})
--- a/tier/dispatcher/monitor_test.go
+++ b/tier/dispatcher/monitor_test.go
@@ -59,7 +59,7 @@
 		m.setChanged(e.set)
 	case *ShareChanged:
 		m.share = shareOf{owners: e.owners, index: e.index}
-	case *Replied:
+	case *CallEnded:
 		m.replied(e)
 	}
 }
@@ -74,7 +74,7 @@
 	m.set = set
 }
 
-func (m *monitor) replied(e *Replied) {
+func (m *monitor) replied(e *CallEnded) {
 	c := m.calls[e.attempt]
 	delete(m.calls, e.attempt)
 	m.running[c.server]--
--- a/tier/dispatcher/picker.go
+++ b/tier/dispatcher/picker.go
@@ -212,7 +212,7 @@
 func (d *Dispatcher) start(t *task, s *server) {
 	first := t.calls == 0
 	if first {
-		d.hedger.FirstAttempt()
+		d.hedger.RecordFirstAttempt()
 		d.measureDrain(t)
 	} else {
 		d.hedger.Take(t.rank())
--- a/tier/dispatcher/property_test.go
+++ b/tier/dispatcher/property_test.go
@@ -68,7 +68,7 @@
 
 func newHistory(seed uint64, share shareOf, tamper func(*Dispatcher)) *history {
 	set := testSet(4, 6, 2+int(seed%3))
-	d := New(set, "here", WithSeed(seed), WithTakeover(0), WithShare(share.owners, share.index))
+	d := New(set, "here", WithSeed(seed), WithTakeoverDelay(0), WithShare(share.owners, share.index))
 	return &history{d: d, m: newMonitor(set, share), tamper: tamper}
 }
 
@@ -83,7 +83,7 @@
 func (h *history) advance(span tier.Millis) {
 	end := h.now + span
 	for {
-		at, ok := h.d.Next()
+		at, ok := h.d.NextTick()
 		if !ok || at > end {
 			break
 		}
@@ -128,7 +128,7 @@
 	var opts []SubmitOption
 	shards := []string{"s0", "s1", "s2", "s3", "s4", "s5"}
 	if pick(4) == 0 {
-		opts = append(opts, NotRepeatable())
+		opts = append(opts, NonIdempotent())
 		shards = shards[pick(6):][:1]
 	} else if pick(2) == 0 {
 		opts = append(opts, WithSnapshot(tier.NewSnapshot(1, tier.Version(1+pick(2)))))
@@ -143,10 +143,10 @@
 		return
 	}
 	all := []Result{
-		&ReplyOK{}, &ReplyOK{}, &ReplyOK{}, &ReplyOK{}, &ReplyOK{}, &ReplyOK{}, &ReplyFailed{}, &ReplyBad{},
+		&ReplyOK{}, &ReplyOK{}, &ReplyOK{}, &ReplyOK{}, &ReplyOK{}, &ReplyOK{}, &ReplyFailed{}, &ReplyRejected{},
 		NewReplyNotRun(NotRunShed), NewReplyNotRun(NotRunWrongSnapshot), NewReplyNotRun(NotRunLeaving),
 	}
-	h.step(NewReplied(attempts[pick(len(attempts))], all[pick(len(all))]))
+	h.step(NewCallEnded(attempts[pick(len(attempts))], all[pick(len(all))]))
 }
 
 func (h *history) outstanding() []uint64 {
@@ -163,7 +163,7 @@
 	for range 3 {
 		h.advance(1000)
 		for _, a := range h.outstanding() {
-			h.step(NewReplied(a, &ReplyOK{}))
+			h.step(NewCallEnded(a, &ReplyOK{}))
 		}
 	}
 	h.m.finish(h.d)
--- a/tier/dispatcher/reply.go
+++ b/tier/dispatcher/reply.go
@@ -11,7 +11,7 @@
 )
 
 // replied ends a call: its slot is free again.
-func (d *Dispatcher) replied(e *Replied) {
+func (d *Dispatcher) replied(e *CallEnded) {
 	c := d.calls[e.attempt]
 	if c == nil {
 		return
@@ -58,19 +58,19 @@
 		s.failures = 0
 		s.observe(d.now, took)
 		s.limiter.Succeeded()
-		d.hedger.Observe(d.now, took)
+		d.hedger.ObserveLatency(d.now, took)
 		d.measureService(c.task.rank(), took)
 	case *ReplyNotRun:
 		d.learnNotRun(c, r.reason)
 	case *ReplyFailed:
 		if c.cancelled {
 			s.observe(d.now, max(took, tier.Millis(s.latency)))
-			d.hedger.Observe(d.now, took)
+			d.hedger.ObserveLatency(d.now, took)
 			return
 		}
 		s.failures++
 		d.counters.failed++
-	case *ReplyBad:
+	case *ReplyRejected:
 		s.failures++
 		d.counters.bad++
 	}
@@ -115,7 +115,7 @@
 		if r.reason == NotRunWrongSnapshot && t.part.repeatable {
 			reason = tier.MissWrongSnapshot
 		}
-	case *ReplyBad:
+	case *ReplyRejected:
 		reason = tier.MissBadReply
 	}
 	if len(t.running) > 0 {
--- a/tier/dispatcher/script_test.go
+++ b/tier/dispatcher/script_test.go
@@ -79,7 +79,7 @@
 	case "cold-ramp":
 		s.options = append(s.options, tier.WithColdRamp(tier.Millis(s.number(f[1]))))
 	case "start":
-		s.d = New(s.set(1), "here", WithTakeover(tier.Millis(s.number(f[1]))))
+		s.d = New(s.set(1), "here", WithTakeoverDelay(tier.Millis(s.number(f[1]))))
 	default:
 		s.t.Fatalf("unknown line %v", f)
 	}
@@ -140,7 +140,7 @@
 	for i := range s.number(f[0]) {
 		at := now + tier.Millis(i)*took
 		s.d.Step(at, NewSubmit(uint64(i+1), s.profiles[f[1]], at+tier.Hour, f[2:3]))
-		s.d.Step(at+took, NewReplied(s.d.attempts, &ReplyOK{}))
+		s.d.Step(at+took, NewCallEnded(s.d.attempts, &ReplyOK{}))
 	}
 }
 
@@ -148,7 +148,7 @@
 	v := s.d.Status()
 	c := v.Counters()
 	fmt.Fprintf(&s.out, "    queued %v, calls %d, extra %d, accepted %d, done %d, late %d, refused %v\n",
-		v.queued, c.Calls(), c.Extra(), c.Accepted(), c.Done(), c.Late(), c.refused)
+		v.queued, c.Calls(), c.ExtraCalls(), c.Accepted(), c.Done(), c.Expired(), c.refused)
 	for _, r := range tier.Ranks {
 		fmt.Fprintf(&s.out, "    %s let through %.2f\n", r, v.Threshold().Fraction(r))
 	}
@@ -157,7 +157,7 @@
 // ticks runs every Tick that is due by a time.
 func (s *session) ticks(until tier.Millis) {
 	for {
-		at, ok := s.d.Next()
+		at, ok := s.d.NextTick()
 		if !ok || at > until {
 			return
 		}
@@ -173,13 +173,13 @@
 	case "submit": // part profile deadline shards [once] [snapshot]
 		var opts []SubmitOption
 		if len(f) > 4 && f[4] == "once" {
-			opts = append(opts, NotRepeatable())
+			opts = append(opts, NonIdempotent())
 		} else if len(f) > 4 {
 			opts = append(opts, WithSnapshot(tier.NewSnapshot(1, tier.Version(s.number(f[4])))))
 		}
 		return NewSubmit(uint64(s.number(f[0])), s.profiles[f[1]], tier.Millis(s.number(f[2])), strings.Split(f[3], ","), opts...)
 	case "reply": // attempt result
-		return NewReplied(uint64(s.number(f[0])), results[f[1]])
+		return NewCallEnded(uint64(s.number(f[0])), results[f[1]])
 	case "cancel": // part
 		return NewCancelled(uint64(s.number(f[0])))
 	case "backend": // server state
@@ -199,7 +199,7 @@
 }
 
 var results = map[string]Result{
-	"ok": &ReplyOK{}, "failed": &ReplyFailed{}, "bad": &ReplyBad{},
+	"ok": &ReplyOK{}, "failed": &ReplyFailed{}, "bad": &ReplyRejected{},
 	"shed": NewReplyNotRun(NotRunShed), "leaving": NewReplyNotRun(NotRunLeaving),
 	"wrong-snapshot": NewReplyNotRun(NotRunWrongSnapshot),
 }
