--- a/tier/dispatcher/share_test.go
+++ b/tier/dispatcher/share_test.go
@@ -32,7 +32,7 @@
 func TestOwnersBeyondTheSlotsRefuse(t *testing.T) {
 	set := testSet(2, 2, 2)
 	for index, want := range []string{"call", "call", "refused 1 reason=no-owner retry-after=0"} {
-		d := New(set, "here", WithTakeover(0), WithShare(3, index))
+		d := New(set, "here", WithTakeoverDelay(0), WithShare(3, index))
 		actions := d.Step(0, NewSubmit(1, testProfiles[0], 100, []string{"s0", "s1"}))
 		if got := describe(actions[0]); !strings.HasPrefix(got, want) {
 			t.Errorf("owner %d of 3 on two slots: %s", index, got)
@@ -64,15 +64,15 @@
 	for _, c := range []struct {
 		takeover tier.Millis
 		within   bool
-	}{{DefaultTakeover, true}, {0, false}} {
+	}{{DefaultTakeoverDelay, true}, {0, false}} {
 		t.Run(fmt.Sprintf("takeover %d", c.takeover), func(t *testing.T) {
 			set := testSet(2, 4, slots)
-			old := New(set, "here", WithTakeover(0))
-			usurper := New(set, "here", WithTakeover(c.takeover))
+			old := New(set, "here", WithTakeoverDelay(0))
+			usurper := New(set, "here", WithTakeoverDelay(c.takeover))
 			// A share that changes to and fro doesn't end the takeover time.
 			usurper.Step(0, NewShareChanged(2, 1))
 			usurper.Step(0, NewShareChanged(1, 0))
-			most := inFlight(DefaultTakeover, []*Dispatcher{old, usurper})
+			most := inFlight(DefaultTakeoverDelay, []*Dispatcher{old, usurper})
 			if got := most <= slots+1; got != c.within {
 				t.Fatalf("%d calls on %d slots", most, slots)
 			}
@@ -90,7 +90,7 @@
 		testProfile("gate", tier.Urgent, tier.WithImposedWait(imposed)),
 		testProfile("fees", tier.Reports, tier.WithImposedWait(tier.MaxImposedWait)),
 	}
-	d := New(set, "here", WithTakeover(0))
+	d := New(set, "here", WithTakeoverDelay(0))
 	used := [2]tier.Millis{}
 	running := map[uint64]tier.Millis{}
 	kinds := map[uint64]int{}
@@ -116,7 +116,7 @@
 			if at, ok := running[a]; ok && at <= now {
 				delete(running, a)
 				used[kinds[a]] += times[kinds[a]]
-				take(now, d.Step(now, NewReplied(a, &ReplyOK{})))
+				take(now, d.Step(now, NewCallEnded(a, &ReplyOK{})))
 			}
 		}
 		if tamper != nil {
@@ -157,10 +157,10 @@
 // TestStandbyKeepsOneSlot: a VM that is not the owner never uses more than one
 // slot of a server, nor does a former owner once the takeover time is over.
 func TestStandbyKeepsOneSlot(t *testing.T) {
-	former := New(testSet(1, 1, 4), "here", WithTakeover(100))
+	former := New(testSet(1, 1, 4), "here", WithTakeoverDelay(100))
 	former.Step(0, &Tick{})
 	former.Step(1000, &Standby{})
-	guest := New(testSet(1, 1, 4), "here", WithTakeover(100))
+	guest := New(testSet(1, 1, 4), "here", WithTakeoverDelay(100))
 	guest.Step(0, &Standby{})
 	for name, c := range map[string]struct {
 		d    *Dispatcher
--- a/tier/dispatcher/status.go
+++ b/tier/dispatcher/status.go
@@ -29,8 +29,8 @@
 // Unknown is how many parts ended with a *PartUnknown.
 func (c Counters) Unknown() int { return c.unknown }
 
-// Late is how many parts reached their deadline.
-func (c Counters) Late() int { return c.late }
+// Expired is how many parts reached their deadline.
+func (c Counters) Expired() int { return c.late }
 
 // Cancelled is how many parts lost their caller.
 func (c Counters) Cancelled() int { return c.cancelled }
@@ -38,17 +38,17 @@
 // Calls is how many leaf calls were made.
 func (c Counters) Calls() int { return c.calls }
 
-// Extra is how many leaf calls were hedges or retries.
-func (c Counters) Extra() int { return c.extra }
+// ExtraCalls is how many leaf calls were hedges or retries.
+func (c Counters) ExtraCalls() int { return c.extra }
 
-// Failed is how many leaf calls ended without a usable reply.
-func (c Counters) Failed() int { return c.failed }
+// FailedCalls is how many leaf calls ended without a usable reply.
+func (c Counters) FailedCalls() int { return c.failed }
 
-// Bad is how many replies correlation rejected.
-func (c Counters) Bad() int { return c.bad }
+// RejectedReplies is how many replies correlation rejected.
+func (c Counters) RejectedReplies() int { return c.bad }
 
-// NotRun is how many leaf calls a server did not run.
-func (c Counters) NotRun() int { return c.notRun }
+// NotRunCalls is how many leaf calls a server did not run.
+func (c Counters) NotRunCalls() int { return c.notRun }
 
 // Refused is how many parts of a rank were refused.
 func (c Counters) Refused(r tier.Rank) int { return c.refused[r] }
@@ -68,11 +68,11 @@
 // State is the server's state.
 func (s ServerStatus) State() tier.BackendState { return s.state }
 
-// Used is how many slots this owner's calls hold.
-func (s ServerStatus) Used() int { return s.used }
+// UsedSlots is how many slots this owner's calls hold.
+func (s ServerStatus) UsedSlots() int { return s.used }
 
-// Limit is how many slots this owner's calls may hold now.
-func (s ServerStatus) Limit() int { return s.limit }
+// SlotLimit is how many slots this owner's calls may hold now.
+func (s ServerStatus) SlotLimit() int { return s.limit }
 
 // Latency is the average latency of its calls.
 func (s ServerStatus) Latency() tier.Millis { return s.latency }
@@ -90,8 +90,8 @@
 // Queued is how many parts of a rank wait, whole or in part.
 func (s Status) Queued(r tier.Rank) int { return s.queued[r] }
 
-// Wait is how long the queue of a rank takes to drain at the measured rate.
-func (s Status) Wait(r tier.Rank) tier.Millis { return s.wait[r] }
+// DrainTime is how long the queue of a rank takes to drain at the measured rate.
+func (s Status) DrainTime(r tier.Rank) tier.Millis { return s.wait[r] }
 
 // Servers lists the backend servers in the set's order.
 func (s Status) Servers() []ServerStatus { return s.servers }
--- a/tier/example_test.go
+++ b/tier/example_test.go
@@ -8,9 +8,9 @@
 	"cicadagrade.example/tier/dispatcher"
 	"cicadagrade.example/tier/gossiper"
 	"cicadagrade.example/tier/hedger"
-	"cicadagrade.example/tier/keeper"
 	"cicadagrade.example/tier/parser"
 	"cicadagrade.example/tier/picker"
+	"cicadagrade.example/tier/replicator"
 	"cicadagrade.example/tier/storer"
 )
 
@@ -105,7 +105,7 @@
 		switch a := a.(type) {
 		case *dispatcher.Call:
 			fmt.Println("call for", a.Shard())
-			actions = append(actions, d.Step(20, dispatcher.NewReplied(a.Attempt(), &dispatcher.ReplyOK{}))...)
+			actions = append(actions, d.Step(20, dispatcher.NewCallEnded(a.Attempt(), &dispatcher.ReplyOK{}))...)
 		case *dispatcher.PartDone:
 			fmt.Println("covered", len(a.Winners()), "missed", len(a.Misses()))
 		}
@@ -124,8 +124,8 @@
 		burst++
 	}
 	for range 100 {
-		h.FirstAttempt()
-		h.Observe(1000, 8)
+		h.RecordFirstAttempt()
+		h.ObserveLatency(1000, 8)
 	}
 	delay, measured := h.Delay()
 	fmt.Println("burst", burst, "then", h.Available(tier.Urgent))
@@ -137,16 +137,16 @@
 
 // A keeper takes a document that the store shows, and never an older one.
 func Example_configuration() {
-	author := keeper.NewAuthor("ana", "9f2d6c1b7a3e4f50", "first map", 0)
-	first, _ := keeper.Next(nil, parser.NewSetDocument(exampleSet()), author)
-	second, _ := keeper.Next(first, parser.NewSetDocument(exampleSet()), keeper.NewAuthor("ana", "0a1b2c3d4e5f6071", "again", 0))
-	k := keeper.New("vm-1", keeper.WithDataCentre("serra-caxias"))
-	show := func(now tier.Millis, s *keeper.State) {
+	author := replicator.NewAuthor("ana", "9f2d6c1b7a3e4f50", "first map", 0)
+	first, _ := replicator.NextState(nil, parser.NewSetDocument(exampleSet()), author)
+	second, _ := replicator.NextState(first, parser.NewSetDocument(exampleSet()), replicator.NewAuthor("ana", "0a1b2c3d4e5f6071", "again", 0))
+	k := replicator.New("vm-1", replicator.WithDataCentre("serra-caxias"))
+	show := func(now tier.Millis, s *replicator.State) {
 		v := storer.NewValue(s.Ref().Key(), s.Encode(), 1)
-		k.Step(now, keeper.NewListed([]storer.Value{v}))
-		fmt.Println(k.Documents()[0].Ref(), k.Flags())
+		k.Step(now, replicator.NewListed([]storer.Value{v}))
+		fmt.Println(k.Documents()[0].Ref(), k.Alerts())
 	}
-	k.Step(0, keeper.NewMembers([]string{"vm-1"}, nil))
+	k.Step(0, replicator.NewMembers([]string{"vm-1"}, nil))
 	show(1000, second)
 	show(3000, first)
 	// Output:
--- a/tier/forecaster/forecaster.go
+++ b/tier/forecaster/forecaster.go
@@ -47,8 +47,8 @@
 // New returns a forecaster that has seen nothing.
 func New() *Forecaster { return &Forecaster{shards: map[string]*shard{}} }
 
-// Missed counts a part that was not in by the aim of its request.
-func (f *Forecaster) Missed(now tier.Millis, name string) {
+// RecordMissed counts a part that was not in by the aim of its request.
+func (f *Forecaster) RecordMissed(now tier.Millis, name string) {
 	s, ok := f.shards[name]
 	if !ok {
 		s = &shard{}
@@ -58,8 +58,8 @@
 	s.rate, s.at = rate+weight*(1-rate), now
 }
 
-// Came counts a part that was in by the aim.
-func (f *Forecaster) Came(now tier.Millis, name string) {
+// RecordArrived counts a part that was in by the aim.
+func (f *Forecaster) RecordArrived(now tier.Millis, name string) {
 	s, ok := f.shards[name]
 	if !ok {
 		return
@@ -71,10 +71,10 @@
 	}
 }
 
-// Hopeless reports whether a request that needs minimum of the shards can't be
+// LikelyToFail reports whether a request that needs minimum of the shards can't be
 // expected to get them. Some such requests are tried all the same, and those
 // that came back after a refusal always are. draw is uniform in [0, 1).
-func (f *Forecaster) Hopeless(now tier.Millis, shards []string, minimum int, cameBack bool, draw float64) bool {
+func (f *Forecaster) LikelyToFail(now tier.Millis, shards []string, minimum int, cameBack bool, draw float64) bool {
 	if len(f.shards) == 0 || cameBack {
 		return false
 	}
--- a/tier/forecaster/load_test.go
+++ b/tier/forecaster/load_test.go
@@ -38,7 +38,7 @@
 	w.refused, w.served, w.wasted = 0, 0, 0
 	for range rate * seconds {
 		w.now += tier.Second / rate
-		if w.forecaster.Hopeless(w.now, w.shards, needed, false, w.draw.Float64()) {
+		if w.forecaster.LikelyToFail(w.now, w.shards, needed, false, w.draw.Float64()) {
 			w.refused++
 			continue
 		}
@@ -46,10 +46,10 @@
 		for i, name := range w.shards {
 			// One part in fifty is late for a leaf that pauses.
 			if i < w.dead || w.draw.IntN(50) == 0 {
-				w.forecaster.Missed(w.now, name)
+				w.forecaster.RecordMissed(w.now, name)
 				continue
 			}
-			w.forecaster.Came(w.now, name)
+			w.forecaster.RecordArrived(w.now, name)
 			in++
 		}
 		if in >= needed {
@@ -82,7 +82,7 @@
 	if w.wasted > rate*seconds*2/5 {
 		t.Errorf("%d of %d tried in vain", w.wasted, rate*seconds)
 	}
-	if w.forecaster.Hopeless(w.now, w.shards, needed, true, 1) {
+	if w.forecaster.LikelyToFail(w.now, w.shards, needed, true, 1) {
 		t.Error("a request that came back is refused again")
 	}
 	// The shards are back: the trials find out within two seconds.
--- a/tier/hedger/hedger.go
+++ b/tier/hedger/hedger.go
@@ -49,8 +49,8 @@
 	return BudgetBurst
 }
 
-// FirstAttempt adds to the budget.
-func (h *Hedger) FirstAttempt() { h.tokens = min(h.burst(), h.tokens+h.fraction) }
+// RecordFirstAttempt adds to the budget.
+func (h *Hedger) RecordFirstAttempt() { h.tokens = min(h.burst(), h.tokens+h.fraction) }
 
 // Take spends one token for an extra call, and reports whether there was
 // one. Less urgent ranks leave a part of the budget to more urgent ones.
@@ -71,9 +71,9 @@
 // Tokens is the budget left.
 func (h *Hedger) Tokens() float64 { return h.tokens }
 
-// Observe counts the latency of a call, or the time it had run when it was
+// ObserveLatency counts the latency of a call, or the time it had run when it was
 // cancelled.
-func (h *Hedger) Observe(now, latency tier.Millis) {
+func (h *Hedger) ObserveLatency(now, latency tier.Millis) {
 	if now-h.started >= Window {
 		h.previous, h.current = h.current, &histogram{}
 		h.started = now
--- a/tier/hedger/hedger_test.go
+++ b/tier/hedger/hedger_test.go
@@ -17,7 +17,7 @@
 			if _, ok := h.Delay(); ok != (i >= MinSamples) {
 				t.Fatalf("measured %v after %d samples", ok, i)
 			}
-			h.Observe(0, tier.Millis(m))
+			h.ObserveLatency(0, tier.Millis(m))
 		}
 		got, _ := h.Delay()
 		slices.Sort(latencies)
@@ -32,7 +32,7 @@
 	h := New(0.9, 0.05)
 	for i := range 3 {
 		for range MinSamples {
-			h.Observe(tier.Millis(i)*Window, tier.Millis(1000>>(4*i)))
+			h.ObserveLatency(tier.Millis(i)*Window, tier.Millis(1000>>(4*i)))
 		}
 	}
 	if got, _ := h.Delay(); got > 64 {
@@ -52,7 +52,7 @@
 		t.Fatalf("took %v of %d tokens", taken, BudgetBurst)
 	}
 	for range 19 {
-		h.FirstAttempt()
+		h.RecordFirstAttempt()
 	}
 	if h.Take(tier.Urgent) {
 		t.Fatal("took a token that 19 first attempts had not earned")
--- a/tier/lister/index_test.go
+++ b/tier/lister/index_test.go
@@ -45,7 +45,7 @@
 			if number("readable", 8) == 0 {
 				return UnreadableEntry(key)
 			}
-			options := []Option{Born(int64(number("born", 3)))}
+			options := []Option{StartedAt(int64(number("born", 3)))}
 			if number("leaving", 4) == 0 {
 				options = append(options, Leaving())
 			}
@@ -56,7 +56,7 @@
 			now += tier.Millis(number("wait", 1500))
 			switch number("step", 8) {
 			case 0:
-				l.Lost()
+				l.StoreUnavailable()
 			case 1:
 				l.Remove(now, fmt.Sprint("servers/", number("id", 6)))
 			case 2:
--- a/tier/lister/leaf.go
+++ b/tier/lister/leaf.go
@@ -26,8 +26,8 @@
 	return l
 }
 
-// In sets the data centre.
-func In(dataCentre string) Option { return func(l *Leaf) { l.dataCentre = dataCentre } }
+// InDataCentre sets the data centre.
+func InDataCentre(dataCentre string) Option { return func(l *Leaf) { l.dataCentre = dataCentre } }
 
 // WithSlots sets how many requests it works on at once.
 func WithSlots(n int) Option { return func(l *Leaf) { l.slots = max(n, 1) } }
@@ -35,12 +35,12 @@
 // Leaving says that it has announced its planned end.
 func Leaving() Option { return func(l *Leaf) { l.leaving = true } }
 
-// ColdFor says how much longer it works slowly after its start.
-func ColdFor(m tier.Millis) Option { return func(l *Leaf) { l.cold = m } }
+// WithColdRemaining says how much longer it works slowly after its start.
+func WithColdRemaining(m tier.Millis) Option { return func(l *Leaf) { l.cold = m } }
 
-// Born sets the Unix time of its start in milliseconds. The same id with
+// StartedAt sets the Unix time of its start in milliseconds. The same id with
 // another start is another life of the server.
-func Born(m int64) Option { return func(l *Leaf) { l.born = m } }
+func StartedAt(m int64) Option { return func(l *Leaf) { l.born = m } }
 
 // ID is the name under which it registered.
 func (l Leaf) ID() string { return l.id }
@@ -60,11 +60,11 @@
 // IsLeaving reports whether it has announced its planned end.
 func (l Leaf) IsLeaving() bool { return l.leaving }
 
-// Cold is how much longer it works slowly, counted from when it said so.
-func (l Leaf) Cold() tier.Millis { return l.cold }
+// ColdRemaining is how much longer it works slowly, counted from when it said so.
+func (l Leaf) ColdRemaining() tier.Millis { return l.cold }
 
-// Life tells two lives under one id apart.
-func (l Leaf) Life() int64 { return l.born }
+// StartTime tells two lives under one id apart.
+func (l Leaf) StartTime() int64 { return l.born }
 
 // sameBut reports whether two registrations differ in nothing but how long the
 // leaf is still cold, which passes by itself.
--- a/tier/lister/lister.go
+++ b/tier/lister/lister.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// Lost says that the store can't be read at the moment.
-func (l *Lister) Lost() { l.away, l.inWindow = true, false }
+// StoreUnavailable says that the store can't be read at the moment.
+func (l *Lister) StoreUnavailable() { l.away, l.inWindow = true, false }
 
 // Replace takes the whole list as read from the store at now.
 func (l *Lister) Replace(now tier.Millis, entries []Entry) {
@@ -203,8 +203,8 @@
 // Leafs are the usable leafs of a service. The slice is the lister's own.
 func (l *Lister) Leafs(service string) []Leaf { return l.byService[service] }
 
-// Usable is the number of leafs that may be used.
-func (l *Lister) Usable() int {
+// UsableCount is the number of leafs that may be used.
+func (l *Lister) UsableCount() int {
 	n := 0
 	for _, list := range l.byService {
 		n += len(list)
@@ -215,8 +215,8 @@
 // Len is the number of entries, usable or not.
 func (l *Lister) Len() int { return len(l.entries) }
 
-// Changes returns what has changed since the last call.
-func (l *Lister) Changes() []Change {
+// TakeChanges returns what has changed since the last call.
+func (l *Lister) TakeChanges() []Change {
 	c := l.changes
 	l.changes = nil
 	return c
--- a/tier/lister/lister_test.go
+++ b/tier/lister/lister_test.go
@@ -28,16 +28,16 @@
 
 func TestLeavingIsFinalWithinALife(t *testing.T) {
 	l := New()
-	l.Put(0, entry("a", 1, Born(5)))
-	l.Put(1, entry("a", 2, Born(5), Leaving()))
+	l.Put(0, entry("a", 1, StartedAt(5)))
+	l.Put(1, entry("a", 2, StartedAt(5), Leaving()))
 	expect(t, l, "", "it leaves")
-	l.Put(2, entry("a", 1, Born(5)))
+	l.Put(2, entry("a", 1, StartedAt(5)))
 	expect(t, l, "", "an old write comes late")
-	l.Put(3, entry("a", 9, Born(5)))
+	l.Put(3, entry("a", 9, StartedAt(5)))
 	expect(t, l, "", "a write that forgot")
-	l.Put(4, entry("a", 1, Born(6)))
+	l.Put(4, entry("a", 1, StartedAt(6)))
 	expect(t, l, "a", "it started again, its sequence anew")
-	l.Put(5, entry("a", 50, Born(5), Leaving()))
+	l.Put(5, entry("a", 50, StartedAt(5), Leaving()))
 	expect(t, l, "a", "the former life's last write comes late")
 }
 
@@ -47,7 +47,7 @@
 	l.Remove(10, "servers/b")
 	expect(t, l, "a", "one left while the store was there")
 	l.Put(11, entry("b", 2))
-	l.Lost()
+	l.StoreUnavailable()
 	expect(t, l, "a b", "the store is away")
 	l.Replace(1000, nil)
 	expect(t, l, "a b", "the store is back, empty")
@@ -62,8 +62,8 @@
 
 func TestAnAddressBelongsToWhoRegisteredLast(t *testing.T) {
 	l := New()
-	l.Put(0, NewEntry("servers/old", NewLeaf("old", "s", "x:1", Born(1)), 1))
-	l.Put(1, NewEntry("servers/new", NewLeaf("new", "other", "x:1", Born(2)), 1))
+	l.Put(0, NewEntry("servers/old", NewLeaf("old", "s", "x:1", StartedAt(1)), 1))
+	l.Put(1, NewEntry("servers/new", NewLeaf("new", "other", "x:1", StartedAt(2)), 1))
 	expect(t, l, "", "another service has the address")
 	if n := len(l.Leafs("other")); n != 1 {
 		t.Errorf("%d leafs of the new service, expected 1", n)
@@ -86,13 +86,13 @@
 	if l.Put(1, entry("a", 2)) {
 		t.Error("a sign of life is a change")
 	}
-	if l.Put(2, entry("a", 3, ColdFor(100*tier.Millisecond))) {
+	if l.Put(2, entry("a", 3, WithColdRemaining(100*tier.Millisecond))) {
 		t.Error("the time that a leaf is cold is a change")
 	}
 	l.Put(3, entry("a", 4, Leaving()))
 	l.Remove(4, "servers/a")
 	var states []string
-	for _, c := range l.Changes() {
+	for _, c := range l.TakeChanges() {
 		states = append(states, c.State())
 	}
 	if got := strings.Join(states, " "); got != "ready leaving gone" {
--- a/tier/measurer/run.go
+++ b/tier/measurer/run.go
@@ -67,7 +67,7 @@
 	on          map[*job]*server
 	queries     map[uint64]*query
 	fronts      []*admitter.Admitter
-	published   admitter.Published
+	published   admitter.ReceivedThreshold
 	result      *Result
 }
 
@@ -115,7 +115,7 @@
 		n = 1
 	}
 	for i := range n {
-		d := dispatcher.New(set, "here", dispatcher.WithSeed(r.scenario.seed+uint64(i)), dispatcher.WithTakeover(0))
+		d := dispatcher.New(set, "here", dispatcher.WithSeed(r.scenario.seed+uint64(i)), dispatcher.WithTakeoverDelay(0))
 		r.dispatchers = append(r.dispatchers, d)
 		r.jobs = append(r.jobs, map[uint64]*job{})
 		for _, b := range set.Servers() {
@@ -179,7 +179,7 @@
 func (r *run) nextTick() (int, tier.Millis, bool) {
 	first, at, found := 0, tier.Millis(0), false
 	for i, d := range r.dispatchers {
-		if t, ok := d.Next(); ok && (!found || t < at) {
+		if t, ok := d.NextTick(); ok && (!found || t < at) {
 			first, at, found = i, t, true
 		}
 	}
@@ -198,7 +198,7 @@
 	case comeback:
 		r.ask(r.queries[h.query])
 	case refusal:
-		e := dispatcher.NewReplied(h.job.attempt, dispatcher.NewReplyNotRun(dispatcher.NotRunShed))
+		e := dispatcher.NewCallEnded(h.job.attempt, dispatcher.NewReplyNotRun(dispatcher.NotRunShed))
 		r.act(h.job.entry, r.dispatchers[h.job.entry].Step(r.now, e))
 	case departure:
 		r.act(h.entry, r.dispatchers[h.entry].Step(r.now, dispatcher.NewCancelled(h.query)))
@@ -207,7 +207,7 @@
 			s.shed = h.shed
 		}
 	case publication:
-		r.published = admitter.NewPublished(r.dispatchers[0].Status().Threshold(), r.now)
+		r.published = admitter.NewReceivedThreshold(r.dispatchers[0].Status().Threshold(), r.now)
 		if r.now < r.scenario.duration {
 			r.add(happening{at: r.now + publishInterval, kind: publication})
 		}
@@ -231,7 +231,7 @@
 		entry = r.random.IntN(entryVMs)
 	}
 	if r.scenario.way == Owner {
-		if after, ok := r.fronts[entry].Admit(r.now, k, r.published); !ok && r.published != (admitter.Published{}) {
+		if after, ok := r.fronts[entry].Admit(r.now, k, r.published); !ok && r.published != (admitter.ReceivedThreshold{}) {
 			r.result.ranks[k].atFront++
 			r.refused(q, after)
 			return
@@ -311,7 +311,7 @@
 func (r *run) end(j *job, s *server, result dispatcher.Result) {
 	r.begin(s.leave(r.now, j), s)
 	delete(r.on, j)
-	r.act(j.entry, r.dispatchers[j.entry].Step(r.now, dispatcher.NewReplied(j.attempt, result)))
+	r.act(j.entry, r.dispatchers[j.entry].Step(r.now, dispatcher.NewCallEnded(j.attempt, result)))
 }
 
 func (r *run) done(entry int, a *dispatcher.PartDone) {
@@ -337,8 +337,8 @@
 	for _, d := range r.dispatchers {
 		c := d.Status().Counters()
 		r.result.calls += c.Calls()
-		r.result.extra += c.Extra()
-		r.result.shed += c.NotRun()
+		r.result.extra += c.ExtraCalls()
+		r.result.shed += c.NotRunCalls()
 	}
 	for _, s := range r.servers {
 		r.result.overbooked = max(r.result.overbooked, s.most)
--- a/tier/merger/errors.go
+++ b/tier/merger/errors.go
@@ -28,9 +28,9 @@
 
 // The problems.
 const (
-	ShardForeign  ShardProblem = "foreign"  // not in the shard map
+	ShardNotInMap ShardProblem = "foreign"  // not in the shard map
 	ShardRepeated ShardProblem = "repeated" // already merged
-	ShardMissed   ShardProblem = "missed"   // the result holds no reply
+	ShardNoReply  ShardProblem = "missed"   // the result holds no reply
 )
 
 // ShardError says that a result may not count for its shard.
@@ -50,19 +50,19 @@
 	return fmt.Sprintf("the result of shard %q does not count: %s", e.shard, e.problem)
 }
 
-// KeyError says that one reply holds two values of one key.
-type KeyError struct {
+// KeyConflictError says that one reply holds two values of one key.
+type KeyConflictError struct {
 	shard string
 	key   string
 }
 
 // Shard is the id of the shard.
-func (e *KeyError) Shard() string { return e.shard }
+func (e *KeyConflictError) Shard() string { return e.shard }
 
 // Key is the record's key.
-func (e *KeyError) Key() string { return e.key }
+func (e *KeyConflictError) Key() string { return e.key }
 
 // Error names shard and key.
-func (e *KeyError) Error() string {
+func (e *KeyConflictError) Error() string {
 	return fmt.Sprintf("the reply of shard %q holds two values of key %q", e.shard, e.key)
 }
--- a/tier/merger/merger.go
+++ b/tier/merger/merger.go
@@ -49,13 +49,13 @@
 		return errors.Wrap(&SnapshotError{want: m.snapshot, got: s}, "Merge.Add")
 	}
 	if !m.owner[r.shard] {
-		return errors.Wrap(&ShardError{shard: r.shard, problem: ShardForeign}, "Merge.Add")
+		return errors.Wrap(&ShardError{shard: r.shard, problem: ShardNotInMap}, "Merge.Add")
 	}
 	if _, done := m.covered[r.shard]; done {
 		return errors.Wrap(&ShardError{shard: r.shard, problem: ShardRepeated}, "Merge.Add")
 	}
 	if r.miss != "" {
-		return errors.Wrap(&ShardError{shard: r.shard, problem: ShardMissed}, "Merge.Add")
+		return errors.Wrap(&ShardError{shard: r.shard, problem: ShardNoReply}, "Merge.Add")
 	}
 	if err := correlator.CheckRecords(r.records, r.count, r.digest); err != nil {
 		return errors.Wrap(err, "Merge.Add")
@@ -75,15 +75,15 @@
 	for _, e := range r.records {
 		v, ok := seen[e.Key()]
 		if ok && v != e.Value() {
-			return &KeyError{shard: r.shard, key: e.Key()}
+			return &KeyConflictError{shard: r.shard, key: e.Key()}
 		}
 		seen[e.Key()] = e.Value()
 	}
 	return nil
 }
 
-// Miss notes why a shard is missing, unless its reply was merged.
-func (m *Merge) Miss(shard string, reason tier.MissReason) {
+// RecordMiss notes why a shard is missing, unless its reply was merged.
+func (m *Merge) RecordMiss(shard string, reason tier.MissReason) {
 	if _, done := m.covered[shard]; done || !m.owner[shard] {
 		return
 	}
@@ -105,9 +105,9 @@
 // Complete reports whether every shard of the map was merged.
 func (m *Merge) Complete() bool { return len(m.covered) == len(m.owner) }
 
-// Doubled is how many records the last Answer dropped because their key
+// Duplicates is how many records the last Answer dropped because their key
 // stood there already.
-func (m *Merge) Doubled() int { return m.doubled }
+func (m *Merge) Duplicates() int { return m.doubled }
 
 // Coverage is the true coverage. A shard with neither a reply nor a noted
 // reason is missing for the deadline.
--- a/tier/merger/merger_test.go
+++ b/tier/merger/merger_test.go
@@ -67,7 +67,7 @@
 		records = append(records, tier.NewRecord(records[0].Key(), "x"))
 		count, digest, whole = len(records), tier.Digest(records), false
 	case "missed":
-		return served{snapshot: s, result: merger.NewMissedShard(shard, tier.MissRefused)}
+		return served{snapshot: s, result: merger.NewMissingShard(shard, tier.MissRefused)}
 	}
 	return served{snapshot: s, result: merger.NewReceivedResult(shard, records, count, digest), whole: whole}
 }
@@ -118,7 +118,7 @@
 		m := merger.New(set, 7)
 		for _, r := range replies {
 			if m.Add(r.snapshot, r.result) != nil {
-				m.Miss(r.result.Shard(), tier.MissBadReply)
+				m.RecordMiss(r.result.Shard(), tier.MissBadReply)
 			}
 		}
 		if err := checkAnswer(m.Answer(), m.Snapshot(), replies); err != nil {
--- a/tier/merger/result.go
+++ b/tier/merger/result.go
@@ -23,8 +23,8 @@
 	return ShardResult{shard: shard, records: records, count: count, digest: digest}
 }
 
-// NewMissedShard returns a result that says why a shard is missing.
-func NewMissedShard(shard string, reason tier.MissReason) ShardResult {
+// NewMissingShard returns a result that says why a shard is missing.
+func NewMissingShard(shard string, reason tier.MissReason) ShardResult {
 	return ShardResult{shard: shard, miss: reason}
 }
 
--- a/tier/sharer/division.go
+++ b/tier/partitioner/division.go
@@ -1,4 +1,4 @@
-package sharer
+package partitioner
 
 import (
 	"math"
@@ -25,16 +25,16 @@
 // Parts are the places of the shards in the request.
 func (s Share) Parts() []int { return s.parts }
 
-// Place is where a leaf lies.
-type Place struct {
+// Location is where a leaf lies.
+type Location struct {
 	DataCentre, Region string
 }
 
-// Divide gives each shard of a request to a VM. A shard with a leaf in this
+// Partition gives each shard of a request to a VM. A shard with a leaf in this
 // VM's region goes to the VM that owns it there. The others go to one VM in each
 // further region, which divides them again. placesOf lists where a shard has
 // leafs; draw returns numbers uniform in [0, 1).
-func (s *Sharer) Divide(class string, shards []string, placesOf func(string) []Place, draw func() float64) []Share {
+func (s *Partitioner) Partition(class string, shards []string, placesOf func(string) []Location, draw func() float64) []Share {
 	d := division{at: map[string]int{}, self: s.self.vm.Name()}
 	var away []int
 	able := s.able(s.self.region)
@@ -68,13 +68,13 @@
 	return d.list
 }
 
-func hasRegion(places []Place, region string) bool {
-	return slices.ContainsFunc(places, func(p Place) bool { return p.Region == region })
+func hasRegion(places []Location, region string) bool {
+	return slices.ContainsFunc(places, func(p Location) bool { return p.Region == region })
 }
 
-func hasDataCentre(places []Place) func(string) bool {
+func hasDataCentre(places []Location) func(string) bool {
 	return func(dataCentre string) bool {
-		return slices.ContainsFunc(places, func(p Place) bool { return p.DataCentre == dataCentre })
+		return slices.ContainsFunc(places, func(p Location) bool { return p.DataCentre == dataCentre })
 	}
 }
 
@@ -114,7 +114,7 @@
 // region chooses where shards without a leaf at home are asked: where most of
 // them have one, the usually faster region more often. It finds none if no
 // shard has a leaf.
-func (s *Sharer) region(class string, shards []string, away []int, placesOf func(string) []Place, draw float64) (string, bool) {
+func (s *Partitioner) region(class string, shards []string, away []int, placesOf func(string) []Location, draw float64) (string, bool) {
 	count := map[string]int{}
 	most := 0
 	for _, i := range away {
--- a/tier/sharer/sharer.go
+++ b/tier/partitioner/sharer.go
@@ -1,8 +1,8 @@
-// Package sharer divides the shards of a request among VMs near their leafs,
+// Package partitioner divides the shards of a request among VMs near their leafs,
 // so that each leaf is asked by few VMs: its queue is counted, its connections
 // are few, and merged records cross the regions instead of whole parts.
 // Nothing is agreed between VMs: a share may always be asked by anyone.
-package sharer
+package partitioner
 
 import (
 	"math"
@@ -85,8 +85,8 @@
 
 type regionKey struct{ class, region string }
 
-// Sharer is the view of one VM. It is not safe for concurrent use.
-type Sharer struct {
+// Partitioner is the view of one VM. It is not safe for concurrent use.
+type Partitioner struct {
 	self    Member
 	members map[string]*state
 	usual   map[regionKey]float64
@@ -98,21 +98,21 @@
 const pickedFor = 200 * tier.Millisecond
 
 // New returns a sharer that knows only its own VM.
-func New(self Member) *Sharer {
-	s := &Sharer{self: self, members: map[string]*state{}, usual: map[regionKey]float64{}}
+func New(self Member) *Partitioner {
+	s := &Partitioner{self: self, members: map[string]*state{}, usual: map[regionKey]float64{}}
 	s.members[self.vm.Name()] = &state{member: self}
 	return s
 }
 
 // Self is the VM itself.
-func (s *Sharer) Self() Member { return s.self }
+func (s *Partitioner) Self() Member { return s.self }
 
-// Len is the number of members, with the VM itself.
-func (s *Sharer) Len() int { return len(s.members) }
+// MemberCount is the number of members, with the VM itself.
+func (s *Partitioner) MemberCount() int { return len(s.members) }
 
 // SetMembers takes the list of VMs as the store has it. Ones that are missing
 // are kept for a while if lapsed says that the store was away.
-func (s *Sharer) SetMembers(now tier.Millis, list []Member, lapsed bool) {
+func (s *Partitioner) SetMembers(now tier.Millis, list []Member, lapsed bool) {
 	seen := map[string]bool{s.self.vm.Name(): true}
 	for _, m := range list {
 		s.Put(m)
@@ -131,7 +131,7 @@
 }
 
 // Put takes one VM's registration.
-func (s *Sharer) Put(m Member) {
+func (s *Partitioner) Put(m Member) {
 	name := m.vm.Name()
 	if name == s.self.vm.Name() {
 		return
@@ -145,14 +145,14 @@
 }
 
 // Remove takes the end of a VM's registration.
-func (s *Sharer) Remove(name string) {
+func (s *Partitioner) Remove(name string) {
 	if name != s.self.vm.Name() {
 		delete(s.members, name)
 	}
 }
 
 // Tick drops members that stayed missing.
-func (s *Sharer) Tick(now tier.Millis) {
+func (s *Partitioner) Tick(now tier.Millis) {
 	for name, m := range s.members {
 		if m.missing > 0 && now-m.missing >= keepFor {
 			delete(s.members, name)
@@ -161,7 +161,7 @@
 }
 
 // Failed passes a VM over until a probe succeeds: it did not answer in time.
-func (s *Sharer) Failed(now tier.Millis, name string) {
+func (s *Partitioner) Failed(now tier.Millis, name string) {
 	m, ok := s.members[name]
 	if !ok || m.suspect || name == s.self.vm.Name() {
 		return
@@ -177,7 +177,7 @@
 
 // Probes lists the VMs to probe now. Each is listed again a while later if no
 // Found follows.
-func (s *Sharer) Probes(now tier.Millis) []Member {
+func (s *Partitioner) Probes(now tier.Millis) []Member {
 	var due []Member
 	for _, m := range s.members {
 		if m.suspect && now >= m.probeAt {
@@ -188,9 +188,9 @@
 	return due
 }
 
-// Unused lists the gateways to other regions that have not been used for long,
+// IdleGateways lists the gateways to other regions that have not been used for long,
 // each once. A share that had to open a connection there would come a trip late.
-func (s *Sharer) Unused(now tier.Millis) []Member {
+func (s *Partitioner) IdleGateways(now tier.Millis) []Member {
 	var due []Member
 	for _, region := range s.otherRegions() {
 		for _, g := range s.gateways(region) {
@@ -203,9 +203,9 @@
 	return due
 }
 
-// Found ends the suspicion of a VM that answered a probe in time, and reports
+// Recovered ends the suspicion of a VM that answered a probe in time, and reports
 // whether there was one.
-func (s *Sharer) Found(now tier.Millis, name string) bool {
+func (s *Partitioner) Recovered(now tier.Millis, name string) bool {
 	m, ok := s.members[name]
 	if !ok || !m.suspect {
 		return false
@@ -215,8 +215,8 @@
 	return true
 }
 
-// Answered takes the time to a VM and back.
-func (s *Sharer) Answered(now tier.Millis, name string, trip tier.Millis) {
+// RecordRoundTrip takes the time to a VM and back.
+func (s *Partitioner) RecordRoundTrip(now tier.Millis, name string, trip tier.Millis) {
 	m, ok := s.members[name]
 	if !ok {
 		return
@@ -233,9 +233,9 @@
 // follow them; one can be lost and one silent.
 const watchers = 3
 
-// Watchers lists the VMs that ask the store for changes, among the strong ones
+// StoreWatchers lists the VMs that ask the store for changes, among the strong ones
 // that answer.
-func (s *Sharer) Watchers() []Member {
+func (s *Partitioner) StoreWatchers() []Member {
 	most := 0.0
 	for _, m := range s.members {
 		most = max(most, m.member.cores)
@@ -252,8 +252,8 @@
 	return list[:min(watchers, len(list))]
 }
 
-// Sound lists the other VMs that answer, those of the own region first.
-func (s *Sharer) Sound() []Member {
+// HealthyPeers lists the other VMs that answer, those of the own region first.
+func (s *Partitioner) HealthyPeers() []Member {
 	var list []Member
 	for name, m := range s.members {
 		if !m.suspect && name != s.self.vm.Name() {
@@ -271,7 +271,7 @@
 }
 
 // RoundTrip is the time to expect to a VM and back, in milliseconds.
-func (s *Sharer) RoundTrip(m Member) float64 {
+func (s *Partitioner) RoundTrip(m Member) float64 {
 	if k, ok := s.members[m.vm.Name()]; ok && k.trip > 0 {
 		return k.trip
 	}
@@ -281,8 +281,8 @@
 	return priorFarTrip
 }
 
-// Gathered takes how long the shares of a request took that went to a region.
-func (s *Sharer) Gathered(class, region string, took tier.Millis) {
+// RecordShareLatency takes how long the shares of a request took that went to a region.
+func (s *Partitioner) RecordShareLatency(class, region string, took tier.Millis) {
 	k := regionKey{class, region}
 	old, ok := s.usual[k]
 	if !ok {
@@ -293,7 +293,7 @@
 
 // Owns reports whether this VM is the one that usually asks a shard in its
 // region; leafIn tells the data centres of its leafs.
-func (s *Sharer) Owns(now tier.Millis, shard string, leafIn func(dataCentre string) bool) bool {
+func (s *Partitioner) Owns(now tier.Millis, shard string, leafIn func(dataCentre string) bool) bool {
 	if s.picked == nil || now-s.pickAt >= pickedFor {
 		s.picked, s.pickAt = map[string]string{}, now
 	}
@@ -308,7 +308,7 @@
 }
 
 // able lists the strong VMs of a region that are not passed over.
-func (s *Sharer) able(region string) []Member {
+func (s *Partitioner) able(region string) []Member {
 	most := 0.0
 	var list []Member
 	for _, m := range s.members {
@@ -331,7 +331,7 @@
 // gateways are the VMs of another region that this one gives shares to: always
 // the same few, so that the connections are there, and not the same ones for all
 // VMs.
-func (s *Sharer) gateways(region string) []Member {
+func (s *Partitioner) gateways(region string) []Member {
 	list := s.able(region)
 	if len(list) <= gatewayCount {
 		return list
@@ -342,7 +342,7 @@
 }
 
 // otherRegions lists the regions of other VMs but the own.
-func (s *Sharer) otherRegions() []string {
+func (s *Partitioner) otherRegions() []string {
 	var list []string
 	for _, m := range s.members {
 		if r := m.member.region; r != s.self.region && !slices.Contains(list, r) {
--- a/tier/sharer/sharer_test.go
+++ b/tier/partitioner/sharer_test.go
@@ -1,4 +1,4 @@
-package sharer
+package partitioner
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 }
 
 // fleet returns the views of all VMs of three regions with a few strong VMs each.
-func fleet(strong, weak int) map[string]*Sharer {
+func fleet(strong, weak int) map[string]*Partitioner {
 	var all []Member
 	for _, region := range []string{"r1", "r2", "r3"} {
 		for i := range strong {
@@ -23,7 +23,7 @@
 			all = append(all, member(fmt.Sprintf("%s-weak-%d", region, i), region, 0.2))
 		}
 	}
-	views := map[string]*Sharer{}
+	views := map[string]*Partitioner{}
 	for _, m := range all {
 		s := New(m)
 		s.SetMembers(0, all, false)
@@ -40,11 +40,11 @@
 	return list
 }
 
-func placesOf(shard string) []Place {
-	all := []Place{{"r1-1", "r1"}, {"r2-1", "r2"}, {"r3-1", "r3"}}
+func placesOf(shard string) []Location {
+	all := []Location{{"r1-1", "r1"}, {"r2-1", "r2"}, {"r3-1", "r3"}}
 	var i int
 	_, _ = fmt.Sscanf(shard, "shard-%d", &i)
-	return []Place{all[i%3], all[(i+1)%3]}
+	return []Location{all[i%3], all[(i+1)%3]}
 }
 
 func TestEveryShardIsAskedOnce(t *testing.T) {
@@ -52,7 +52,7 @@
 	list := shards(30)
 	for name, s := range fleet(2, 5) {
 		seen := map[int]bool{}
-		for _, share := range s.Divide("class", list, placesOf, draw.Float64) {
+		for _, share := range s.Partition("class", list, placesOf, draw.Float64) {
 			if share.Self() != (share.Member().VM().Name() == name) {
 				t.Errorf("%s: a share says self %v", name, share.Self())
 			}
@@ -81,7 +81,7 @@
 		if s.Self().Region() != "r1" {
 			continue
 		}
-		for _, share := range s.Divide("class", list, placesOf, draw.Float64) {
+		for _, share := range s.Partition("class", list, placesOf, draw.Float64) {
 			m := share.Member()
 			if m.Cores() < 0.5 {
 				t.Errorf("%s is given a share", m.VM().Name())
@@ -120,7 +120,7 @@
 	draw := rand.New(rand.NewPCG(1, 1))
 	s := fleet(3, 0)["r1-strong-0"]
 	given := func() bool {
-		for _, share := range s.Divide("class", shards(30), placesOf, draw.Float64) {
+		for _, share := range s.Partition("class", shards(30), placesOf, draw.Float64) {
 			if share.Member().VM().Name() == "r1-strong-1" {
 				return true
 			}
@@ -134,7 +134,7 @@
 	if due := s.Probes(1000 + probeAfter); len(due) != 1 {
 		t.Fatalf("%d probes are due", len(due))
 	}
-	s.Found(1500, "r1-strong-1")
+	s.Recovered(1500, "r1-strong-1")
 	if !given() {
 		t.Error("a VM that answers again is given nothing")
 	}
@@ -145,7 +145,7 @@
 	for name := range s.members {
 		s.Failed(9000, name)
 	}
-	for _, share := range s.Divide("class", shards(30), placesOf, draw.Float64) {
+	for _, share := range s.Partition("class", shards(30), placesOf, draw.Float64) {
 		if !share.Self() {
 			t.Errorf("%s is given a share though only this VM answers", share.Member().VM().Name())
 		}
@@ -156,7 +156,7 @@
 	views := fleet(4, 21)
 	count := 0
 	for name, s := range views {
-		for _, m := range s.Watchers() {
+		for _, m := range s.StoreWatchers() {
 			if m.VM().Name() == name {
 				count++
 			}
@@ -173,12 +173,12 @@
 func TestMembersOutliveAnOutage(t *testing.T) {
 	s := fleet(2, 0)["r1-strong-0"]
 	s.SetMembers(1000, nil, true)
-	if s.Len() != 6 {
-		t.Errorf("%d VMs known right after an outage, expected 6", s.Len())
+	if s.MemberCount() != 6 {
+		t.Errorf("%d VMs known right after an outage, expected 6", s.MemberCount())
 	}
 	s.Tick(1000 + keepFor)
-	if s.Len() != 1 {
-		t.Errorf("%d VMs known that did not register again", s.Len())
+	if s.MemberCount() != 1 {
+		t.Errorf("%d VMs known that did not register again", s.MemberCount())
 	}
 }
 
@@ -190,17 +190,17 @@
 	used := map[string]int{}
 	for name, s := range fleet(8, 12) {
 		warm := map[string]bool{}
-		for _, m := range s.Unused(1) {
+		for _, m := range s.IdleGateways(1) {
 			warm[m.VM().Name()] = true
 		}
 		if len(warm) != 2*gatewayCount {
 			t.Errorf("%s warms %d connections", name, len(warm))
 		}
-		if again := s.Unused(2); len(again) > 0 {
+		if again := s.IdleGateways(2); len(again) > 0 {
 			t.Errorf("%s warms %d connections at once again", name, len(again))
 		}
 		for range 20 {
-			for _, share := range s.Divide("class", shards(30), placesOf, draw.Float64) {
+			for _, share := range s.Partition("class", shards(30), placesOf, draw.Float64) {
 				if m := share.Member(); m.Region() != s.Self().Region() {
 					used[m.VM().Name()]++
 					if !warm[m.VM().Name()] {
@@ -209,7 +209,7 @@
 				}
 			}
 		}
-		if again := s.Unused(warmFor + 1); len(again) != 2*gatewayCount {
+		if again := s.IdleGateways(warmFor + 1); len(again) != 2*gatewayCount {
 			t.Errorf("%s warms %d connections after a while", name, len(again))
 		}
 	}
@@ -227,12 +227,12 @@
 		dataCentre := fmt.Sprintf("r1-%d", i%2)
 		all = append(all, NewMember(tier.NewVM(fmt.Sprint("vm-", i), dataCentre, ""), "r1", 0.8))
 	}
-	places := func(string) []Place { return []Place{{"r1-1", "r1"}, {"r2-0", "r2"}} }
+	places := func(string) []Location { return []Location{{"r1-1", "r1"}, {"r2-0", "r2"}} }
 	for _, self := range all {
 		s := New(self)
 		s.SetMembers(0, all, false)
 		check := func(want string) {
-			for _, share := range s.Divide("class", shards(100), places, func() float64 { return 0 }) {
+			for _, share := range s.Partition("class", shards(100), places, func() float64 { return 0 }) {
 				m := share.Member().VM()
 				if m.DataCentre() != want {
 					t.Errorf("%s gives %s in %s a share", self.VM().Name(), m.Name(), m.DataCentre())
--- a/tier/planner/fake_test.go
+++ b/tier/planner/fake_test.go
@@ -56,7 +56,7 @@
 // name the snapshot.
 func (l servedLedger) result(s tier.Snapshot, word string) merger.ShardResult {
 	if shard, miss, ok := strings.Cut(word, ":"); ok {
-		return merger.NewMissedShard(shard, tier.MissReason(miss))
+		return merger.NewMissingShard(shard, tier.MissReason(miss))
 	}
 	shard, fault, _ := strings.Cut(word, "!")
 	records := []tier.Record{
--- a/tier/planner/finish.go
+++ b/tier/planner/finish.go
@@ -37,7 +37,7 @@
 func (p *Plan) markOpenCancelled() {
 	for _, pt := range p.openParts {
 		for _, id := range pt.shards {
-			pt.round.merge.Miss(id, tier.MissCancelled)
+			pt.round.merge.RecordMiss(id, tier.MissCancelled)
 		}
 	}
 }
--- a/tier/planner/round.go
+++ b/tier/planner/round.go
@@ -36,7 +36,7 @@
 
 func (r *round) markMissing(shard string, reason tier.MissReason) {
 	r.lost[shard] = reason
-	r.merge.Miss(shard, reason)
+	r.merge.RecordMiss(shard, reason)
 }
 
 // part is a group of shards requested from one data centre.
--- a/tier/prover/history_test.go
+++ b/tier/prover/history_test.go
@@ -131,7 +131,7 @@
 	counts := map[string]int{}
 	for i := range *histories {
 		seed := *firstSeed + uint64(i)
-		w := playHistory(seed, faults{takeover: dispatcher.DefaultTakeover})
+		w := playHistory(seed, faults{takeover: dispatcher.DefaultTakeoverDelay})
 		for _, p := range w.problems {
 			t.Errorf("seed %d: %s", seed, p)
 		}
@@ -152,7 +152,7 @@
 // TestChecksObject breaks one mechanism at a time and expects the check that
 // guards it to object.
 func TestChecksObject(t *testing.T) {
-	const takeover = dispatcher.DefaultTakeover
+	const takeover = dispatcher.DefaultTakeoverDelay
 	for name, c := range map[string]struct {
 		faults faults
 		want   string
--- a/tier/prover/server_test.go
+++ b/tier/prover/server_test.go
@@ -164,9 +164,9 @@
 func (s *server) book(c *call, a *answer) {
 	b := c.part.booking
 	b.runs++
-	r := correlator.NewReceipt(c.id.String(), setName, c.shard, b.key)
+	r := correlator.NewBookingReply(c.id.String(), setName, c.shard, b.key)
 	if s.w.chance(5) {
-		r = correlator.NewReceipt("other/1/1", setName, c.shard, "other")
+		r = correlator.NewBookingReply("other/1/1", setName, c.shard, "other")
 	}
 	a.receipt = &r
 }
@@ -190,7 +190,7 @@
 	default:
 		c.part.query.serve(at, c.shard, records)
 	}
-	r := correlator.NewReply(id, setName, shard, at, records, count, digest)
+	r := correlator.NewSearchReply(id, setName, shard, at, records, count, digest)
 	a.reply = &r
 	a.epoch, a.held = c.snapshot.Epoch(), s.tells(c.snapshot.Epoch())
 }
--- a/tier/prover/vm_test.go
+++ b/tier/prover/vm_test.go
@@ -8,10 +8,10 @@
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/correlator"
 	"cicadagrade.example/tier/dispatcher"
-	"cicadagrade.example/tier/keeper"
 	"cicadagrade.example/tier/merger"
 	"cicadagrade.example/tier/picker"
 	"cicadagrade.example/tier/planner"
+	"cicadagrade.example/tier/replicator"
 	"cicadagrade.example/tier/storer"
 )
 
@@ -26,8 +26,8 @@
 	owns       bool
 	core       *dispatcher.Dispatcher
 	tickAt     tier.Millis
-	keeper     *keeper.Keeper
-	ref        keeper.Ref
+	keeper     *replicator.Replicator
+	ref        replicator.Ref
 	set        *tier.ShardSet
 	former     *tier.ShardSet
 	gone       map[string]bool // VMs believed dead
@@ -66,9 +66,9 @@
 	v.states = map[string]tier.BackendState{}
 	v.parts, v.calls, v.asks = map[uint64]*part{}, map[uint64]*call{}, nil
 	v.budget = planner.NewBudget(0.2, 20)
-	v.keeper, v.ref, v.set, v.former, v.core = keeper.New(v.name), keeper.Ref{}, nil, nil, nil
+	v.keeper, v.ref, v.set, v.former, v.core = replicator.New(v.name), replicator.Ref{}, nil, nil, nil
 	v.offer(v.w.states[max(0, v.w.published-1)])
-	v.core = dispatcher.New(v.set, v.dataCentre, dispatcher.WithSeed(v.w.random.Uint64()), dispatcher.WithTakeover(v.w.faults.takeover))
+	v.core = dispatcher.New(v.set, v.dataCentre, dispatcher.WithSeed(v.w.random.Uint64()), dispatcher.WithTakeoverDelay(v.w.faults.takeover))
 	v.step(&dispatcher.Standby{})
 	v.sync()
 }
@@ -87,21 +87,21 @@
 }
 
 // offer shows the VM a set document.
-func (v *vm) offer(s *keeper.State) {
+func (v *vm) offer(s *replicator.State) {
 	called := v.w.stamp()
 	defer func() { v.note(use{offered: s.Ref().Revision(), called: called}) }()
 	if v.w.faults.lower {
 		v.take(s)
 		return
 	}
-	for _, a := range v.keeper.Step(v.w.now, keeper.NewChanged(storer.NewValue(s.Ref().Key(), v.w.stored[s], 1))) {
-		if t, ok := a.(*keeper.Took); ok {
+	for _, a := range v.keeper.Step(v.w.now, replicator.NewChanged(storer.NewValue(s.Ref().Key(), v.w.stored[s], 1))) {
+		if t, ok := a.(*replicator.Adopted); ok {
 			v.take(t.State())
 		}
 	}
 }
 
-func (v *vm) take(s *keeper.State) {
+func (v *vm) take(s *replicator.State) {
 	set := v.w.sets[tier.Epoch(1+(s.Ref().Revision()-1)/2)]
 	if v.set != nil && v.set.Epoch() != set.Epoch() {
 		v.former = v.set
@@ -190,7 +190,7 @@
 	for _, a := range v.core.Step(v.w.now, e) {
 		v.act(a)
 	}
-	next, ok := v.core.Next()
+	next, ok := v.core.NextTick()
 	if !ok || v.tickAt > v.w.now && v.tickAt <= next {
 		return
 	}
@@ -230,7 +230,7 @@
 	if p.query != nil {
 		opts = append(opts, dispatcher.WithSnapshot(p.snapshot))
 	} else if !v.w.faults.hedged {
-		opts = append(opts, dispatcher.NotRepeatable())
+		opts = append(opts, dispatcher.NonIdempotent())
 	}
 	v.step(dispatcher.NewSubmit(p.number, profile, deadline, shards, opts...))
 }
@@ -260,7 +260,7 @@
 	}
 	c.over = true
 	c.release()
-	v.step(dispatcher.NewReplied(c.attempt, &dispatcher.ReplyFailed{}))
+	v.step(dispatcher.NewCallEnded(c.attempt, &dispatcher.ReplyFailed{}))
 }
 
 // replied checks a server's answer as the daemon does.
@@ -274,20 +274,20 @@
 	var err error
 	switch {
 	case a.reply != nil:
-		result, err = &dispatcher.ReplyOK{}, correlator.Check(c.expect(), *a.reply)
+		result, err = &dispatcher.ReplyOK{}, correlator.CheckSearchReply(c.expect(), *a.reply)
 		c.records = a.reply.Records()
 	case a.receipt != nil:
-		result, err = &dispatcher.ReplyOK{}, correlator.CheckReceipt(c.expect(), *a.receipt)
-		c.receipt = a.receipt.Text()
+		result, err = &dispatcher.ReplyOK{}, correlator.CheckBookingReply(c.expect(), *a.receipt)
+		c.receipt = a.receipt.Receipt()
 	}
 	var m *correlator.MismatchError
 	if errors.As(err, &m) && m.Field() != v.w.faults.ignored {
 		v.w.counts["rejected "+string(m.Field())]++
-		result = &dispatcher.ReplyBad{}
+		result = &dispatcher.ReplyRejected{}
 	} else if a.reply != nil {
 		v.tell(c.server.backend.Name(), c.shard, a.epoch, a.held)
 	}
-	v.step(dispatcher.NewReplied(c.attempt, result))
+	v.step(dispatcher.NewCallEnded(c.attempt, result))
 }
 
 // tell passes on what a server holds, if it is news.
@@ -305,7 +305,7 @@
 		results = append(results, merger.NewShardResult(w.Shard(), v.calls[w.Attempt()].records))
 	}
 	for _, m := range a.Misses() {
-		results = append(results, merger.NewMissedShard(m.Shard(), m.Reason()))
+		results = append(results, merger.NewMissingShard(m.Shard(), m.Reason()))
 	}
 	if p := v.parts[a.Part()]; p.booking != nil && len(a.Winners()) > 0 {
 		v.finish(a.Part(), v.calls[a.Winners()[0].Attempt()].receipt, a.Calls())
--- a/tier/prover/world_test.go
+++ b/tier/prover/world_test.go
@@ -13,8 +13,8 @@
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/correlator"
 	"cicadagrade.example/tier/dispatcher"
-	"cicadagrade.example/tier/keeper"
 	"cicadagrade.example/tier/parser"
+	"cicadagrade.example/tier/replicator"
 )
 
 const (
@@ -63,8 +63,8 @@
 	seq         int
 	dataCentres []string
 	sets        map[tier.Epoch]*tier.ShardSet
-	states      []*keeper.State // the set's document, revision by revision
-	stored      map[*keeper.State][]byte
+	states      []*replicator.State // the set's document, revision by revision
+	stored      map[*replicator.State][]byte
 	published   int
 	servers     []*server
 	byName      map[string]*server
@@ -82,7 +82,7 @@
 	w := &world{
 		random: rand.New(rand.NewPCG(seed, 4)), faults: f,
 		sets: map[tier.Epoch]*tier.ShardSet{}, byName: map[string]*server{},
-		cuts: map[string]bool{}, stored: map[*keeper.State][]byte{}, config: map[string][]use{}, counts: map[string]int{},
+		cuts: map[string]bool{}, stored: map[*replicator.State][]byte{}, config: map[string][]use{}, counts: map[string]int{},
 	}
 	w.dataCentres = []string{"caxias", "porto", "santos"}[:2+w.random.IntN(2)]
 	w.makeServers()
@@ -150,11 +150,11 @@
 	if w.chance(50) {
 		second = merged
 	}
-	var last *keeper.State
+	var last *replicator.State
 	for i, spans := range [][]span{whole, whole, second, second, both} {
 		epoch := tier.Epoch(1 + i/2)
 		set := w.makeSet(epoch, spans, 0.05+0.02*float64(i))
-		last, _ = keeper.Next(last, parser.NewSetDocument(set), keeper.NewAuthor("op", fmt.Sprint(i), "", 0))
+		last, _ = replicator.NextState(last, parser.NewSetDocument(set), replicator.NewAuthor("op", fmt.Sprint(i), "", 0))
 		w.states = append(w.states, last)
 		w.stored[last] = last.Encode()
 	}
@@ -241,15 +241,15 @@
 	receipt  string
 }
 
-func (c *call) expect() correlator.Expect {
-	return correlator.NewExpect(c.id, setName, c.shard, c.snapshot)
+func (c *call) expect() correlator.Expectation {
+	return correlator.NewExpectation(c.id, setName, c.shard, c.snapshot)
 }
 
 // answer is a server's answer: a reply, a receipt or that it did not run.
 type answer struct {
 	notRun  *dispatcher.ReplyNotRun
-	reply   *correlator.Reply
-	receipt *correlator.Receipt
+	reply   *correlator.SearchReply
+	receipt *correlator.BookingReply
 	epoch   tier.Epoch
 	held    []tier.Version
 }
--- a/tier/relayer/relayer.go
+++ b/tier/relayer/relayer.go
@@ -73,12 +73,12 @@
 	}
 }
 
-// Reached says that everything up to a revision has been read.
-func (r *Relayer) Reached(revision int64) { r.revision = max(r.revision, revision) }
+// AdvanceTo says that everything up to a revision has been read.
+func (r *Relayer) AdvanceTo(revision int64) { r.revision = max(r.revision, revision) }
 
-// Since returns the present state of keys that changed after a revision, a
+// ChangesSince returns the present state of keys that changed after a revision, a
 // removed one with revision 0, or everything if whole is true.
-func (r *Relayer) Since(after int64) (list []storer.Value, whole bool) {
+func (r *Relayer) ChangesSince(after int64) (list []storer.Value, whole bool) {
 	if after < r.floor || after == 0 {
 		list = make([]storer.Value, 0, len(r.items))
 		for _, v := range r.items {
--- a/tier/relayer/relayer_test.go
+++ b/tier/relayer/relayer_test.go
@@ -57,7 +57,7 @@
 					relayers[i].Put(v, revision, !v.Present() || !known || old.Revision() < v.Revision())
 				}
 				read[i] = len(log)
-				relayers[i].Reached(revision)
+				relayers[i].AdvanceTo(revision)
 			case 2:
 				i := rapid.IntRange(0, 1).Draw(t, "source")
 				if fetch(relayers[i], follower, &after) && !ahead {
@@ -69,7 +69,7 @@
 			for _, v := range log[read[i]:] {
 				r.Put(v, revision, true)
 			}
-			r.Reached(revision)
+			r.AdvanceTo(revision)
 			fetch(r, follower, &after)
 			compare(t, follower, r)
 			if len(follower) != len(store) {
@@ -84,7 +84,7 @@
 	if r.Revision() < *after {
 		return false
 	}
-	list, whole := r.Since(*after)
+	list, whole := r.ChangesSince(*after)
 	if whole {
 		clear(follower)
 	}
--- a/tier/keeper/entry.go
+++ b/tier/replicator/entry.go
@@ -1,4 +1,4 @@
-package keeper
+package replicator
 
 import (
 	"encoding/json"
@@ -42,8 +42,8 @@
 // At is the wall time of the change in milliseconds since the Unix epoch.
 func (e Entry) At() tier.Millis { return e.at }
 
-// Change is the change's unique id.
-func (e Entry) Change() string { return e.change }
+// ChangeID is the change's unique id.
+func (e Entry) ChangeID() string { return e.change }
 
 // Epoch is the document's epoch after the change.
 func (e Entry) Epoch() uint64 { return e.epoch }
@@ -57,9 +57,9 @@
 // Changes lists what differs, unless Apart.
 func (e Entry) Changes() []parser.Change { return e.changes }
 
-// Apart reports that the list of changes is too long for the audit tail and
+// ChangesDetached reports that the list of changes is too long for the audit tail and
 // lies under its own key.
-func (e Entry) Apart() bool { return e.apart }
+func (e Entry) ChangesDetached() bool { return e.apart }
 
 // WithChanges returns the entry with the changes read from their own key.
 func (e Entry) WithChanges(c []parser.Change) Entry {
@@ -158,9 +158,9 @@
 // ArchivePrefix starts the keys of a document's archived entries.
 func ArchivePrefix(key string) string { return auditPrefix + documentPath(key) + "/" }
 
-// Merge joins entries of the archive and of the tail, each change once,
+// MergeEntries joins entries of the archive and of the tail, each change once,
 // oldest first.
-func Merge(lists ...[]Entry) []Entry {
+func MergeEntries(lists ...[]Entry) []Entry {
 	seen := map[string]bool{}
 	var out []Entry
 	for _, l := range lists {
--- a/tier/keeper/event.go
+++ b/tier/replicator/event.go
@@ -1,4 +1,4 @@
-package keeper
+package replicator
 
 import (
 	"fmt"
@@ -104,63 +104,63 @@
 // 0 stands for nothing.
 func (a *Fetch) Have() []Ref { return a.have }
 
-// Took says that a document came into force on this VM.
-type Took struct{ state *State }
+// Adopted says that a document came into force on this VM.
+type Adopted struct{ state *State }
 
 // State is the document's new state.
-func (a *Took) State() *State { return a.state }
+func (a *Adopted) State() *State { return a.state }
 
-// Warned says that a flag was raised.
-type Warned struct{ flag Flag }
+// AlertRaised says that a flag was raised.
+type AlertRaised struct{ flag Alert }
 
-// Flag is what was raised.
-func (a *Warned) Flag() Flag { return a.flag }
+// Alert is what was raised.
+func (a *AlertRaised) Alert() Alert { return a.flag }
 
-func (*List) action()     {}
-func (*Watch) action()    {}
-func (*EndWatch) action() {}
-func (*Fetch) action()    {}
-func (*Took) action()     {}
-func (*Warned) action()   {}
+func (*List) action()        {}
+func (*Watch) action()       {}
+func (*EndWatch) action()    {}
+func (*Fetch) action()       {}
+func (*Adopted) action()     {}
+func (*AlertRaised) action() {}
 
-// Trouble names what is wrong with a document.
-type Trouble string
+// AlertKind names what is wrong with a document.
+type AlertKind string
 
 // The troubles.
 const (
 	// StoreBehind: the store shows an older state than this VM serves, or
 	// none: it answered stale, restarted empty or was restored.
-	StoreBehind Trouble = "store-behind"
+	StoreBehind AlertKind = "store-behind"
 	// Forked: another state with the same or a higher revision does not
 	// descend from the one this VM serves.
-	Forked Trouble = "forked"
+	Forked AlertKind = "forked"
 	// Damaged: a state that was offered can't be read.
-	Damaged Trouble = "damaged"
+	Damaged AlertKind = "damaged"
 )
 
-// Flag is a trouble with one document that an operator has to look at. The
+// Alert is a trouble with one document that an operator has to look at. The
 // VM goes on serving what it holds.
-type Flag struct {
-	trouble Trouble
+type Alert struct {
+	trouble AlertKind
 	served  Ref
 	seen    Ref
 	source  string
 }
 
-// Trouble names what is wrong.
-func (f Flag) Trouble() Trouble { return f.trouble }
+// Kind names what is wrong.
+func (f Alert) Kind() AlertKind { return f.trouble }
 
 // Served is the state that this VM serves.
-func (f Flag) Served() Ref { return f.served }
+func (f Alert) Served() Ref { return f.served }
 
-// Seen is the state that was offered instead; revision 0 stands for none.
-func (f Flag) Seen() Ref { return f.seen }
+// Offered is the state that was offered instead; revision 0 stands for none.
+func (f Alert) Offered() Ref { return f.seen }
 
 // Source is "store" or the name of the VM that offered it.
-func (f Flag) Source() string { return f.source }
+func (f Alert) Source() string { return f.source }
 
 // String tells an operator what is wrong, on one line.
-func (f Flag) String() string {
+func (f Alert) String() string {
 	seen := "nothing"
 	if f.seen.revision > 0 {
 		seen = f.seen.String()
--- a/tier/keeper/fetch.go
+++ b/tier/replicator/fetch.go
@@ -1,4 +1,4 @@
-package keeper
+package replicator
 
 import (
 	"sort"
@@ -7,7 +7,7 @@
 )
 
 // hear takes what another VM announces.
-func (k *Keeper) hear(e *Announced, out *actions) {
+func (k *Replicator) hear(e *Announced, out *actions) {
 	refs := make(map[string]Ref, len(e.refs))
 	for _, r := range e.refs {
 		refs[r.key] = r
@@ -17,7 +17,7 @@
 		case r.digest == served.digest:
 			k.clear(r.key, e.vm)
 		default:
-			k.raise(Flag{trouble: Forked, served: served, seen: r, source: e.vm}, out)
+			k.raise(Alert{trouble: Forked, served: served, seen: r, source: e.vm}, out)
 		}
 	}
 	k.announced[e.vm] = refs
@@ -25,10 +25,10 @@
 
 // wanted lists what a VM announces and this VM lacks, sorted by key, with
 // what is held of each.
-func (k *Keeper) wanted(vm string) []Ref {
+func (k *Replicator) wanted(vm string) []Ref {
 	var out []Ref
 	for key, r := range k.announced[vm] {
-		if have := k.refOf(key); r.Above(have) && !k.refused[r] {
+		if have := k.refOf(key); r.NewerThan(have) && !k.refused[r] {
 			if k.wholeOnly[key] {
 				have = Ref{key: key}
 			}
@@ -40,7 +40,7 @@
 }
 
 // planFetch asks one VM at a time, preferring those of this data centre.
-func (k *Keeper) planFetch(now tier.Millis, out *actions) {
+func (k *Replicator) planFetch(now tier.Millis, out *actions) {
 	if k.fetching != "" {
 		return
 	}
@@ -66,7 +66,7 @@
 
 // sources lists the VMs that hold what this VM lacks, and when to look again
 // at those that failed.
-func (k *Keeper) sources(now tier.Millis) (local, remote []string, retry tier.Millis) {
+func (k *Replicator) sources(now tier.Millis) (local, remote []string, retry tier.Millis) {
 	retry = never
 	for vm := range k.announced {
 		if !k.usable(vm) || len(k.wanted(vm)) == 0 {
@@ -86,7 +86,7 @@
 	return local, remote, retry
 }
 
-func (k *Keeper) fetched(now tier.Millis, e *Fetched, out *actions) {
+func (k *Replicator) fetched(now tier.Millis, e *Fetched, out *actions) {
 	if k.fetching == e.vm {
 		k.fetching = ""
 	}
@@ -100,7 +100,7 @@
 			k.wholeOnly[u.ref.key] = true
 		default:
 			retry = damagedRetry
-			k.raise(Flag{trouble: Damaged, served: k.refOf(u.ref.key), seen: u.ref, source: e.vm}, out)
+			k.raise(Alert{trouble: Damaged, served: k.refOf(u.ref.key), seen: u.ref, source: e.vm}, out)
 		}
 	}
 	if !k.watcher && len(k.documents) > 0 {
@@ -111,22 +111,22 @@
 	}
 }
 
-func (k *Keeper) fetchFailed(now tier.Millis, vm string) {
+func (k *Replicator) fetchFailed(now tier.Millis, vm string) {
 	if k.fetching == vm {
 		k.fetching = ""
 	}
 	k.badPeers[vm] = now + k.jitter(fetchRetry)
 }
 
-// Answer returns the updates for a peer that names what it holds: a revision
+// UpdatesFor returns the updates for a peer that names what it holds: a revision
 // of 0 asks for the whole document. With all, every other document comes
 // too.
-func (k *Keeper) Answer(have []Ref, all bool) []Update {
+func (k *Replicator) UpdatesFor(have []Ref, all bool) []Update {
 	var out []Update
 	asked := map[string]bool{}
 	for _, r := range have {
 		asked[r.key] = true
-		if h, ok := k.documents[r.key]; ok && h.state.ref.Above(r) {
+		if h, ok := k.documents[r.key]; ok && h.state.ref.NewerThan(r) {
 			out = append(out, h.update(r))
 		}
 	}
@@ -141,10 +141,10 @@
 	return out
 }
 
-// Index lists the refs that this VM announces. Watchers announce all they
+// RefsToAnnounce lists the refs that this VM announces. Watchers announce all they
 // hold; the others only what no live VM has announced as high, so that a
 // change costs a data centre few announcements.
-func (k *Keeper) Index() []Ref {
+func (k *Replicator) RefsToAnnounce() []Ref {
 	var out []Ref
 	for _, s := range k.Documents() {
 		if k.watcher || !k.announcedByOthers(s.ref) {
@@ -154,9 +154,9 @@
 	return out
 }
 
-func (k *Keeper) announcedByOthers(r Ref) bool {
+func (k *Replicator) announcedByOthers(r Ref) bool {
 	for vm, refs := range k.announced {
-		if o, ok := refs[r.key]; ok && !r.Above(o) && k.usable(vm) {
+		if o, ok := refs[r.key]; ok && !r.NewerThan(o) && k.usable(vm) {
 			return true
 		}
 	}
--- a/tier/keeper/keeper.go
+++ b/tier/replicator/keeper.go
@@ -1,7 +1,7 @@
-// Package keeper holds the configuration of one VM: a state machine that
+// Package replicator holds the configuration of one VM: a state machine that
 // takes documents from the store and from peers, only ever towards a higher
 // epoch and revision, and decides when to read, to watch and whom to ask.
-package keeper
+package replicator
 
 import (
 	"math/rand/v2"
@@ -41,8 +41,8 @@
 // storeSource is the source of what the store shows.
 const storeSource = "store"
 
-// Keeper is the state machine. It is not safe for concurrent use.
-type Keeper struct {
+// Replicator is the state machine. It is not safe for concurrent use.
+type Replicator struct {
 	name       string
 	dataCentre string
 	watchers   int
@@ -50,7 +50,7 @@
 	started    bool
 
 	documents map[string]*held
-	flags     map[string]Flag
+	flags     map[string]Alert
 	refused   map[Ref]bool
 
 	members   []string // of this data centre
@@ -80,29 +80,29 @@
 }
 
 // Option sets one field of a keeper.
-type Option func(*Keeper)
+type Option func(*Replicator)
 
 // WithSeed seeds the jitter.
 func WithSeed(seed uint64) Option {
-	return func(k *Keeper) { k.random = rand.New(rand.NewPCG(seed, xxhash.Sum64String(k.name))) }
+	return func(k *Replicator) { k.random = rand.New(rand.NewPCG(seed, xxhash.Sum64String(k.name))) }
 }
 
 // WithWatchers sets how many VMs of a data centre watch the store.
-func WithWatchers(n int) Option { return func(k *Keeper) { k.watchers = n } }
+func WithWatchers(n int) Option { return func(k *Replicator) { k.watchers = n } }
 
 // WithSeeds sets how many other VMs the settings name. A VM that should hear
 // of others leaves them more time, because many may start at once.
-func WithSeeds(n int) Option { return func(k *Keeper) { k.seeds = n } }
+func WithSeeds(n int) Option { return func(k *Replicator) { k.seeds = n } }
 
 // WithDataCentre names the VM's data centre.
-func WithDataCentre(name string) Option { return func(k *Keeper) { k.dataCentre = name } }
+func WithDataCentre(name string) Option { return func(k *Replicator) { k.dataCentre = name } }
 
 // New returns the keeper of the VM with this name.
-func New(name string, opts ...Option) *Keeper {
-	k := &Keeper{
+func New(name string, opts ...Option) *Replicator {
+	k := &Replicator{
 		name:      name,
 		documents: map[string]*held{},
-		flags:     map[string]Flag{},
+		flags:     map[string]Alert{},
 		refused:   map[Ref]bool{},
 		local:     map[string]bool{},
 		announced: map[string]map[string]Ref{},
@@ -119,14 +119,14 @@
 }
 
 // Defaults sets the number of watchers and a seed.
-func (k *Keeper) Defaults() {
+func (k *Replicator) Defaults() {
 	k.watchers = DefaultWatchers
 	k.fleet = 1
 	WithSeed(1)(k)
 }
 
 // Step handles one event at time now and returns what to do.
-func (k *Keeper) Step(now tier.Millis, e Event) []Action {
+func (k *Replicator) Step(now tier.Millis, e Event) []Action {
 	var out actions
 	if !k.started {
 		k.start(now)
@@ -157,7 +157,7 @@
 }
 
 // Next is when a Tick is due.
-func (k *Keeper) Next() (tier.Millis, bool) {
+func (k *Replicator) Next() (tier.Millis, bool) {
 	next := never
 	switch {
 	case !k.settled:
@@ -175,7 +175,7 @@
 
 func (a *actions) add(x Action) { *a = append(*a, x) }
 
-func (k *Keeper) start(now tier.Millis) {
+func (k *Replicator) start(now tier.Millis) {
 	k.started = true
 	k.lastList = now - minReadGap
 	k.startedAt = now
@@ -183,12 +183,12 @@
 }
 
 // jitter is a random span from half of m to m.
-func (k *Keeper) jitter(m tier.Millis) tier.Millis {
+func (k *Replicator) jitter(m tier.Millis) tier.Millis {
 	return m/2 + tier.Millis(k.random.Int64N(int64(m/2)+1))
 }
 
 // Documents lists what this VM serves, sorted by key.
-func (k *Keeper) Documents() []*State {
+func (k *Replicator) Documents() []*State {
 	out := make([]*State, 0, len(k.documents))
 	for _, h := range k.documents {
 		out = append(out, h.state)
@@ -198,7 +198,7 @@
 }
 
 // Document is what this VM serves under a key.
-func (k *Keeper) Document(key string) (*State, bool) {
+func (k *Replicator) Document(key string) (*State, bool) {
 	h, ok := k.documents[key]
 	if !ok {
 		return nil, false
@@ -206,7 +206,7 @@
 	return h.state, true
 }
 
-func (k *Keeper) refOf(key string) Ref {
+func (k *Replicator) refOf(key string) Ref {
 	if h, ok := k.documents[key]; ok {
 		return h.state.ref
 	}
@@ -227,21 +227,21 @@
 // Fetches is how often a peer was asked.
 func (c Counts) Fetches() uint64 { return c.fetches }
 
-// Took is how often a document came into force.
-func (c Counts) Took() uint64 { return c.took }
+// Adopted is how often a document came into force.
+func (c Counts) Adopted() uint64 { return c.took }
 
-// Refused is how often an offered state was not taken.
-func (c Counts) Refused() uint64 { return c.refused }
+// Rejected is how often an offered state was not taken.
+func (c Counts) Rejected() uint64 { return c.refused }
 
 // Counts is what the keeper has done.
-func (k *Keeper) Counts() Counts { return k.counts }
+func (k *Replicator) Counts() Counts { return k.counts }
 
 // Watcher reports whether this VM watches the store for its data centre.
-func (k *Keeper) Watcher() bool { return k.watcher }
+func (k *Replicator) Watcher() bool { return k.watcher }
 
-// Flags lists the troubles, sorted by key.
-func (k *Keeper) Flags() []Flag {
-	out := make([]Flag, 0, len(k.flags))
+// Alerts lists the troubles, sorted by key.
+func (k *Replicator) Alerts() []Alert {
+	out := make([]Alert, 0, len(k.flags))
 	for _, f := range k.flags {
 		out = append(out, f)
 	}
--- a/tier/keeper/keeper_test.go
+++ b/tier/replicator/keeper_test.go
@@ -1,4 +1,4 @@
-package keeper_test
+package replicator_test
 
 import (
 	"fmt"
@@ -7,48 +7,48 @@
 	"pgregory.net/rapid"
 
 	"cicadagrade.example/tier"
-	"cicadagrade.example/tier/keeper"
 	"cicadagrade.example/tier/parser"
+	"cicadagrade.example/tier/replicator"
 	"cicadagrade.example/tier/storer"
 )
 
 // line is a document's history: each state a change of the one before.
-func line(base *keeper.State, mark string, n int) []*keeper.State {
-	var out []*keeper.State
+func line(base *replicator.State, mark string, n int) []*replicator.State {
+	var out []*replicator.State
 	for i := range n {
 		id := fmt.Sprintf("%s-%d", mark, i)
 		p, err := tier.NewProfile("gate", tier.WithQueueLimit(100*len(mark)+i+1))
 		if err != nil {
 			panic(err)
 		}
-		base, _ = keeper.Next(base, parser.NewProfilesDocument(p), keeper.NewAuthor("op", id, "", 0))
+		base, _ = replicator.NextState(base, parser.NewProfilesDocument(p), replicator.NewAuthor("op", id, "", 0))
 		out = append(out, base)
 	}
 	return out
 }
 
-func value(s *keeper.State, revision int64) storer.Value {
+func value(s *replicator.State, revision int64) storer.Value {
 	return storer.NewValue(s.Ref().Key(), s.Encode(), revision)
 }
 
 // reverts finds a step of what came into force that goes back or aside.
-func reverts(took []*keeper.State) error {
+func reverts(took []*replicator.State) error {
 	for i := 1; i < len(took); i++ {
 		before, after := took[i-1], took[i]
-		if !after.Ref().Above(before.Ref()) {
+		if !after.Ref().NewerThan(before.Ref()) {
 			return fmt.Errorf("%v came after %v", after.Ref(), before.Ref())
 		}
-		if after.Ref().Epoch() == before.Ref().Epoch() && !after.Descends(before) {
+		if after.Ref().Epoch() == before.Ref().Epoch() && !after.DescendsFrom(before) {
 			return fmt.Errorf("%v does not descend from %v", after.Ref(), before.Ref())
 		}
 	}
 	return nil
 }
 
-func taken(actions []keeper.Action) []*keeper.State {
-	var out []*keeper.State
+func taken(actions []replicator.Action) []*replicator.State {
+	var out []*replicator.State
 	for _, a := range actions {
-		if t, ok := a.(*keeper.Took); ok {
+		if t, ok := a.(*replicator.Adopted); ok {
 			out = append(out, t.State())
 		}
 	}
@@ -56,28 +56,28 @@
 }
 
 // delivery draws one way in which one state reaches the keeper.
-func delivery(t *rapid.T, s, base *keeper.State) keeper.Event {
+func delivery(t *rapid.T, s, base *replicator.State) replicator.Event {
 	switch rapid.SampledFrom([]string{"list", "watch", "whole", "delta", "gone"}).Draw(t, "way") {
 	case "list":
-		return keeper.NewListed([]storer.Value{value(s, 1)})
+		return replicator.NewListed([]storer.Value{value(s, 1)})
 	case "watch":
-		return keeper.NewChanged(value(s, 1))
+		return replicator.NewChanged(value(s, 1))
 	case "whole":
-		return keeper.NewFetched("peer", update(s, keeper.Ref{}))
+		return replicator.NewFetched("peer", update(s, replicator.Ref{}))
 	case "delta":
-		return keeper.NewFetched("peer", update(s, base.Ref(), base))
+		return replicator.NewFetched("peer", update(s, base.Ref(), base))
 	default:
-		return keeper.NewListed(nil)
+		return replicator.NewListed(nil)
 	}
 }
 
 // update has a peer that holds s, and the bases before it, answer.
-func update(s *keeper.State, have keeper.Ref, bases ...*keeper.State) []keeper.Update {
-	p := keeper.New("peer")
+func update(s *replicator.State, have replicator.Ref, bases ...*replicator.State) []replicator.Update {
+	p := replicator.New("peer")
 	for _, b := range append(bases, s) {
-		p.Step(0, keeper.NewChanged(value(b, 1)))
+		p.Step(0, replicator.NewChanged(value(b, 1)))
 	}
-	return p.Answer([]keeper.Ref{keeper.NewRef(s.Ref().Key(), have.Epoch(), have.Revision(), have.Digest())}, false)
+	return p.UpdatesFor([]replicator.Ref{replicator.NewRef(s.Ref().Key(), have.Epoch(), have.Revision(), have.Digest())}, false)
 }
 
 // TestNeverReverts: whatever order states of the store's line, of a copy
@@ -87,16 +87,16 @@
 	rapid.Check(t, func(t *rapid.T) {
 		main := line(nil, "main", 12)
 		fork := line(main[4], "fork", 10)
-		last := keeper.Reconcile(main[11], fork[9], keeper.NewAuthor("op", "reconcile", "", 0))
-		all := append(append(append([]*keeper.State(nil), main...), fork...), last)
-		k := keeper.New("a")
-		var took []*keeper.State
+		last := replicator.Reconcile(main[11], fork[9], replicator.NewAuthor("op", "reconcile", "", 0))
+		all := append(append(append([]*replicator.State(nil), main...), fork...), last)
+		k := replicator.New("a")
+		var took []*replicator.State
 		for range rapid.IntRange(1, 30).Draw(t, "deliveries") {
 			s := rapid.SampledFrom(all).Draw(t, "state")
 			base := rapid.SampledFrom(all).Draw(t, "base")
 			took = append(took, taken(k.Step(0, delivery(t, s, base)))...)
 		}
-		took = append(took, taken(k.Step(0, keeper.NewChanged(value(last, 1))))...)
+		took = append(took, taken(k.Step(0, replicator.NewChanged(value(last, 1))))...)
 		if err := reverts(took); err != nil {
 			t.Fatal(err)
 		}
@@ -110,8 +110,8 @@
 // takes an old copy, and the check sees it.
 func TestCheckObjectsToForgetting(t *testing.T) {
 	main := line(nil, "main", 3)
-	took := taken(keeper.New("a").Step(0, keeper.NewChanged(value(main[2], 1))))
-	took = append(took, taken(keeper.New("a").Step(0, keeper.NewChanged(value(main[0], 1))))...)
+	took := taken(replicator.New("a").Step(0, replicator.NewChanged(value(main[2], 1))))
+	took = append(took, taken(replicator.New("a").Step(0, replicator.NewChanged(value(main[0], 1))))...)
 	if reverts(took) == nil {
 		t.Error("the check accepts a revert")
 	}
@@ -122,17 +122,17 @@
 func TestForkIsRefused(t *testing.T) {
 	main := line(nil, "main", 4)
 	fork := line(main[0], "fork", 9)
-	k := keeper.New("a")
-	k.Step(0, keeper.NewChanged(value(main[3], 1)))
-	if got := taken(k.Step(0, keeper.NewChanged(value(fork[8], 1)))); len(got) != 0 {
+	k := replicator.New("a")
+	k.Step(0, replicator.NewChanged(value(main[3], 1)))
+	if got := taken(k.Step(0, replicator.NewChanged(value(fork[8], 1)))); len(got) != 0 {
 		t.Errorf("took %v", got[0].Ref())
 	}
-	if f := k.Flags(); len(f) != 1 || f[0].Trouble() != keeper.Forked {
+	if f := k.Alerts(); len(f) != 1 || f[0].Kind() != replicator.Forked {
 		t.Errorf("flags %v", f)
 	}
-	last := keeper.Reconcile(main[3], fork[8], keeper.NewAuthor("op", "r", "", 0))
-	if got := taken(k.Step(0, keeper.NewChanged(value(last, 1)))); len(got) != 1 || len(k.Flags()) != 0 {
-		t.Errorf("took %d, flags %v", len(got), k.Flags())
+	last := replicator.Reconcile(main[3], fork[8], replicator.NewAuthor("op", "r", "", 0))
+	if got := taken(k.Step(0, replicator.NewChanged(value(last, 1)))); len(got) != 1 || len(k.Alerts()) != 0 {
+		t.Errorf("took %d, flags %v", len(got), k.Alerts())
 	}
 }
 
@@ -144,18 +144,18 @@
 	if len(u) != 1 || u[0].Delta() == nil || u[0].Whole() != nil {
 		t.Fatalf("no delta in %v", u)
 	}
-	k := keeper.New("a")
-	k.Step(0, keeper.NewChanged(value(main[2], 1)))
-	if got := taken(k.Step(0, keeper.NewFetched("peer", u))); len(got) != 1 || got[0].Ref() != main[4].Ref() {
+	k := replicator.New("a")
+	k.Step(0, replicator.NewChanged(value(main[2], 1)))
+	if got := taken(k.Step(0, replicator.NewFetched("peer", u))); len(got) != 1 || got[0].Ref() != main[4].Ref() {
 		t.Errorf("took %v", got)
 	}
 	if whole := update(main[4], main[1].Ref(), main[2], main[3]); whole[0].Whole() == nil {
 		t.Error("no whole document for another base")
 	}
 	fork := line(main[1], "fork", 1)
-	other := keeper.New("b")
-	other.Step(0, keeper.NewChanged(value(fork[0], 1)))
-	if got := taken(other.Step(0, keeper.NewFetched("peer", u))); len(got) != 0 {
+	other := replicator.New("b")
+	other.Step(0, replicator.NewChanged(value(fork[0], 1)))
+	if got := taken(other.Step(0, replicator.NewFetched("peer", u))); len(got) != 0 {
 		t.Errorf("a delta on another base was taken: %v", got[0].Ref())
 	}
 }
@@ -164,14 +164,14 @@
 // fetched once it is, without another announcement.
 func TestAnnouncementOutlivesJoining(t *testing.T) {
 	s := line(nil, "main", 1)[0]
-	k := keeper.New("a")
-	k.Step(0, keeper.NewMembers([]string{"a"}, nil))
-	k.Step(0, keeper.NewAnnounced("b", []keeper.Ref{s.Ref()}))
-	k.Step(10, keeper.NewMembers([]string{"a"}, nil))
+	k := replicator.New("a")
+	k.Step(0, replicator.NewMembers([]string{"a"}, nil))
+	k.Step(0, replicator.NewAnnounced("b", []replicator.Ref{s.Ref()}))
+	k.Step(10, replicator.NewMembers([]string{"a"}, nil))
 	if got := fetches(k, 200); got != 0 {
 		t.Errorf("%d fetches from a VM that is not live", got)
 	}
-	k.Step(210, keeper.NewMembers([]string{"a", "b"}, nil))
+	k.Step(210, replicator.NewMembers([]string{"a", "b"}, nil))
 	if got := fetches(k, 400); got != 1 {
 		t.Errorf("%d fetches from a VM that became live", got)
 	}
@@ -181,32 +181,32 @@
 // from another.
 func TestDamagedPeerBlocksNoOther(t *testing.T) {
 	main := line(nil, "main", 2)
-	k := keeper.New("a")
-	k.Step(0, keeper.NewChanged(value(main[0], 1)))
-	k.Step(0, keeper.NewMembers([]string{"a", "b", "c"}, nil))
-	k.Step(0, keeper.NewAnnounced("b", []keeper.Ref{main[1].Ref()}))
+	k := replicator.New("a")
+	k.Step(0, replicator.NewChanged(value(main[0], 1)))
+	k.Step(0, replicator.NewMembers([]string{"a", "b", "c"}, nil))
+	k.Step(0, replicator.NewAnnounced("b", []replicator.Ref{main[1].Ref()}))
 	if fetches(k, 100) != 1 {
 		t.Fatal("b was not asked")
 	}
-	damaged := keeper.NewUpdate(main[1].Ref(), []byte("{"), nil, 0)
-	k.Step(100, keeper.NewFetched("b", []keeper.Update{damaged}))
-	if f := k.Flags(); len(f) != 1 || f[0].Trouble() != keeper.Damaged {
+	damaged := replicator.NewUpdate(main[1].Ref(), []byte("{"), nil, 0)
+	k.Step(100, replicator.NewFetched("b", []replicator.Update{damaged}))
+	if f := k.Alerts(); len(f) != 1 || f[0].Kind() != replicator.Damaged {
 		t.Errorf("flags %v", f)
 	}
-	k.Step(200, keeper.NewAnnounced("c", []keeper.Ref{main[1].Ref()}))
+	k.Step(200, replicator.NewAnnounced("c", []replicator.Ref{main[1].Ref()}))
 	if fetches(k, 300) != 1 {
 		t.Fatal("c was not asked")
 	}
-	got := taken(k.Step(300, keeper.NewFetched("c", update(main[1], main[0].Ref(), main[0]))))
-	if len(got) != 1 || len(k.Flags()) != 0 {
-		t.Errorf("took %d, flags %v", len(got), k.Flags())
+	got := taken(k.Step(300, replicator.NewFetched("c", update(main[1], main[0].Ref(), main[0]))))
+	if len(got) != 1 || len(k.Alerts()) != 0 {
+		t.Errorf("took %d, flags %v", len(got), k.Alerts())
 	}
 }
 
-func fetches(k *keeper.Keeper, now tier.Millis) int {
+func fetches(k *replicator.Replicator, now tier.Millis) int {
 	n := 0
-	for _, a := range k.Step(now, &keeper.Tick{}) {
-		if _, ok := a.(*keeper.Fetch); ok {
+	for _, a := range k.Step(now, &replicator.Tick{}) {
+		if _, ok := a.(*replicator.Fetch); ok {
 			n++
 		}
 	}
@@ -220,14 +220,14 @@
 	f.Add(main[1].Encode(), []byte(`{"base-change":"main-0","patches":[{}],"audit":[]}`), uint64(2))
 	f.Add([]byte(`{"kind":"profiles"}`), []byte(`{"patches":[{"profiles":null}]}`), uint64(9))
 	f.Fuzz(func(t *testing.T, whole, delta []byte, revision uint64) {
-		k := keeper.New("a")
-		k.Step(0, keeper.NewChanged(value(main[0], 1)))
-		ref := keeper.NewRef(main[0].Ref().Key(), 1, revision, main[1].Ref().Digest())
-		k.Step(0, keeper.NewFetched("b", []keeper.Update{
-			keeper.NewUpdate(ref, nil, delta, 1), keeper.NewUpdate(ref, whole, nil, 0),
+		k := replicator.New("a")
+		k.Step(0, replicator.NewChanged(value(main[0], 1)))
+		ref := replicator.NewRef(main[0].Ref().Key(), 1, revision, main[1].Ref().Digest())
+		k.Step(0, replicator.NewFetched("b", []replicator.Update{
+			replicator.NewUpdate(ref, nil, delta, 1), replicator.NewUpdate(ref, whole, nil, 0),
 		}))
 		s, _ := k.Document(ref.Key())
-		if main[0].Ref().Above(s.Ref()) || parser.Digest(s.Document()) != s.Ref().Digest() {
+		if main[0].Ref().NewerThan(s.Ref()) || parser.Digest(s.Document()) != s.Ref().Digest() {
 			t.Errorf("serves %v", s.Ref())
 		}
 	})
--- a/tier/keeper/load_test.go
+++ b/tier/replicator/load_test.go
@@ -1,4 +1,4 @@
-package keeper_test
+package replicator_test
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 
 	"cicadagrade.example/tier"
-	"cicadagrade.example/tier/keeper"
 	"cicadagrade.example/tier/parser"
+	"cicadagrade.example/tier/replicator"
 	"cicadagrade.example/tier/storer"
 )
 
@@ -18,16 +18,16 @@
 // answers at once, on a manual clock, and counts the store's calls.
 type simulation struct {
 	now      tier.Millis
-	keepers  []*keeper.Keeper
+	keepers  []*replicator.Replicator
 	names    []string
 	centre   []int
 	local    [][]string // by data centre
-	said     [][]keeper.Ref
+	said     [][]replicator.Ref
 	values   []storer.Value
 	gossip   bool
 	calls    map[tier.Millis]int // by second
 	total    int
-	document *keeper.State
+	document *replicator.State
 }
 
 func newSimulation(centres, perCentre int, gossip bool) *simulation {
@@ -40,25 +40,25 @@
 			s.names = append(s.names, name)
 			s.centre = append(s.centre, c)
 			s.local[c] = append(s.local[c], name)
-			s.keepers = append(s.keepers, keeper.New(name,
-				keeper.WithDataCentre(fmt.Sprint(c)), keeper.WithSeeds(3), keeper.WithSeed(1)))
+			s.keepers = append(s.keepers, replicator.New(name,
+				replicator.WithDataCentre(fmt.Sprint(c)), replicator.WithSeeds(3), replicator.WithSeed(1)))
 		}
 	}
-	s.said = make([][]keeper.Ref, centres)
+	s.said = make([][]replicator.Ref, centres)
 	return s
 }
 
-func (s *simulation) step(i int, e keeper.Event) {
+func (s *simulation) step(i int, e replicator.Event) {
 	for _, a := range s.keepers[i].Step(s.now, e) {
 		switch a := a.(type) {
-		case *keeper.List:
+		case *replicator.List:
 			s.count()
-			s.step(i, keeper.NewListed(s.values))
-		case *keeper.Watch:
+			s.step(i, replicator.NewListed(s.values))
+		case *replicator.Watch:
 			s.count()
-		case *keeper.Fetch:
+		case *replicator.Fetch:
 			peer := s.keepers[s.indexOf(a.VM())]
-			s.step(i, keeper.NewFetched(a.VM(), peer.Answer(a.Have(), false)))
+			s.step(i, replicator.NewFetched(a.VM(), peer.UpdatesFor(a.Have(), false)))
 		}
 	}
 }
@@ -83,10 +83,10 @@
 	for s.now = 0; s.now < length; s.now += stepLength {
 		for i, k := range s.keepers {
 			if at, ok := k.Next(); s.now == 0 || (ok && at <= s.now) {
-				s.step(i, &keeper.Tick{})
+				s.step(i, &replicator.Tick{})
 			}
 			if s.gossip && s.now == 2*tier.Second {
-				s.step(i, keeper.NewMembers(s.local[s.centre[i]], nil))
+				s.step(i, replicator.NewMembers(s.local[s.centre[i]], nil))
 			}
 		}
 		if s.gossip && s.now > 2*tier.Second && s.now%250 == 0 && s.now < tier.Minute {
@@ -98,11 +98,11 @@
 func (s *simulation) announce() {
 	for i, k := range s.keepers {
 		c := s.centre[i]
-		if refs := k.Index(); k.Watcher() && len(refs) > 0 && s.said[c] == nil {
+		if refs := k.RefsToAnnounce(); k.Watcher() && len(refs) > 0 && s.said[c] == nil {
 			s.said[c] = refs
 			for j := range s.keepers {
 				if s.centre[j] == c && j != i {
-					s.step(j, keeper.NewAnnounced(s.names[i], refs))
+					s.step(j, replicator.NewAnnounced(s.names[i], refs))
 				}
 			}
 		}
@@ -136,7 +136,7 @@
 	}
 	broken := newSimulation(30, 273, false)
 	for i := range broken.keepers {
-		broken.keepers[i] = keeper.New(broken.names[i]) // told of no others
+		broken.keepers[i] = replicator.New(broken.names[i]) // told of no others
 	}
 	if broken.run(5 * tier.Second); broken.worstSecond() < 2000 {
 		t.Errorf("the check accepts a bulk restart without a spread: %d", broken.worstSecond())
@@ -164,13 +164,13 @@
 func BenchmarkUpdateBytes(b *testing.B) {
 	for _, servers := range []int{20, 2600} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			first, _ := keeper.Next(nil, bigSet(b, servers, 2), keeper.NewAuthor("ana", "9f2d6c1b7a3e4f50", "new set", 0))
-			next, _ := keeper.Next(first, bigSet(b, servers, 4), keeper.NewAuthor("ana", "0a1b2c3d4e5f6071", "more slots", 0))
-			var delta []keeper.Update
+			first, _ := replicator.NextState(nil, bigSet(b, servers, 2), replicator.NewAuthor("ana", "9f2d6c1b7a3e4f50", "new set", 0))
+			next, _ := replicator.NextState(first, bigSet(b, servers, 4), replicator.NewAuthor("ana", "0a1b2c3d4e5f6071", "more slots", 0))
+			var delta []replicator.Update
 			for b.Loop() {
 				delta = update(next, first.Ref(), first)
 			}
-			whole := update(next, keeper.Ref{})
+			whole := update(next, replicator.Ref{})
 			b.ReportMetric(float64(len(delta[0].Delta())), "delta-bytes")
 			b.ReportMetric(float64(len(whole[0].Whole())), "whole-bytes")
 		})
@@ -182,15 +182,15 @@
 func BenchmarkTakeDelta(b *testing.B) {
 	for _, servers := range []int{20, 2600} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			state, _ := keeper.Next(nil, bigSet(b, servers, 1), keeper.NewAuthor("ana", "change-0", "new set", 0))
-			k := keeper.New("a")
-			k.Step(0, keeper.NewChanged(value(state, 1)))
+			state, _ := replicator.NextState(nil, bigSet(b, servers, 1), replicator.NewAuthor("ana", "change-0", "new set", 0))
+			k := replicator.New("a")
+			k.Step(0, replicator.NewChanged(value(state, 1)))
 			for i := 1; b.Loop(); i++ {
 				b.StopTimer()
-				next, _ := keeper.Next(state, bigSet(b, servers, 1+i%20), keeper.NewAuthor("ana", fmt.Sprint("change-", i), "slots", 0))
+				next, _ := replicator.NextState(state, bigSet(b, servers, 1+i%20), replicator.NewAuthor("ana", fmt.Sprint("change-", i), "slots", 0))
 				u := update(next, state.Ref(), state)
 				b.StartTimer()
-				if len(taken(k.Step(0, keeper.NewFetched("peer", u)))) != 1 {
+				if len(taken(k.Step(0, replicator.NewFetched("peer", u)))) != 1 {
 					b.Fatal("not taken")
 				}
 				state = next
@@ -228,25 +228,25 @@
 // reads it at most once a second, and watches it at most once for each read.
 func TestReadsKeepTheirGap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		k := keeper.New("a", keeper.WithDataCentre("x"))
+		k := replicator.New("a", replicator.WithDataCentre("x"))
 		var reads []tier.Millis
 		now, asked, watched, watches := tier.Millis(0), false, false, 0
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			now += tier.Millis(rapid.IntRange(0, 3000).Draw(t, "pause"))
 			e := storeEvent(t, asked, watched)
 			switch e.(type) {
-			case *keeper.Listed, *keeper.ListFailed:
+			case *replicator.Listed, *replicator.ListFailed:
 				asked = false
-			case *keeper.WatchEnded:
+			case *replicator.WatchEnded:
 				watched = false
 			}
 			for _, a := range k.Step(now, e) {
 				switch a.(type) {
-				case *keeper.List:
+				case *replicator.List:
 					reads, asked = append(reads, now), true
-				case *keeper.Watch:
+				case *replicator.Watch:
 					watches, watched = watches+1, true
-				case *keeper.EndWatch:
+				case *replicator.EndWatch:
 					watched = false
 				}
 			}
@@ -258,15 +258,15 @@
 }
 
 // storeEvent draws an event; the store only answers what was asked.
-func storeEvent(t *rapid.T, asked, watched bool) keeper.Event {
-	events := []keeper.Event{
-		&keeper.Tick{}, keeper.NewMembers([]string{"a"}, nil), keeper.NewMembers([]string{"a", "b", "c", "d", "e"}, nil),
+func storeEvent(t *rapid.T, asked, watched bool) replicator.Event {
+	events := []replicator.Event{
+		&replicator.Tick{}, replicator.NewMembers([]string{"a"}, nil), replicator.NewMembers([]string{"a", "b", "c", "d", "e"}, nil),
 	}
 	if asked {
-		events = append(events, &keeper.ListFailed{}, keeper.NewListed(nil))
+		events = append(events, &replicator.ListFailed{}, replicator.NewListed(nil))
 	}
 	if watched {
-		events = append(events, &keeper.WatchEnded{})
+		events = append(events, &replicator.WatchEnded{})
 	}
 	return rapid.SampledFrom(events).Draw(t, "event")
 }
@@ -286,11 +286,11 @@
 func TestCheckObjectsToCloseReads(t *testing.T) {
 	var reads []tier.Millis
 	for now := tier.Millis(0); now < 2*tier.Second; now += 100 {
-		k := keeper.New("a")
-		k.Step(now-tier.Second, &keeper.Tick{})
-		k.Step(now-100, &keeper.Tick{})
-		for _, a := range k.Step(now+100, &keeper.Tick{}) {
-			if _, ok := a.(*keeper.List); ok {
+		k := replicator.New("a")
+		k.Step(now-tier.Second, &replicator.Tick{})
+		k.Step(now-100, &replicator.Tick{})
+		for _, a := range k.Step(now+100, &replicator.Tick{}) {
+			if _, ok := a.(*replicator.List); ok {
 				reads = append(reads, now)
 			}
 		}
--- a/tier/keeper/memory_test.go
+++ b/tier/replicator/memory_test.go
@@ -1,11 +1,11 @@
-package keeper_test
+package replicator_test
 
 import (
 	"fmt"
 	"runtime"
 	"testing"
 
-	"cicadagrade.example/tier/keeper"
+	"cicadagrade.example/tier/replicator"
 )
 
 // BenchmarkSetMemory is the heap that a set in force takes, by its servers,
@@ -13,11 +13,11 @@
 func BenchmarkSetMemory(b *testing.B) {
 	for _, servers := range []int{20, 220, 880, 2600} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			var states []*keeper.State
+			var states []*replicator.State
 			before := heap()
 			for b.Loop() {
-				s, _ := keeper.Next(nil, bigSet(b, servers, 2), keeper.NewAuthor("ana", "9f2d6c1b7a3e4f50", "new set", 0))
-				read, err := keeper.Decode(s.Ref().Key(), s.Encode())
+				s, _ := replicator.NextState(nil, bigSet(b, servers, 2), replicator.NewAuthor("ana", "9f2d6c1b7a3e4f50", "new set", 0))
+				read, err := replicator.Decode(s.Ref().Key(), s.Encode())
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/tier/keeper/plan.go
+++ b/tier/replicator/plan.go
@@ -1,4 +1,4 @@
-package keeper
+package replicator
 
 import (
 	"cicadagrade.example/tier"
@@ -7,7 +7,7 @@
 
 // setMembers takes the live VMs. What the others announced is kept, in case
 // they become live, but not used.
-func (k *Keeper) setMembers(now tier.Millis, e *Members) {
+func (k *Replicator) setMembers(now tier.Millis, e *Members) {
 	k.members = e.local
 	if known := len(e.local) + len(e.remote); known > k.fleet {
 		k.fleet = known
@@ -37,12 +37,12 @@
 
 // usable reports whether what a VM announced counts; before members are told,
 // all count.
-func (k *Keeper) usable(vm string) bool { return k.live == nil || k.live[vm] }
+func (k *Replicator) usable(vm string) bool { return k.live == nil || k.live[vm] }
 
 // picked reports whether rendezvous hashing makes this VM a watcher. Alone
 // or untold, it is one. The score is that of the gossip's contacts, whose
 // announcements reach the other data centres.
-func (k *Keeper) picked() bool {
+func (k *Replicator) picked() bool {
 	mine := k.score(k.name)
 	above := 0
 	for _, vm := range k.members {
@@ -53,10 +53,10 @@
 	return above < k.watchers
 }
 
-func (k *Keeper) score(vm string) uint64 { return picker.Score("contact", k.dataCentre, vm) }
+func (k *Replicator) score(vm string) uint64 { return picker.Score("contact", k.dataCentre, vm) }
 
 // planStore starts and ends the watch and reads when it is time.
-func (k *Keeper) planStore(now tier.Millis, out *actions) {
+func (k *Replicator) planStore(now tier.Millis, out *actions) {
 	if !k.settled && k.alone() {
 		k.settleAt = k.startedAt + maxSettleTime
 	}
@@ -77,11 +77,11 @@
 }
 
 // alone reports that this VM has never heard of others that it should know.
-func (k *Keeper) alone() bool { return k.fleet <= 1 && k.seeds > 0 }
+func (k *Replicator) alone() bool { return k.fleet <= 1 && k.seeds > 0 }
 
 // changeRole sets the time of the next read. A watcher reads soon, then
 // watches; the others leave peers the time to announce what they hold.
-func (k *Keeper) changeRole(now tier.Millis, out *actions) {
+func (k *Replicator) changeRole(now tier.Millis, out *actions) {
 	if k.watching && !k.watcher {
 		k.watching = false
 		out.add(&EndWatch{})
@@ -100,13 +100,15 @@
 	}
 }
 
-func (k *Keeper) random64(m tier.Millis) tier.Millis { return tier.Millis(k.random.Int64N(int64(m))) }
+func (k *Replicator) random64(m tier.Millis) tier.Millis {
+	return tier.Millis(k.random.Int64N(int64(m)))
+}
 
 // readAt sets the time of the next read, at least minReadGap after the last.
-func (k *Keeper) readAt(at tier.Millis) { k.listAt = max(at, k.lastList+minReadGap) }
+func (k *Replicator) readAt(at tier.Millis) { k.listAt = max(at, k.lastList+minReadGap) }
 
 // retryStore sets the time of the next read after a failure.
-func (k *Keeper) retryStore(now tier.Millis) {
+func (k *Replicator) retryStore(now tier.Millis) {
 	limit := maxBackoff
 	switch {
 	case k.alone():
@@ -120,7 +122,7 @@
 
 // watchEnded has the store read again; a watch that lasted resets the
 // backoff.
-func (k *Keeper) watchEnded(now tier.Millis) {
+func (k *Replicator) watchEnded(now tier.Millis) {
 	if !k.watching {
 		return
 	}
@@ -131,7 +133,7 @@
 	k.retryStore(now)
 }
 
-func (k *Keeper) readPeriod() tier.Millis {
+func (k *Replicator) readPeriod() tier.Millis {
 	switch {
 	case !k.watcher:
 		return otherReadPeriod
@@ -142,7 +144,7 @@
 	}
 }
 
-func (k *Keeper) storeDiffers() bool {
+func (k *Replicator) storeDiffers() bool {
 	for _, f := range k.flags {
 		if f.source == storeSource {
 			return true
--- a/tier/keeper/ref.go
+++ b/tier/replicator/ref.go
@@ -1,4 +1,4 @@
-package keeper
+package replicator
 
 import (
 	"fmt"
@@ -7,12 +7,12 @@
 	"cicadagrade.example/tier/parser"
 )
 
-// Prefix starts the keys of all configuration documents.
-const Prefix = "cicadagrade/config/"
+// KeyPrefix starts the keys of all configuration documents.
+const KeyPrefix = "cicadagrade/config/"
 
 const (
-	profilesKey   = Prefix + "profiles"
-	setPrefix     = Prefix + "sets/"
+	profilesKey   = KeyPrefix + "profiles"
+	setPrefix     = KeyPrefix + "sets/"
 	auditPrefix   = "cicadagrade/audit/"
 	changesPrefix = "cicadagrade/audit-changes/"
 )
@@ -36,7 +36,7 @@
 	return ""
 }
 
-func documentPath(key string) string { return strings.TrimPrefix(key, Prefix) }
+func documentPath(key string) string { return strings.TrimPrefix(key, KeyPrefix) }
 
 // Ref names one state of a document. The epoch counts reconciliations of
 // the store with the fleet, the revision counts changes.
@@ -64,9 +64,9 @@
 // Digest is the checksum of the document's canonical encoding.
 func (r Ref) Digest() string { return r.digest }
 
-// Above reports whether r is later than o: a higher epoch, or the same epoch
+// NewerThan reports whether r is later than o: a higher epoch, or the same epoch
 // and a higher revision.
-func (r Ref) Above(o Ref) bool {
+func (r Ref) NewerThan(o Ref) bool {
 	if r.epoch != o.epoch {
 		return r.epoch > o.epoch
 	}
--- a/tier/keeper/state.go
+++ b/tier/replicator/state.go
@@ -1,4 +1,4 @@
-package keeper
+package replicator
 
 import (
 	"encoding/json"
@@ -13,8 +13,8 @@
 const (
 	// TailLength is how many audit entries a document keeps.
 	TailLength = 16
-	// MaxStored is the largest stored document in bytes.
-	MaxStored = 900 << 10
+	// MaxStoredBytes is the largest stored document in bytes.
+	MaxStoredBytes = 900 << 10
 	// maxTailEntry is the largest audit entry kept in the tail in bytes.
 	maxTailEntry = 4 << 10
 )
@@ -36,11 +36,11 @@
 // Tail lists the latest audit entries, oldest first.
 func (s *State) Tail() []Entry { return s.tail }
 
-// Last is the entry of the change that led to this state.
-func (s *State) Last() Entry { return s.tail[len(s.tail)-1] }
+// LastEntry is the entry of the change that led to this state.
+func (s *State) LastEntry() Entry { return s.tail[len(s.tail)-1] }
 
-// Find looks for a change in the tail.
-func (s *State) Find(change string) (Entry, bool) {
+// FindChange looks for a change in the tail.
+func (s *State) FindChange(change string) (Entry, bool) {
 	for _, e := range s.tail {
 		if e.change == change {
 			return e, true
@@ -49,26 +49,26 @@
 	return Entry{}, false
 }
 
-// Covers reports whether the tail would show a change that led to an epoch
+// TailCovers reports whether the tail would show a change that led to an epoch
 // and revision, if this state descends from it.
-func (s *State) Covers(epoch, revision uint64) bool {
+func (s *State) TailCovers(epoch, revision uint64) bool {
 	first := s.tail[0]
 	return first.revision == 1 || !(Entry{epoch: epoch, revision: revision}).before(first)
 }
 
-// Descends reports whether the change that led to o is part of s's trail, or
+// DescendsFrom reports whether the change that led to o is part of s's trail, or
 // may be, because s's tail no longer reaches back to it.
-func (s *State) Descends(o *State) bool {
-	if !s.Covers(o.ref.epoch, o.ref.revision) {
+func (s *State) DescendsFrom(o *State) bool {
+	if !s.TailCovers(o.ref.epoch, o.ref.revision) {
 		return true
 	}
-	_, ok := s.Find(o.Last().change)
+	_, ok := s.FindChange(o.LastEntry().change)
 	return ok
 }
 
-// Next returns the state after a change of s, which is nil for a document
+// NextState returns the state after a change of s, which is nil for a document
 // that does not exist yet, and the list of changes made.
-func Next(s *State, d parser.Document, a Author) (*State, []parser.Change) {
+func NextState(s *State, d parser.Document, a Author) (*State, []parser.Change) {
 	var before parser.Document
 	ref := Ref{key: KeyOf(d), epoch: 1, revision: 1, digest: parser.Digest(d)}
 	var tail []Entry
@@ -177,7 +177,7 @@
 		return &CorruptError{key: s.ref.key, cause: "its digest differs"}
 	case len(s.tail) == 0:
 		return &CorruptError{key: s.ref.key, cause: "it has no audit entry"}
-	case s.Last().epoch != s.ref.epoch || s.Last().revision != s.ref.revision:
+	case s.LastEntry().epoch != s.ref.epoch || s.LastEntry().revision != s.ref.revision:
 		return &CorruptError{key: s.ref.key, cause: "its last audit entry is of another revision"}
 	default:
 		return nil
--- a/tier/keeper/update.go
+++ b/tier/replicator/update.go
@@ -1,4 +1,4 @@
-package keeper
+package replicator
 
 import (
 	"encoding/json"
@@ -74,7 +74,7 @@
 			return
 		}
 	}
-	h.steps = append(h.steps, step{base: h.state.ref, change: h.state.Last().change, patch: patch})
+	h.steps = append(h.steps, step{base: h.state.ref, change: h.state.LastEntry().change, patch: patch})
 }
 
 func (h *held) stepBytes() int {
@@ -110,7 +110,7 @@
 	for _, s := range steps {
 		body.Patches = append(body.Patches, s.patch)
 	}
-	if !h.state.Covers(base.epoch, base.revision) {
+	if !h.state.TailCovers(base.epoch, base.revision) {
 		return nil, false
 	}
 	last := Entry{epoch: base.epoch, revision: base.revision}
@@ -141,7 +141,7 @@
 	if err := json.Unmarshal(u.delta, &body); err != nil {
 		return nil, errors.Wrap(&CorruptError{key: u.ref.key, cause: err.Error()}, "resolve")
 	}
-	if body.Base != h.state.Last().change {
+	if body.Base != h.state.LastEntry().change {
 		return nil, errors.WithStack(&CorruptError{key: u.ref.key, cause: "its base is another change"})
 	}
 	d := h.state.document
--- a/tier/searcher/cause_test.go
+++ b/tier/searcher/cause_test.go
@@ -10,15 +10,15 @@
 	"cicadagrade.example/tier/balancer"
 	"cicadagrade.example/tier/budgeter"
 	"cicadagrade.example/tier/lister"
-	"cicadagrade.example/tier/sharer"
+	"cicadagrade.example/tier/partitioner"
 )
 
 // results are all ends of a call.
 func results() []Result {
 	list := []Result{
-		Answered{Reply: "x"}, FailedReply{Reply: "500"}, Lost{Cause: "reset"}, Lost{Cause: "reset", Fresh: true},
+		Answered{Reply: "x"}, FailedReply{Reply: "500"}, Lost{Cause: "reset"}, Lost{Cause: "reset", NewConnection: true},
 	}
-	for _, r := range []NotRunReason{NoConnection, BrokenAtStart, WrongServer, Declined, Shed} {
+	for _, r := range []NotRunReason{NoConnection, DeadConnection, WrongServer, Declined, Shed} {
 		list = append(list, NotRun{Reason: r})
 	}
 	return list
@@ -57,14 +57,14 @@
 		i := number("call", len(p.calls))
 		c := p.calls[i]
 		p.calls = append(p.calls[:i], p.calls[i+1:]...)
-		p.take(p.search.Ended(p.now, c, rapid.SampledFrom(results()).Draw(p.t, "result")))
+		p.take(p.search.CallEnded(p.now, c, rapid.SampledFrom(results()).Draw(p.t, "result")))
 	case k < 9:
-		p.now = max(p.now, min(p.search.Next(), p.now+tier.Millis(1+number("wait", 80))))
+		p.now = max(p.now, min(p.search.NextTick(), p.now+tier.Millis(1+number("wait", 80))))
 		p.take(p.search.Tick(p.now))
 	case k == 9 && len(p.shares) > 0:
 		for share, parts := range p.shares {
-			p.take(p.search.Accepted(p.now, share))
-			p.take(p.search.Brought(p.now, share, Brought{Parts: parts[:number("parts", len(parts)+1)], Last: number("last", 2) == 0}))
+			p.take(p.search.ShareAccepted(p.now, share))
+			p.take(p.search.ShareReported(p.now, share, ShareReport{Parts: parts[:number("parts", len(parts)+1)], Last: number("last", 2) == 0}))
 			return
 		}
 	case k == 10 && len(p.shares) > 0:
@@ -89,31 +89,31 @@
 			services[i] = fmt.Sprint("s", i)
 			for k := range number("leafs", 3) {
 				id := fmt.Sprint("f", i, k)
-				list.Put(0, lister.NewEntry("servers/"+id, lister.NewLeaf(id, services[i], id+":1", lister.In("a")), 1))
+				list.Put(0, lister.NewEntry("servers/"+id, lister.NewLeaf(id, services[i], id+":1", lister.InDataCentre("a")), 1))
 			}
 		}
-		member := func(name string) sharer.Member {
-			return sharer.NewMember(tier.NewVM(name, "a", name+":1", tier.WithVMState(tier.VMLive)), "home", 1)
+		member := func(name string) partitioner.Member {
+			return partitioner.NewMember(tier.NewVM(name, "a", name+":1", tier.WithVMState(tier.VMLive)), "home", 1)
 		}
-		core := NewCore(list, balancer.New(func(string) balancer.Place { return balancer.SameDataCentre }),
-			budgeter.New(0.2, float64(number("slack", 20)), 1), sharer.New(member("self")))
-		core.Sharer().Put(member("other"))
-		options := []TermsOption{WithMinimum(1 + number("minimum", len(services))), WithAttempts(1 + number("attempts", 2))}
+		core := NewScheduler(list, balancer.New(func(string) balancer.Distance { return balancer.SameDataCentre }),
+			budgeter.New(0.2, float64(number("slack", 20)), 1), partitioner.New(member("self")))
+		core.Partitioner().Put(member("other"))
+		options := []TermsOption{WithMinimumParts(1 + number("minimum", len(services))), WithMaxAttempts(1 + number("attempts", 2))}
 		if number("repeatable", 3) > 0 {
-			options = append(options, Repeatable())
+			options = append(options, Idempotent())
 		}
 		if len(services) == 1 {
-			options = append(options, PassFailures())
+			options = append(options, ForwardFailures())
 		}
-		var shares []sharer.Share
+		var shares []partitioner.Share
 		if n := number("shared", len(services)); n > 0 {
 			parts := make([]int, n)
 			for i := range parts {
 				parts[i] = i
 			}
-			shares = append(shares, sharer.NewShare(member("other"), parts))
+			shares = append(shares, partitioner.NewShare(member("other"), parts))
 		}
-		p := &player{t: t, search: New(core, NewTerms("c", 200, 600, options...), services, shares), shares: map[int][]int{}}
+		p := &player{t: t, search: NewSearch(core, NewTerms("c", 200, 600, options...), services, shares), shares: map[int][]int{}}
 		p.take(p.search.Start(0))
 		for range 400 {
 			if p.outcome != nil {
@@ -122,7 +122,7 @@
 			p.step()
 		}
 		for p.outcome == nil && p.now < 2000 {
-			p.now = max(p.now+1, p.search.Next())
+			p.now = max(p.now+1, p.search.NextTick())
 			p.take(p.search.Tick(p.now))
 		}
 		if p.outcome == nil {
@@ -141,7 +141,7 @@
 			}
 		}
 	})
-	for _, c := range []Cause{Complete, AtAim, PastAim, LeafFailure, NoLeaf, LeafsRefused, PartsLost, OutOfTime, OutcomeUnsure, Left} {
+	for _, c := range []Cause{Complete, AtTarget, PastTarget, LeafFailure, NoLeaf, LeafsRefused, PartsLost, OutOfTime, OutcomeUnknown, CallerLeft} {
 		if !causes[c] {
 			t.Logf("no drawn search ended with %s", c)
 		}
--- a/tier/searcher/core.go
+++ b/tier/searcher/core.go
@@ -11,7 +11,7 @@
 	"cicadagrade.example/tier/budgeter"
 	"cicadagrade.example/tier/forecaster"
 	"cicadagrade.example/tier/lister"
-	"cicadagrade.example/tier/sharer"
+	"cicadagrade.example/tier/partitioner"
 )
 
 // Defaults of a Core.
@@ -51,30 +51,30 @@
 	reportSlack = 10 * tier.Millisecond
 )
 
-// Core is what the searches of one VM share. It is not safe for concurrent
+// Scheduler is what the searches of one VM share. It is not safe for concurrent
 // use: one search steps at a time.
-type Core struct {
+type Scheduler struct {
 	lister     *lister.Lister
 	balancer   *balancer.Balancer
 	budgeter   *budgeter.Budgeter
-	sharer     *sharer.Sharer
+	sharer     *partitioner.Partitioner
 	forecaster *forecaster.Forecaster
 	queue      queue
 	woken      []*Search
 }
 
-// NewCore returns a core.
-func NewCore(l *lister.Lister, b *balancer.Balancer, u *budgeter.Budgeter, s *sharer.Sharer) *Core {
-	return &Core{lister: l, balancer: b, budgeter: u, sharer: s, forecaster: forecaster.New(), queue: queue{}}
+// NewScheduler returns a core.
+func NewScheduler(l *lister.Lister, b *balancer.Balancer, u *budgeter.Budgeter, s *partitioner.Partitioner) *Scheduler {
+	return &Scheduler{lister: l, balancer: b, budgeter: u, sharer: s, forecaster: forecaster.New(), queue: queue{}}
 }
 
 // owners is the number of VMs that usually ask a service, one in each region
 // with a leaf of it, or 0 if this VM is none of them.
-func (c *Core) owners(now tier.Millis, service string) int {
+func (c *Scheduler) owners(now tier.Millis, service string) int {
 	leafs := c.lister.Leafs(service)
 	home := false
 	for _, f := range leafs {
-		home = home || c.balancer.Near(f)
+		home = home || c.balancer.InRegion(f)
 	}
 	leafIn := func(dataCentre string) bool {
 		return slices.ContainsFunc(leafs, func(f lister.Leaf) bool { return f.DataCentre() == dataCentre })
@@ -86,19 +86,19 @@
 }
 
 // Lister is the list of leafs.
-func (c *Core) Lister() *lister.Lister { return c.lister }
+func (c *Scheduler) Lister() *lister.Lister { return c.lister }
 
 // Balancer holds what was seen of leafs.
-func (c *Core) Balancer() *balancer.Balancer { return c.balancer }
+func (c *Scheduler) Balancer() *balancer.Balancer { return c.balancer }
 
 // Budgeter holds the budget of extra calls.
-func (c *Core) Budgeter() *budgeter.Budgeter { return c.budgeter }
+func (c *Scheduler) Budgeter() *budgeter.Budgeter { return c.budgeter }
 
-// Sharer divides searches among VMs.
-func (c *Core) Sharer() *sharer.Sharer { return c.sharer }
+// Partitioner divides searches among VMs.
+func (c *Scheduler) Partitioner() *partitioner.Partitioner { return c.sharer }
 
 // Forecaster tells hopeless requests.
-func (c *Core) Forecaster() *forecaster.Forecaster { return c.forecaster }
+func (c *Scheduler) Forecaster() *forecaster.Forecaster { return c.forecaster }
 
 // Terms are what a request is owed.
 type Terms struct {
@@ -126,23 +126,23 @@
 	return t
 }
 
-// Aim is when the answer is to go out.
-func (t Terms) Aim() tier.Millis { return t.aim }
+// Target is when the answer is to go out.
+func (t Terms) Target() tier.Millis { return t.aim }
 
-// Repeatable lets calls be hedged and retried.
-func Repeatable() TermsOption { return func(t *Terms) { t.repeatable = true } }
+// Idempotent lets calls be hedged and retried.
+func Idempotent() TermsOption { return func(t *Terms) { t.repeatable = true } }
 
-// WithAttempts sets to how many leafs each part may be sent.
-func WithAttempts(n int) TermsOption { return func(t *Terms) { t.attempts = max(n, 1) } }
+// WithMaxAttempts sets to how many leafs each part may be sent.
+func WithMaxAttempts(n int) TermsOption { return func(t *Terms) { t.attempts = max(n, 1) } }
 
 // WithRank sets the rank; a lower one goes first where parts wait.
 func WithRank(rank int) TermsOption { return func(t *Terms) { t.rank = rank } }
 
-// WithMinimum sets the least number of parts of an answer.
-func WithMinimum(n int) TermsOption { return func(t *Terms) { t.minimum = n } }
+// WithMinimumParts sets the least number of parts of an answer.
+func WithMinimumParts(n int) TermsOption { return func(t *Terms) { t.minimum = n } }
 
-// PassFailures hands a leaf's own failure on if no other leaf answers.
-func PassFailures() TermsOption { return func(t *Terms) { t.whole = true } }
+// ForwardFailures hands a leaf's own failure on if no other leaf answers.
+func ForwardFailures() TermsOption { return func(t *Terms) { t.whole = true } }
 
 // ForAnotherVM hands parts on by Flush: all that are in at the aim, and each
 // later one at once. The search goes on until no part can come any more.
--- a/tier/searcher/events.go
+++ b/tier/searcher/events.go
@@ -5,7 +5,7 @@
 
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/lister"
-	"cicadagrade.example/tier/sharer"
+	"cicadagrade.example/tier/partitioner"
 )
 
 // Result is how one call to a leaf ended.
@@ -24,8 +24,8 @@
 
 // Lost says that a call was sent and no usable reply came: it may have run.
 type Lost struct {
-	Cause string
-	Fresh bool // on a new connection, of which nothing came
+	Cause         string
+	NewConnection bool // on a new connection, of which nothing came
 }
 
 func (Answered) result()    {}
@@ -38,11 +38,11 @@
 
 // The reasons.
 const (
-	Shed          NotRunReason = iota // the leaf has no room
-	WrongServer                       // another server answers at the address
-	NoConnection                      // no connection could be made
-	Declined                          // the leaf rejects the request as it is
-	BrokenAtStart                     // the connection was dead before the request was written
+	Shed           NotRunReason = iota // the leaf has no room
+	WrongServer                        // another server answers at the address
+	NoConnection                       // no connection could be made
+	Declined                           // the leaf rejects the request as it is
+	DeadConnection                     // the connection was dead before the request was written
 )
 
 var reasonNames = [...]string{"shed", "wrong-server", "no-connection", "declined", "dead-connection"}
@@ -70,27 +70,27 @@
 
 // Delegate has another VM ask a share of the services.
 type Delegate struct {
-	Share  int // number of the share in the search
-	Member sharer.Member
-	Parts  []int
-	Aim    tier.Millis // time left until its reply has to be sent
-	End    tier.Millis // time left until nobody waits any more
+	Share    int // number of the share in the search
+	Member   partitioner.Member
+	Parts    []int
+	Target   tier.Millis // time left until its reply has to be sent
+	Deadline tier.Millis // time left until nobody waits any more
 }
 
 // Recall gives a share up. Its replies are not awaited.
 type Recall struct {
-	Share  int
-	Member sharer.Member
-	Silent bool // its VM did not answer in time
-	Got    bool // its VM had said that it got the share
+	Share    int
+	Member   partitioner.Member
+	TimedOut bool // its VM did not answer in time
+	Accepted bool // its VM had said that it got the share
 }
 
 // Flush hands on the parts that came in since the last one, in a search for
 // another VM. It may be empty: then it only says that the search goes on.
 type Flush struct {
-	In     []int // places of all parts that came in
-	Parts  []Part
-	Shares []any
+	Arrived []int // places of all parts that came in
+	Parts   []Part
+	Shares  []any
 }
 
 func (Send) action()     {}
@@ -100,8 +100,8 @@
 func (Recall) action()   {}
 func (Flush) action()    {}
 
-// Brought is what a VM that asks a share reports.
-type Brought struct {
+// ShareReport is what a VM that asks a share reports.
+type ShareReport struct {
 	Parts      []int // places among the search's services
 	Reply      any
 	Last       bool
@@ -127,16 +127,16 @@
 
 // The causes.
 const (
-	Complete      Cause = "complete"       // every part is in
-	AtAim         Cause = "aim-reached"    // answered with the parts that are in
-	PastAim       Cause = "past-aim"       // the least share came in after the aim
-	LeafFailure   Cause = "leaf-failure"   // a leaf's own failure is passed on
-	NoLeaf        Cause = "no-leaf"        // no leaf is known for too many parts
-	LeafsRefused  Cause = "leafs-refused"  // each leaf said that it did not run it
-	PartsLost     Cause = "parts-lost"     // too many parts can't come any more
-	OutOfTime     Cause = "out-of-time"    // the deadline or the route's timeout passed
-	OutcomeUnsure Cause = "outcome-unsure" // sent once, and no reply came
-	Left          Cause = "caller-left"    // the one who asked has gone
+	Complete       Cause = "complete"       // every part is in
+	AtTarget       Cause = "aim-reached"    // answered with the parts that are in
+	PastTarget     Cause = "past-aim"       // the least share came in after the aim
+	LeafFailure    Cause = "leaf-failure"   // a leaf's own failure is passed on
+	NoLeaf         Cause = "no-leaf"        // no leaf is known for too many parts
+	LeafsRefused   Cause = "leafs-refused"  // each leaf said that it did not run it
+	PartsLost      Cause = "parts-lost"     // too many parts can't come any more
+	OutOfTime      Cause = "out-of-time"    // the deadline or the route's timeout passed
+	OutcomeUnknown Cause = "outcome-unsure" // sent once, and no reply came
+	CallerLeft     Cause = "caller-left"    // the one who asked has gone
 )
 
 // Miss is a service whose part is not in, with what was seen last of it.
@@ -185,7 +185,7 @@
 
 // Success reports whether the parts make an answer.
 func (o Outcome) Success() bool {
-	return o.cause == Complete || o.cause == AtAim || o.cause == PastAim
+	return o.cause == Complete || o.cause == AtTarget || o.cause == PastTarget
 }
 
 // Misses say why parts are not in, of at most a few services.
@@ -197,8 +197,8 @@
 // MayHaveRun reports whether a leaf may have begun to work on the request.
 func (o Outcome) MayHaveRun() bool { return o.maybe }
 
-// Sent is the number of calls made.
-func (o Outcome) Sent() int { return o.sent }
+// CallsSent is the number of calls made.
+func (o Outcome) CallsSent() int { return o.sent }
 
-// Extra is how many of them were hedges and retries.
-func (o Outcome) Extra() int { return o.extra }
+// ExtraCalls is how many of them were hedges and retries.
+func (o Outcome) ExtraCalls() int { return o.extra }
--- a/tier/searcher/queue.go
+++ b/tier/searcher/queue.go
@@ -38,7 +38,7 @@
 }
 
 // enqueue has a part wait for room.
-func (c *Core) enqueue(now tier.Millis, s *Search, i int) {
+func (c *Scheduler) enqueue(now tier.Millis, s *Search, i int) {
 	p := &s.parts[i]
 	if p.waiting {
 		return
@@ -50,7 +50,7 @@
 }
 
 // dequeue takes a part out of its queue.
-func (c *Core) dequeue(s *Search, i int) {
+func (c *Scheduler) dequeue(s *Search, i int) {
 	p := &s.parts[i]
 	if !p.waiting {
 		return
@@ -70,7 +70,7 @@
 }
 
 // fill gives room at the leafs of a service to the parts that wait for it.
-func (c *Core) fill(now tier.Millis, service string) {
+func (c *Scheduler) fill(now tier.Millis, service string) {
 	for len(c.queue[service]) > 0 {
 		list := c.queue[service]
 		best := 0
@@ -101,16 +101,16 @@
 
 // roomFor picks a leaf with room for a part: one that it has not been sent to,
 // or any if there is no such leaf and no call is out.
-func (c *Core) roomFor(now tier.Millis, s *Search, p *part) (lister.Leaf, float64, bool) {
+func (c *Scheduler) roomFor(now tier.Millis, s *Search, p *part) (lister.Leaf, float64, bool) {
 	owner := c.owners(now, p.service) > 0
 	again := p.open == 0 && !s.hasFresh(now, p)
 	return c.balancer.Pick(now, s.terms.class, c.lister.Leafs(p.service), func(f lister.Leaf) bool {
-		return c.balancer.Room(now, f, owner) && (again || !contains(p.tried, f.ID()))
+		return c.balancer.HasCapacity(now, f, owner) && (again || !contains(p.tried, f.ID()))
 	})
 }
 
-// Waiting is the number of parts that wait for room.
-func (c *Core) Waiting() int {
+// QueueLength is the number of parts that wait for room.
+func (c *Scheduler) QueueLength() int {
 	n := 0
 	for _, list := range c.queue {
 		n += len(list)
@@ -120,7 +120,7 @@
 
 // TakeWoken returns the searches that have got actions while another one
 // stepped. Their programs have to step them.
-func (c *Core) TakeWoken() []*Search {
+func (c *Scheduler) TakeWoken() []*Search {
 	w := c.woken
 	c.woken = nil
 	for _, s := range w {
@@ -129,11 +129,11 @@
 	return w
 }
 
-// Attach keeps what the program needs to find its way from a woken search.
-func (s *Search) Attach(program any) { s.program = program }
+// SetUserData keeps what the program needs to find its way from a woken search.
+func (s *Search) SetUserData(program any) { s.program = program }
 
-// Attached is what Attach was given.
-func (s *Search) Attached() any { return s.program }
+// UserData is what Attach was given.
+func (s *Search) UserData() any { return s.program }
 
 // Resume returns the actions of a woken search.
 func (s *Search) Resume(now tier.Millis) []Action {
--- a/tier/searcher/script_test.go
+++ b/tier/searcher/script_test.go
@@ -15,7 +15,7 @@
 	"cicadagrade.example/tier/balancer"
 	"cicadagrade.example/tier/budgeter"
 	"cicadagrade.example/tier/lister"
-	"cicadagrade.example/tier/sharer"
+	"cicadagrade.example/tier/partitioner"
 )
 
 // TestScripts plays each script of testdata and compares the transcript with
@@ -59,16 +59,16 @@
 	out      strings.Builder
 	now      tier.Millis
 	lister   *lister.Lister
-	core     *Core
+	core     *Scheduler
 	searches map[string]*Search
 	names    []string
-	peers    map[string]sharer.Member
+	peers    map[string]partitioner.Member
 	serial   int
 }
 
 func newScript(t *testing.T) *script {
-	s := &script{t: t, lister: lister.New(), searches: map[string]*Search{}, peers: map[string]sharer.Member{}}
-	place := func(dataCentre string) balancer.Place {
+	s := &script{t: t, lister: lister.New(), searches: map[string]*Search{}, peers: map[string]partitioner.Member{}}
+	place := func(dataCentre string) balancer.Distance {
 		switch dataCentre {
 		case "a":
 			return balancer.SameDataCentre
@@ -77,8 +77,8 @@
 		}
 		return balancer.OtherRegion
 	}
-	self := sharer.NewMember(tier.NewVM("self", "a", "self:1", tier.WithVMState(tier.VMLive)), "home", 1)
-	s.core = NewCore(s.lister, balancer.New(place), budgeter.New(0.2, 20, 1), sharer.New(self))
+	self := partitioner.NewMember(tier.NewVM("self", "a", "self:1", tier.WithVMState(tier.VMLive)), "home", 1)
+	s.core = NewScheduler(s.lister, balancer.New(place), budgeter.New(0.2, 20, 1), partitioner.New(self))
 	return s
 }
 
@@ -97,10 +97,10 @@
 		if len(words) > 4 {
 			slots = s.number(words[4])
 		}
-		f := lister.NewLeaf(words[1], words[2], words[1]+":1", lister.In(words[3]), lister.WithSlots(slots))
+		f := lister.NewLeaf(words[1], words[2], words[1]+":1", lister.InDataCentre(words[3]), lister.WithSlots(slots))
 		s.lister.Put(s.now, lister.NewEntry("servers/"+words[1], f, int64(s.serial)))
 	case "peer":
-		m := sharer.NewMember(tier.NewVM(words[1], "x", words[1]+":1", tier.WithVMState(tier.VMLive)), words[2], 1)
+		m := partitioner.NewMember(tier.NewVM(words[1], "x", words[1]+":1", tier.WithVMState(tier.VMLive)), words[2], 1)
 		s.peers[words[1]] = m
 		s.core.sharer.Put(m)
 	case "search":
@@ -114,10 +114,10 @@
 
 func (s *script) search(name string, words []string) {
 	var aim, end tier.Millis
-	options := []TermsOption{Repeatable()}
+	options := []TermsOption{Idempotent()}
 	var once bool
-	var shares []sharer.Share
-	var delegated []sharer.Share
+	var shares []partitioner.Share
+	var delegated []partitioner.Share
 	i := 0
 	for ; i < len(words); i++ {
 		switch words[i] {
@@ -129,10 +129,10 @@
 			end = tier.Millis(s.number(words[i]))
 		case "minimum":
 			i++
-			options = append(options, WithMinimum(s.number(words[i])))
+			options = append(options, WithMinimumParts(s.number(words[i])))
 		case "attempts":
 			i++
-			options = append(options, WithAttempts(s.number(words[i])))
+			options = append(options, WithMaxAttempts(s.number(words[i])))
 		case "rank":
 			i++
 			options = append(options, WithRank(s.number(words[i])))
@@ -143,7 +143,7 @@
 		case "share":
 			i++
 			peer, parts, _ := strings.Cut(words[i], "=")
-			delegated = append(delegated, sharer.NewShare(s.peers[peer], s.numbers(parts)))
+			delegated = append(delegated, partitioner.NewShare(s.peers[peer], s.numbers(parts)))
 		default:
 			goto services
 		}
@@ -153,8 +153,8 @@
 		options = options[1:]
 	}
 	shares = append(shares, delegated...)
-	terms := NewTerms("class", s.now+aim, s.now+end, append(options, PassFailures())...)
-	q := New(s.core, terms, words[i:], shares)
+	terms := NewTerms("class", s.now+aim, s.now+end, append(options, ForwardFailures())...)
+	q := NewSearch(s.core, terms, words[i:], shares)
 	s.searches[name] = q
 	s.names = append(s.names, name)
 	s.print(name, q.Start(s.now))
@@ -172,15 +172,15 @@
 	n := s.number(words[1])
 	results := map[string]Result{
 		"answer": Answered{Reply: "reply"}, "fail": FailedReply{Reply: "failure"}, "lose": Lost{Cause: "cut"},
-		"reset": Lost{Cause: "reset", Fresh: true}, "shed": NotRun{Reason: Shed},
+		"reset": Lost{Cause: "reset", NewConnection: true}, "shed": NotRun{Reason: Shed},
 		"wrong": NotRun{Reason: WrongServer}, "refuse": NotRun{Reason: NoConnection},
 	}
 	switch words[0] {
 	case "accept":
-		s.print(name, q.Accepted(s.now, n))
+		s.print(name, q.ShareAccepted(s.now, n))
 	case "bring":
-		b := Brought{Parts: s.numbers(words[2]), Reply: "share", MayHaveRun: true, Last: len(words) > 3}
-		s.print(name, q.Brought(s.now, n, b))
+		b := ShareReport{Parts: s.numbers(words[2]), Reply: "share", MayHaveRun: true, Last: len(words) > 3}
+		s.print(name, q.ShareReported(s.now, n, b))
 	case "break":
 		s.print(name, q.ShareFailed(s.now, n))
 	default:
@@ -188,7 +188,7 @@
 		if !ok {
 			s.t.Fatalf("no word %q", words[0])
 		}
-		s.print(name, q.Ended(s.now, n, r))
+		s.print(name, q.CallEnded(s.now, n, r))
 	}
 }
 
@@ -198,12 +198,12 @@
 		next := to
 		for _, name := range s.names {
 			if q := s.searches[name]; !q.done {
-				next = min(next, max(q.Next(), s.now+1))
+				next = min(next, max(q.NextTick(), s.now+1))
 			}
 		}
 		s.now = next
 		for _, name := range s.names {
-			if q := s.searches[name]; !q.done && q.Next() <= s.now {
+			if q := s.searches[name]; !q.done && q.NextTick() <= s.now {
 				s.print(name, q.Tick(s.now))
 			}
 		}
@@ -238,11 +238,11 @@
 	case Cancel:
 		return fmt.Sprintf("cancel %d", a.Call)
 	case Delegate:
-		return fmt.Sprintf("delegate %d: parts %v to %s, aim %d, end %d", a.Share, a.Parts, a.Member.VM().Name(), a.Aim, a.End)
+		return fmt.Sprintf("delegate %d: parts %v to %s, aim %d, end %d", a.Share, a.Parts, a.Member.VM().Name(), a.Target, a.Deadline)
 	case Recall:
-		return fmt.Sprintf("recall %d, silent %v", a.Share, a.Silent)
+		return fmt.Sprintf("recall %d, silent %v", a.Share, a.TimedOut)
 	case Flush:
-		return fmt.Sprintf("flush %v", a.In)
+		return fmt.Sprintf("flush %v", a.Arrived)
 	case Finish:
 		o := a.Outcome
 		return fmt.Sprintf("finish %s: missing %d, may have run %v, failure %v, misses %v",
--- a/tier/searcher/searcher.go
+++ b/tier/searcher/searcher.go
@@ -3,7 +3,7 @@
 import (
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/lister"
-	"cicadagrade.example/tier/sharer"
+	"cicadagrade.example/tier/partitioner"
 )
 
 // call is one sending to a leaf.
@@ -41,7 +41,7 @@
 
 // share is the state of the parts that another VM asks.
 type share struct {
-	member   sharer.Member
+	member   partitioner.Member
 	parts    []int
 	sent     tier.Millis
 	acceptBy tier.Millis // when its VM is taken for dead
@@ -56,7 +56,7 @@
 
 // Search is one request. It is not safe for concurrent use.
 type Search struct {
-	core    *Core
+	core    *Scheduler
 	terms   Terms
 	parts   []part
 	calls   []call
@@ -74,9 +74,9 @@
 	late    bool // the parts at the aim have been flushed
 }
 
-// New returns a search over services. Shares that are not this VM's own are
+// NewSearch returns a search over services. Shares that are not this VM's own are
 // given to their VMs; without any, this VM asks all.
-func New(core *Core, terms Terms, services []string, shares []sharer.Share) *Search {
+func NewSearch(core *Scheduler, terms Terms, services []string, shares []partitioner.Share) *Search {
 	s := &Search{core: core, terms: terms, parts: make([]part, len(services))}
 	for i, name := range services {
 		s.parts[i] = part{service: name, hedgeAt: never, retryAt: never, share: none}
@@ -108,8 +108,8 @@
 	return s.settle(now, s.takePending(actions))
 }
 
-// Ended takes the result of a call.
-func (s *Search) Ended(now tier.Millis, number int, r Result) []Action {
+// CallEnded takes the result of a call.
+func (s *Search) CallEnded(now tier.Millis, number int, r Result) []Action {
 	c := &s.calls[number]
 	if c.ended {
 		return nil
@@ -162,7 +162,7 @@
 		h := &s.shares[k]
 		stuck := !h.reported && now >= h.reportBy
 		if !h.ended && (now >= h.acceptBy || stuck) {
-			actions = s.takeBack(now, k, append(actions, Recall{Share: k, Member: h.member, Silent: true, Got: h.acceptBy == never}))
+			actions = s.takeBack(now, k, append(actions, Recall{Share: k, Member: h.member, TimedOut: true, Accepted: h.acceptBy == never}))
 		}
 	}
 	for i := range s.parts {
@@ -187,8 +187,8 @@
 	return s.settle(now, s.takePending(actions))
 }
 
-// Next is when Tick has to be called at the latest.
-func (s *Search) Next() tier.Millis {
+// NextTick is when Tick has to be called at the latest.
+func (s *Search) NextTick() tier.Millis {
 	next := s.terms.end
 	if s.in < len(s.parts) {
 		if (s.in >= s.terms.minimum || s.terms.flushes) && !s.late && s.terms.aim < next {
@@ -217,7 +217,7 @@
 	if s.done {
 		return nil
 	}
-	return s.finish(now, Left, nil)
+	return s.finish(now, CallerLeft, nil)
 }
 
 func (s *Search) observe(now tier.Millis, c *call, r Result) {
@@ -228,8 +228,8 @@
 	case FailedReply:
 		b.Failed(now, c.leaf)
 	case Lost:
-		if r.Fresh {
-			b.Crowded(now, c.leaf)
+		if r.NewConnection {
+			b.ConnectionReset(now, c.leaf)
 			return
 		}
 		b.Failed(now, c.leaf)
@@ -276,7 +276,7 @@
 		if h := &s.shares[k]; !h.ended {
 			h.ended = true
 			s.maybe = true
-			s.core.sharer.Gathered(s.terms.class, h.member.Region(), now-h.sent)
+			s.core.sharer.RecordShareLatency(s.terms.class, h.member.Region(), now-h.sent)
 			actions = append(actions, Recall{Share: k, Member: h.member})
 		}
 	}
--- a/tier/searcher/send.go
+++ b/tier/searcher/send.go
@@ -21,7 +21,7 @@
 			s.giveUp(p, "no-leaf")
 		}
 		return actions
-	case !s.core.balancer.Room(now, f, s.core.owners(now, p.service) > 0):
+	case !s.core.balancer.HasCapacity(now, f, s.core.owners(now, p.service) > 0):
 		// Waiting for the best leaf beats a worse one now: its cost has the
 		// wait in it.
 		if other, cost, ok := s.core.roomFor(now, s, p); ok && now+tier.Millis(cost) <= s.terms.aim {
@@ -77,7 +77,7 @@
 	p := &s.parts[i]
 	if !p.asked {
 		p.asked = true
-		s.core.budgeter.First(p.service, s.core.owners(now, p.service))
+		s.core.budgeter.CountRequest(p.service, s.core.owners(now, p.service))
 	}
 	if extra {
 		s.extra++
@@ -101,7 +101,7 @@
 // longer than it should take, but not so long that the hedge comes too late.
 func (s *Search) patience(now tier.Millis, p *part, f lister.Leaf) tier.Millis {
 	byAim := hedgeShare * float64(s.terms.aim-now)
-	byLatency := hedgeFactor*s.core.balancer.Usual(s.terms.class, f) + hedgeSlack
+	byLatency := hedgeFactor*s.core.balancer.BaseLatency(s.terms.class, f) + hedgeSlack
 	wait := max(byAim, byLatency)
 	if _, cost, found := s.pick(now, p, true); found {
 		wait = min(wait, float64(s.terms.aim-now)-hedgeReserve*cost)
--- a/tier/searcher/settle.go
+++ b/tier/searcher/settle.go
@@ -15,13 +15,13 @@
 	case s.in == n:
 		return s.finish(now, Complete, actions)
 	case s.in+s.lost == n && s.in >= s.terms.minimum:
-		return s.finish(now, AtAim, actions)
+		return s.finish(now, AtTarget, actions)
 	case n-s.lost < s.terms.minimum:
 		return s.finish(now, s.failureCause(), actions)
 	case now >= s.terms.aim && s.in >= s.terms.minimum:
-		cause := AtAim
+		cause := AtTarget
 		if now > s.terms.aim+lateSlack {
-			cause = PastAim
+			cause = PastTarget
 		}
 		return s.finish(now, cause, actions)
 	case now >= s.terms.end:
@@ -44,7 +44,7 @@
 			continue
 		}
 		p.flushed = true
-		f.In = append(f.In, i)
+		f.Arrived = append(f.Arrived, i)
 		if p.reply != nil {
 			f.Parts = append(f.Parts, Part{index: i, reply: p.reply})
 		}
@@ -53,7 +53,7 @@
 		f.Shares = append(f.Shares, s.shares[k].replies...)
 		s.shares[k].replies = nil
 	}
-	if len(f.In) > 0 || !s.late {
+	if len(f.Arrived) > 0 || !s.late {
 		actions = append(actions, f)
 	}
 	s.late = true
@@ -79,7 +79,7 @@
 	case !s.maybe:
 		return LeafsRefused
 	case !s.terms.repeatable:
-		return OutcomeUnsure
+		return OutcomeUnknown
 	}
 	return PartsLost
 }
@@ -93,7 +93,7 @@
 		}
 	}
 	misses := s.misses(now)
-	if !s.terms.flushes && len(s.parts) > 1 && cause != Left {
+	if !s.terms.flushes && len(s.parts) > 1 && cause != CallerLeft {
 		s.judge(now)
 	}
 	actions = s.cancelAll(now, actions)
@@ -162,7 +162,7 @@
 	case FailedReply:
 		return "failed"
 	case Lost:
-		if r.Fresh {
+		if r.NewConnection {
 			return "connection-reset"
 		}
 		return "lost"
@@ -178,9 +178,9 @@
 		p := &s.parts[i]
 		switch {
 		case p.in && !p.late:
-			s.core.forecaster.Came(now, p.service)
+			s.core.forecaster.RecordArrived(now, p.service)
 		case p.in || p.lost || now >= s.terms.aim:
-			s.core.forecaster.Missed(now, p.service)
+			s.core.forecaster.RecordMissed(now, p.service)
 		}
 	}
 }
--- a/tier/searcher/shares.go
+++ b/tier/searcher/shares.go
@@ -10,11 +10,11 @@
 	h.acceptBy = now + tier.Millis(acceptFactor*trip+acceptSlack)
 	h.reportBy = s.terms.aim + reportSlack
 	h.aim = max(1, s.terms.aim-now-tier.Millis(trip)-hopMargin)
-	return append(actions, Delegate{Share: k, Member: h.member, Parts: h.parts, Aim: h.aim, End: s.terms.end - now})
+	return append(actions, Delegate{Share: k, Member: h.member, Parts: h.parts, Target: h.aim, Deadline: s.terms.end - now})
 }
 
-// Accepted says that a VM has got its share.
-func (s *Search) Accepted(now tier.Millis, k int) []Action {
+// ShareAccepted says that a VM has got its share.
+func (s *Search) ShareAccepted(now tier.Millis, k int) []Action {
 	h := &s.shares[k]
 	if s.done || h.ended {
 		return nil
@@ -22,12 +22,12 @@
 	h.acceptBy = never
 	// Its VM counts from when it got the share, which may have been late.
 	h.reportBy = max(h.reportBy, now+h.aim+reportSlack)
-	s.core.sharer.Answered(now, h.member.VM().Name(), now-h.sent)
+	s.core.sharer.RecordRoundTrip(now, h.member.VM().Name(), now-h.sent)
 	return nil
 }
 
-// Brought takes a report on a share.
-func (s *Search) Brought(now tier.Millis, k int, b Brought) []Action {
+// ShareReported takes a report on a share.
+func (s *Search) ShareReported(now tier.Millis, k int, b ShareReport) []Action {
 	h := &s.shares[k]
 	if s.done || h.ended {
 		return nil
@@ -47,7 +47,7 @@
 		h.ended = true
 		s.extern += b.Calls
 		s.extExt += b.Extra
-		s.core.sharer.Gathered(s.terms.class, h.member.Region(), now-h.sent)
+		s.core.sharer.RecordShareLatency(s.terms.class, h.member.Region(), now-h.sent)
 		for _, i := range h.parts {
 			if p := &s.parts[i]; p.share == k && !p.in {
 				s.giveUp(p, "")
--- a/tier/storer/faker/faker.go
+++ b/tier/storer/faker/faker.go
@@ -20,13 +20,13 @@
 
 // The kinds.
 const (
-	CallGet       Call = "get"
-	CallList      Call = "list"
-	CallSwap      Call = "swap"
-	CallDelete    Call = "delete"
-	CallGrant     Call = "grant"
-	CallKeepAlive Call = "keep-alive"
-	CallWatch     Call = "watch"
+	CallGet            Call = "get"
+	CallList           Call = "list"
+	CallCompareAndSwap Call = "swap"
+	CallDelete         Call = "delete"
+	CallGrant          Call = "grant"
+	CallKeepAlive      Call = "keep-alive"
+	CallWatch          Call = "watch"
 )
 
 // Store implements storer.Store. It is safe for concurrent use.
@@ -74,8 +74,8 @@
 	}
 }
 
-// LoseAnswers has the next n writes take effect and lose their answer.
-func (s *Store) LoseAnswers(n int) {
+// LoseReplies has the next n writes take effect and lose their answer.
+func (s *Store) LoseReplies(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lose = n
@@ -99,7 +99,7 @@
 		select {
 		case <-slow:
 		case <-ctx.Done():
-			return errors.WithStack(storer.NewUnsureError(string(c), ctx.Err()))
+			return errors.WithStack(storer.NewIndeterminateError(string(c), ctx.Err()))
 		}
 		s.mu.Lock()
 	}
@@ -146,9 +146,9 @@
 	return out, nil
 }
 
-// Swap implements storer.Store.
-func (s *Store) Swap(ctx context.Context, key string, data []byte, expect int64, _ storer.LeaseID) (int64, error) {
-	if err := s.enter(ctx, CallSwap); err != nil {
+// CompareAndSwap implements storer.Store.
+func (s *Store) CompareAndSwap(ctx context.Context, key string, data []byte, expect int64, _ storer.LeaseID) (int64, error) {
+	if err := s.enter(ctx, CallCompareAndSwap); err != nil {
 		return 0, err
 	}
 	defer s.mu.Unlock()
@@ -158,7 +158,7 @@
 	s.revision++
 	s.values[key] = storer.NewValue(key, append([]byte(nil), data...), s.revision)
 	s.tell(s.values[key])
-	return s.revision, s.answer(CallSwap)
+	return s.revision, s.answer(CallCompareAndSwap)
 }
 
 // Delete implements storer.Store.
@@ -182,7 +182,7 @@
 		return nil
 	}
 	s.lose--
-	return errors.WithStack(storer.NewUnsureError(string(c), errors.New("the answer was lost")))
+	return errors.WithStack(storer.NewIndeterminateError(string(c), errors.New("the answer was lost")))
 }
 
 func (s *Store) tell(v storer.Value) {
--- a/tier/storer/storer.go
+++ b/tier/storer/storer.go
@@ -45,10 +45,10 @@
 	Get(ctx context.Context, key string) (Value, error)
 	// List reads all keys that start with prefix, at most limit (0: all).
 	List(ctx context.Context, prefix string, limit int) ([]Value, error)
-	// Swap writes data if the key's revision is expect, where 0 means that
+	// CompareAndSwap writes data if the key's revision is expect, where 0 means that
 	// the key must be absent, and returns the new revision. A lease of 0
 	// attaches none.
-	Swap(ctx context.Context, key string, data []byte, expect int64, lease LeaseID) (int64, error)
+	CompareAndSwap(ctx context.Context, key string, data []byte, expect int64, lease LeaseID) (int64, error)
 	// Delete removes the key if its revision is expect.
 	Delete(ctx context.Context, key string, expect int64) error
 	// Grant makes a lease that lapses after ttl without KeepAlive.
@@ -100,25 +100,25 @@
 	return fmt.Sprintf("the store did not take %s: %v", e.call, e.cause)
 }
 
-// UnsureError says that the answer of a write was lost: it may have taken
+// IndeterminateError says that the answer of a write was lost: it may have taken
 // effect. Read the key back to find out.
-type UnsureError struct {
+type IndeterminateError struct {
 	call  string
 	cause error
 }
 
-// NewUnsureError returns an error for a write whose answer was lost.
-func NewUnsureError(call string, cause error) *UnsureError {
-	return &UnsureError{call: call, cause: cause}
+// NewIndeterminateError returns an error for a write whose answer was lost.
+func NewIndeterminateError(call string, cause error) *IndeterminateError {
+	return &IndeterminateError{call: call, cause: cause}
 }
 
 // Call names the call.
-func (e *UnsureError) Call() string { return e.call }
+func (e *IndeterminateError) Call() string { return e.call }
 
 // Unwrap is the cause.
-func (e *UnsureError) Unwrap() error { return e.cause }
+func (e *IndeterminateError) Unwrap() error { return e.cause }
 
 // Error names the call and the cause.
-func (e *UnsureError) Error() string {
+func (e *IndeterminateError) Error() string {
 	return fmt.Sprintf("the answer of %s was lost, it may have taken effect: %v", e.call, e.cause)
 }
