--- a/cicadagraded/asker/search.go
+++ b/cicadagraded/asker/search.go
@@ -160,9 +160,9 @@
 		}
 		r.calls.Add(int64(e.Calls()))
 		r.extra.Add(int64(e.ExtraCalls()))
-		held := make([]planner.Held, 0, len(e.Held()))
+		held := make([]planner.HeldVersions, 0, len(e.Held()))
 		for _, h := range e.Held() {
-			held = append(held, planner.NewHeld(h.Shard(), h.Epoch(), h.Versions()))
+			held = append(held, planner.NewHeldVersions(h.Shard(), h.Epoch(), h.Versions()))
 		}
 		return planner.NewPartReplied(a.Part(), a.Snapshot(), e.Results(), held, calls)
 	case *owner.NotRun:
--- a/cicadagraded/daemon.go
+++ b/cicadagraded/daemon.go
@@ -95,7 +95,7 @@
 		exchanger.WithAddresses(d.settings.dial),
 		exchanger.WithGossip(
 			gossiper.WithSeed(uint64(d.self.Incarnation())),
-			gossiper.WithRate(gossipRate, gossipBurst)))
+			gossiper.WithSendRate(gossipRate, gossipBurst)))
 	if err != nil {
 		return errors.Wrap(err, "buildControl")
 	}
--- a/cicadagraded/exchanger/exchanger.go
+++ b/cicadagraded/exchanger/exchanger.go
@@ -43,7 +43,7 @@
 
 // Error includes the key, the value's size and the allowed size.
 func (e *TooLargeError) Error() string {
-	return fmt.Sprintf("value of %q has %d bytes, %d allowed", e.key, e.size, gossiper.MaxValue)
+	return fmt.Sprintf("value of %q has %d bytes, %d allowed", e.key, e.size, gossiper.MaxValueBytes)
 }
 
 // Traffic holds totals of the exchanges with peers. Bytes include an estimate of the
@@ -79,7 +79,7 @@
 	mu       sync.Mutex
 	gossiper *gossiper.Gossiper
 
-	sendQueue      *ring.Ring[*gossiper.SendExchange]
+	sendQueue      *ring.Ring[*gossiper.SendRequest]
 	wake           *ring.Ring[struct{}]
 	droppedChanges atomic.Uint64
 
@@ -114,7 +114,7 @@
 func New(self tier.VM, clock *tier.Clock, opts ...Option) (*Exchanger, error) {
 	x := &Exchanger{
 		clock:     clock,
-		sendQueue: ring.New[*gossiper.SendExchange](sendQueueSize),
+		sendQueue: ring.New[*gossiper.SendRequest](sendQueueSize),
 		wake:      ring.New[struct{}](1),
 	}
 	x.Defaults()
@@ -184,7 +184,7 @@
 }
 
 // exchangeWith sends one exchange to a peer and passes the result to the gossiper.
-func (x *Exchanger) exchangeWith(ctx context.Context, a *gossiper.SendExchange) {
+func (x *Exchanger) exchangeWith(ctx context.Context, a *gossiper.SendRequest) {
 	ctx, cancel := context.WithTimeout(ctx, x.timeout.Duration())
 	defer cancel()
 	x.exchanges.Add(1)
@@ -192,7 +192,7 @@
 	reply, err := x.clientOf(a.Address()).Exchange(ctx, connect.NewRequest(encodeRequest(a.Message())))
 	if err != nil {
 		x.failures.Add(1)
-		x.step(gossiper.NewPeerFailed(a.Number()))
+		x.step(gossiper.NewExchangeFailed(a.Number()))
 		return
 	}
 	r := reply.Msg
@@ -215,7 +215,7 @@
 	q := r.Msg
 	m := decodeMessage(q.GetSender(), q.GetIncarnation(), q.GetDigests(), q.GetEntries())
 	x.received.Add(uint64(m.Size()))
-	reply := x.step(gossiper.NewExchangeReceived(m))
+	reply := x.step(gossiper.NewRequestReceived(m))
 	x.sent.Add(uint64(reply.Size()))
 	return connect.NewResponse(encodeReply(reply)), nil
 }
@@ -230,9 +230,9 @@
 	var reply *gossiper.Message
 	for _, a := range x.gossiper.Step(x.clock.Now(), e) {
 		switch a := a.(type) {
-		case *gossiper.SendExchange:
+		case *gossiper.SendRequest:
 			x.sendQueue.TryPush(a)
-		case *gossiper.Reply:
+		case *gossiper.SendReply:
 			reply = a.Message()
 		default:
 			x.pushChange(a)
--- a/cicadagraded/exchanger/exchanger_test.go
+++ b/cicadagraded/exchanger/exchanger_test.go
@@ -133,10 +133,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := x.Publish("k", make([]byte, gossiper.MaxValue+1)); err == nil {
+	if err := x.Publish("k", make([]byte, gossiper.MaxValueBytes+1)); err == nil {
 		t.Fatal("a value above the size limit was accepted")
 	}
-	if err := x.Publish("k", make([]byte, gossiper.MaxValue)); err != nil {
+	if err := x.Publish("k", make([]byte, gossiper.MaxValueBytes)); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/cicadagraded/exchanger/view.go
+++ b/cicadagraded/exchanger/view.go
@@ -10,7 +10,7 @@
 // Publish sets a key of this VM to a value that all members can read. An empty value removes
 // the key. The error is a *TooLargeError.
 func (x *Exchanger) Publish(key string, value []byte) error {
-	if len(key) > gossiper.MaxKey || len(value) > gossiper.MaxValue {
+	if len(key) > gossiper.MaxKeyBytes || len(value) > gossiper.MaxValueBytes {
 		return errors.Wrap(&TooLargeError{key: key, size: len(value)}, "Publish")
 	}
 	x.step(gossiper.NewPublish(key, value))
@@ -21,10 +21,10 @@
 // with the highest epoch and, within it, the highest revision. The error is a
 // *TooLargeError.
 func (x *Exchanger) Announce(key string, epoch, revision uint64, value []byte) error {
-	if len(key) > gossiper.MaxKey || len(value) > gossiper.MaxValue {
+	if len(key) > gossiper.MaxKeyBytes || len(value) > gossiper.MaxValueBytes {
 		return errors.Wrap(&TooLargeError{key: key, size: len(value)}, "Announce")
 	}
-	x.step(gossiper.NewAnnounce(key, epoch, revision, value))
+	x.step(gossiper.NewPublishShared(key, epoch, revision, value))
 	return nil
 }
 
@@ -57,7 +57,7 @@
 }
 
 // Entries lists the values published under a key by VMs that are not dead.
-func (x *Exchanger) Entries(key string) []gossiper.Published {
+func (x *Exchanger) Entries(key string) []gossiper.PublishedValue {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.gossiper.Entries(key)
--- a/cicadagraded/owner/probing.go
+++ b/cicadagraded/owner/probing.go
@@ -126,7 +126,7 @@
 func (o *Owner) healthCame(m *healthMessage) {
 	defer o.heard(m.server)
 	if m.failed {
-		o.sign(m.server, prober.NewHealthFailed(m.number, m.refused))
+		o.sign(m.server, prober.NewProbeFailed(m.number, m.refused))
 		return
 	}
 	for _, h := range m.held {
--- a/tier/example_test.go
+++ b/tier/example_test.go
@@ -46,7 +46,7 @@
 	for len(one.Members()) < 2 {
 		now, _ = one.Next()
 		for _, a := range one.Step(now, &gossiper.Tick{}) {
-			if send, ok := a.(*gossiper.SendExchange); ok {
+			if send, ok := a.(*gossiper.SendRequest); ok {
 				answer(now, one, two, send)
 			}
 		}
@@ -60,9 +60,9 @@
 }
 
 // answer carries a request to the peer and its reply back.
-func answer(now tier.Millis, from, to *gossiper.Gossiper, send *gossiper.SendExchange) {
-	for _, a := range to.Step(now, gossiper.NewExchangeReceived(send.Message())) {
-		if reply, ok := a.(*gossiper.Reply); ok {
+func answer(now tier.Millis, from, to *gossiper.Gossiper, send *gossiper.SendRequest) {
+	for _, a := range to.Step(now, gossiper.NewRequestReceived(send.Message())) {
+		if reply, ok := a.(*gossiper.SendReply); ok {
 			from.Step(now, gossiper.NewReplyReceived(send.Number(), reply.Message()))
 		}
 	}
--- a/tier/gossiper/event.go
+++ b/tier/gossiper/event.go
@@ -8,12 +8,12 @@
 // Tick tells the gossiper that time has passed.
 type Tick struct{}
 
-// ExchangeReceived is a peer's request. Step answers it with a SendReply action.
-type ExchangeReceived struct{ request *Message }
+// RequestReceived is a peer's request. Step answers it with a SendReply action.
+type RequestReceived struct{ request *Message }
 
-// NewExchangeReceived returns the event of a peer's request.
-func NewExchangeReceived(request *Message) *ExchangeReceived {
-	return &ExchangeReceived{request: request}
+// NewRequestReceived returns the event of a peer's request.
+func NewRequestReceived(request *Message) *RequestReceived {
+	return &RequestReceived{request: request}
 }
 
 // ReplyReceived is a peer's reply to a SendRequest.
@@ -27,11 +27,11 @@
 	return &ReplyReceived{number: number, reply: reply}
 }
 
-// PeerFailed reports that a SendRequest got no reply in time.
-type PeerFailed struct{ number uint64 }
+// ExchangeFailed reports that a SendRequest got no reply in time.
+type ExchangeFailed struct{ number uint64 }
 
-// NewPeerFailed returns the event of the failure of the exchange with that number.
-func NewPeerFailed(number uint64) *PeerFailed { return &PeerFailed{number: number} }
+// NewExchangeFailed returns the event of the failure of the exchange with that number.
+func NewExchangeFailed(number uint64) *ExchangeFailed { return &ExchangeFailed{number: number} }
 
 // Publish writes a value of this VM. An empty value deletes the key.
 type Publish struct {
@@ -42,18 +42,18 @@
 // NewPublish returns the event that writes a value of this VM.
 func NewPublish(key string, value []byte) *Publish { return &Publish{key: key, value: value} }
 
-// Announce writes a shared value. Of the values that VMs write under one shared
+// PublishShared writes a shared value. Of the values that VMs write under one shared
 // key, all VMs keep the one with the highest (epoch, revision).
-type Announce struct {
+type PublishShared struct {
 	key      string
 	epoch    uint64
 	revision uint64
 	value    []byte
 }
 
-// NewAnnounce returns the event that writes a shared value.
-func NewAnnounce(key string, epoch, revision uint64, value []byte) *Announce {
-	return &Announce{key: key, epoch: epoch, revision: revision, value: value}
+// NewPublishShared returns the event that writes a shared value.
+func NewPublishShared(key string, epoch, revision uint64, value []byte) *PublishShared {
+	return &PublishShared{key: key, epoch: epoch, revision: revision, value: value}
 }
 
 // SetState changes the state that this VM publishes of itself.
@@ -68,41 +68,41 @@
 // NewSeedsChanged returns the event of a new list of seed addresses.
 func NewSeedsChanged(addresses []string) *SeedsChanged { return &SeedsChanged{addresses: addresses} }
 
-func (*Tick) event()             {}
-func (*ExchangeReceived) event() {}
-func (*ReplyReceived) event()    {}
-func (*PeerFailed) event()       {}
-func (*Publish) event()          {}
-func (*Announce) event()         {}
-func (*SetState) event()         {}
-func (*SeedsChanged) event()     {}
+func (*Tick) event()            {}
+func (*RequestReceived) event() {}
+func (*ReplyReceived) event()   {}
+func (*ExchangeFailed) event()  {}
+func (*Publish) event()         {}
+func (*PublishShared) event()   {}
+func (*SetState) event()        {}
+func (*SeedsChanged) event()    {}
 
 // Action is an output of the state machine, which the caller of Step carries out or
 // passes on.
 type Action interface{ action() }
 
-// SendExchange asks the caller to send a request to a peer. The caller returns one
+// SendRequest asks the caller to send a request to a peer. The caller returns one
 // ReplyReceived or ExchangeFailed with the same number.
-type SendExchange struct {
+type SendRequest struct {
 	number  uint64
 	address string
 	message *Message
 }
 
 // Number identifies the exchange.
-func (a *SendExchange) Number() uint64 { return a.number }
+func (a *SendRequest) Number() uint64 { return a.number }
 
 // Address is the peer's address.
-func (a *SendExchange) Address() string { return a.address }
+func (a *SendRequest) Address() string { return a.address }
 
 // Message is the request.
-func (a *SendExchange) Message() *Message { return a.message }
+func (a *SendRequest) Message() *Message { return a.message }
 
-// Reply carries the reply to a RequestReceived.
-type Reply struct{ message *Message }
+// SendReply carries the reply to a RequestReceived.
+type SendReply struct{ message *Message }
 
 // Message is the reply.
-func (a *Reply) Message() *Message { return a.message }
+func (a *SendReply) Message() *Message { return a.message }
 
 // MemberChanged reports that a VM joined, changed its state, address or incarnation,
 // or was declared dead.
@@ -137,7 +137,7 @@
 func (a *Replaced) By() tier.VM { return a.by }
 
 func (*Replaced) action()      {}
-func (*SendExchange) action()  {}
-func (*Reply) action()         {}
+func (*SendRequest) action()   {}
+func (*SendReply) action()     {}
 func (*MemberChanged) action() {}
 func (*EntryChanged) action()  {}
--- a/tier/gossiper/exchange.go
+++ b/tier/gossiper/exchange.go
@@ -9,7 +9,7 @@
 	if from != nil {
 		g.recordReachable(from.vm.DataCentre())
 	}
-	g.emit(&Reply{message: g.composeReply(m, from, newcomer)})
+	g.emit(&SendReply{message: g.composeReply(m, from, newcomer)})
 }
 
 // applyMessage applies the entries of a message. Digests are those of a request,
--- a/tier/gossiper/gossiper.go
+++ b/tier/gossiper/gossiper.go
@@ -117,15 +117,15 @@
 	switch e := e.(type) {
 	case *Tick:
 		g.tick()
-	case *ExchangeReceived:
+	case *RequestReceived:
 		g.handleRequest(e.request)
 	case *ReplyReceived:
 		g.handleReply(e.number, e.reply)
-	case *PeerFailed:
+	case *ExchangeFailed:
 		g.handleFailure(e.number)
 	case *Publish:
 		g.publish(e.key, e.value)
-	case *Announce:
+	case *PublishShared:
 		g.applyShared(NewEntry("", tier.Incarnation(e.epoch), e.revision, e.key, e.value), g.transmitLimit())
 	case *SetState:
 		g.setState(e.state)
@@ -164,7 +164,7 @@
 }
 
 func (g *Gossiper) publish(key string, value []byte) {
-	if len(key) > MaxKey || len(value) > MaxValue || isReservedKey(key) {
+	if len(key) > MaxKeyBytes || len(value) > MaxValueBytes || isReservedKey(key) {
 		return
 	}
 	g.writeOwn(key, slices.Clone(value))
--- a/tier/gossiper/gossiper_test.go
+++ b/tier/gossiper/gossiper_test.go
@@ -50,7 +50,7 @@
 	if got := countLive(w.nodes[8]); got != 5 {
 		t.Fatalf("%d live members in the larger partition, want 5", got)
 	}
-	w.step(w.nodes[8], NewAnnounce("profiles", 1, 7, []byte("x")))
+	w.step(w.nodes[8], NewPublishShared("profiles", 1, 7, []byte("x")))
 	w.isCut = connected
 	t.Logf("healed after %d ms", w.mustConverge(tier.Minute, "heal"))
 	w.run(5*tier.Second, nil)
@@ -209,7 +209,7 @@
 	if err := checkPause(newNetwork(t, 7)); err != nil {
 		t.Fatal(err)
 	}
-	noPauseDetection := []Option{WithPause(tier.Hour), WithSuspicion(tier.Hour)}
+	noPauseDetection := []Option{WithPauseThreshold(tier.Hour), WithSuspicionTimeout(tier.Hour)}
 	if checkPause(newNetwork(t, 7, noPauseDetection...)) == nil {
 		t.Fatal("checkPause accepts a VM that does not detect its pause")
 	}
@@ -243,7 +243,7 @@
 	if err := checkSendRate(newNetwork(t, 10), 2400); err != nil {
 		t.Fatal(err)
 	}
-	if checkSendRate(newNetwork(t, 10, WithRate(20_000, 48<<10)), 2400) == nil {
+	if checkSendRate(newNetwork(t, 10, WithSendRate(20_000, 48<<10)), 2400) == nil {
 		t.Fatal("checkSendRate accepts a VM that exceeds the rate")
 	}
 }
--- a/tier/gossiper/link.go
+++ b/tier/gossiper/link.go
@@ -62,7 +62,7 @@
 	l := g.linkTo(dataCentre)
 	l.consecutiveFailures++
 	l.recentFailures = append(l.recentFailures, failedPeer{name: name, failedAt: g.now})
-	l.recentFailures = l.recentFailures[max(0, len(l.recentFailures)-Contacts):]
+	l.recentFailures = l.recentFailures[max(0, len(l.recentFailures)-ContactsPerDataCentre):]
 }
 
 // recheckLink makes this VM try a data centre soon when another contact reports it as
@@ -86,7 +86,7 @@
 // isContact reports whether this VM exchanges with other data centres.
 func (g *Gossiper) isContact() bool {
 	ranked := g.rankedMembers(g.localDataCentre)
-	return slices.Contains(ranked[:min(len(ranked), Contacts)], g.self)
+	return slices.Contains(ranked[:min(len(ranked), ContactsPerDataCentre)], g.self)
 }
 
 // remoteRound exchanges with the data centre that was tried longest ago, but prefers
@@ -132,7 +132,7 @@
 func (g *Gossiper) pickRemotePeer(dataCentre string, l *linkState) *record {
 	list := g.rankedMembers(dataCentre)
 	if l.consecutiveFailures == 0 {
-		list = list[:min(len(list), Contacts)]
+		list = list[:min(len(list), ContactsPerDataCentre)]
 	}
 	if len(list) == 0 {
 		return nil
--- a/tier/gossiper/measure_test.go
+++ b/tier/gossiper/measure_test.go
@@ -106,7 +106,7 @@
 	for i := range 40 {
 		n := w.nodes[w.random.IntN(len(w.nodes))]
 		from := w.now()
-		w.step(n, NewAnnounce("profiles", 1, uint64(i+1), []byte("0123456789abcdef")))
+		w.step(n, NewPublishShared("profiles", 1, uint64(i+1), []byte("0123456789abcdef")))
 		known := func() bool {
 			return !slices.ContainsFunc(w.nodes, func(o *node) bool {
 				_, revision, _, _ := o.Shared("profiles")
--- a/tier/gossiper/network_test.go
+++ b/tier/gossiper/network_test.go
@@ -145,10 +145,10 @@
 	var reply *Message
 	for _, a := range n.Step(w.now(), e) {
 		switch a := a.(type) {
-		case *SendExchange:
+		case *SendRequest:
 			n.sentBytes += a.message.Size()
 			w.send(n, a)
-		case *Reply:
+		case *SendReply:
 			n.sentBytes += a.message.Size()
 			reply = a.message
 		default:
@@ -158,22 +158,22 @@
 	return reply
 }
 
-func (w *network) send(n *node, a *SendExchange) {
+func (w *network) send(n *node, a *SendRequest) {
 	to := w.nodeByAddress[a.address]
 	lost := w.random.Float64() < w.loss
 	switch {
 	case to == nil:
-		w.after(1, func() { w.deliver(n, NewPeerFailed(a.number)) })
+		w.after(1, func() { w.deliver(n, NewExchangeFailed(a.number)) })
 	case lost || to.paused || w.isCut(n, to):
-		w.after(tier.Second, func() { w.deliver(n, NewPeerFailed(a.number)) })
+		w.after(tier.Second, func() { w.deliver(n, NewExchangeFailed(a.number)) })
 	default:
 		l := w.latency(n, to)
 		w.after(l, func() {
 			if to.gone || to.paused {
-				w.after(tier.Second, func() { w.deliver(n, NewPeerFailed(a.number)) })
+				w.after(tier.Second, func() { w.deliver(n, NewExchangeFailed(a.number)) })
 				return
 			}
-			reply := w.step(to, NewExchangeReceived(a.message))
+			reply := w.step(to, NewRequestReceived(a.message))
 			w.after(l, func() { w.deliver(n, NewReplyReceived(a.number, reply)) })
 		})
 	}
--- a/tier/gossiper/options.go
+++ b/tier/gossiper/options.go
@@ -8,8 +8,8 @@
 
 // Limits of what is exchanged, in bytes unless noted otherwise.
 const (
-	MaxKey   = 128
-	MaxValue = 4096
+	MaxKeyBytes   = 128
+	MaxValueBytes = 4096
 
 	maxMessage      = 16 << 10
 	messageOverhead = 250      // headers of a request or a reply
@@ -28,8 +28,8 @@
 // requests in which a VM that catches up lists all digests.
 const fullDigestsDelayPerMember = tier.Millis(10)
 
-// Contacts is how many VMs of a data centre exchange with other data centres.
-const Contacts = 3
+// ContactsPerDataCentre is how many VMs of a data centre exchange with other data centres.
+const ContactsPerDataCentre = 3
 
 // config holds the values that options set.
 type config struct {
@@ -59,26 +59,26 @@
 	return func(c *config) { c.idleInterval, c.fastInterval = idle, fast }
 }
 
-// WithRate sets the average number of bytes sent a second, and how many may be
+// WithSendRate sets the average number of bytes sent a second, and how many may be
 // sent at once above that.
-func WithRate(bytesPerSecond, burst int) Option {
+func WithSendRate(bytesPerSecond, burst int) Option {
 	return func(c *config) { c.bytesPerSecond, c.burstBytes = bytesPerSecond, burst }
 }
 
-// WithSuspicion sets the least time between the first failed exchange with a VM
+// WithSuspicionTimeout sets the least time between the first failed exchange with a VM
 // and declaring it dead. The actual time grows with the logarithm of the number of
 // members.
-func WithSuspicion(m tier.Millis) Option { return func(c *config) { c.suspicionTimeout = m } }
+func WithSuspicionTimeout(m tier.Millis) Option { return func(c *config) { c.suspicionTimeout = m } }
 
-// WithPause sets the gap between ticks above which a VM treats its state as
+// WithPauseThreshold sets the gap between ticks above which a VM treats its state as
 // stale.
-func WithPause(m tier.Millis) Option { return func(c *config) { c.pauseThreshold = m } }
+func WithPauseThreshold(m tier.Millis) Option { return func(c *config) { c.pauseThreshold = m } }
 
-// WithForget sets how long a dead VM is remembered.
-func WithForget(m tier.Millis) Option { return func(c *config) { c.forgetAfter = m } }
+// WithForgetAfter sets how long a dead VM is remembered.
+func WithForgetAfter(m tier.Millis) Option { return func(c *config) { c.forgetAfter = m } }
 
-// WithRemoteKept sets how many VMs of each other data centre are kept.
-func WithRemoteKept(n int) Option { return func(c *config) { c.maxRemoteMembers = n } }
+// WithMaxRemoteMembers sets how many VMs of each other data centre are kept.
+func WithMaxRemoteMembers(n int) Option { return func(c *config) { c.maxRemoteMembers = n } }
 
 // Defaults sets every field.
 func (c *config) Defaults() {
@@ -111,7 +111,7 @@
 	check(c.forgetAfter > c.suspicionTimeout, "forget-ms", c.forgetAfter, "more than the suspicion time")
 	check(c.bytesPerSecond >= 4*messageOverhead, "rate", c.bytesPerSecond, "at least 1000 bytes a second")
 	check(c.burstBytes >= maxMessage, "burst", c.burstBytes, "at least 16384 bytes")
-	check(c.maxRemoteMembers >= Contacts, "remote-kept", c.maxRemoteMembers, "at least 3")
+	check(c.maxRemoteMembers >= ContactsPerDataCentre, "remote-kept", c.maxRemoteMembers, "at least 3")
 	return tier.NewInvalidError("gossiper", problems)
 }
 
--- a/tier/gossiper/property_test.go
+++ b/tier/gossiper/property_test.go
@@ -20,7 +20,7 @@
 type gossiperStore struct{ *Gossiper }
 
 func (h gossiperStore) takeEntry(e Entry) {
-	h.Step(h.now+10, NewExchangeReceived(NewMessage("caxias-1", 1, nil, []Entry{e})))
+	h.Step(h.now+10, NewRequestReceived(NewMessage("caxias-1", 1, nil, []Entry{e})))
 }
 
 func (h gossiperStore) heldVersion(origin, key string) (tier.Incarnation, uint64) {
@@ -180,9 +180,9 @@
 		e := NewEntry(origin, tier.Incarnation(incarnation), version, key, value)
 		d := NewDigest(origin, tier.Incarnation(incarnation), version)
 		m := NewMessage(origin, tier.Incarnation(incarnation), []Digest{d, d}, []Entry{e})
-		h.Step(0, NewExchangeReceived(m))
+		h.Step(0, NewRequestReceived(m))
 		for _, a := range h.Step(10, &Tick{}) {
-			if s, ok := a.(*SendExchange); ok {
+			if s, ok := a.(*SendRequest); ok {
 				h.Step(20, NewReplyReceived(s.number, m))
 			}
 		}
--- a/tier/gossiper/round.go
+++ b/tier/gossiper/round.go
@@ -146,7 +146,7 @@
 	g.pendingExchanges[g.lastExchange] = p
 	m := g.composeRequest(to, digests)
 	g.bucket.spend(m.Size())
-	g.emit(&SendExchange{number: g.lastExchange, address: address, message: m})
+	g.emit(&SendRequest{number: g.lastExchange, address: address, message: m})
 }
 
 // handleFailure suspects a VM that did not answer. With a VM in another data centre
--- a/tier/gossiper/table.go
+++ b/tier/gossiper/table.go
@@ -48,7 +48,7 @@
 
 // validEntry checks the limits of an entry that comes from outside.
 func validEntry(e Entry) bool {
-	if e.incarnation > maxCounter || e.version > maxCounter || len(e.key) > MaxKey || len(e.value) > MaxValue {
+	if e.incarnation > maxCounter || e.version > maxCounter || len(e.key) > MaxKeyBytes || len(e.value) > MaxValueBytes {
 		return false
 	}
 	return e.version > 0 && (e.origin == "" || tier.ValidName(e.origin))
--- a/tier/gossiper/view.go
+++ b/tier/gossiper/view.go
@@ -2,17 +2,17 @@
 
 import "cicadagrade.example/tier"
 
-// Published is a value and the VM that wrote it.
-type Published struct {
+// PublishedValue is a value and the VM that wrote it.
+type PublishedValue struct {
 	vm    tier.VM
 	value []byte
 }
 
 // VM is the VM that wrote the value.
-func (p Published) VM() tier.VM { return p.vm }
+func (p PublishedValue) VM() tier.VM { return p.vm }
 
 // Value returns the value; callers must not change it.
-func (p Published) Value() []byte { return p.value }
+func (p PublishedValue) Value() []byte { return p.value }
 
 // Self returns this VM with its published incarnation and state.
 func (g *Gossiper) Self() tier.VM { return g.self.vm }
@@ -34,13 +34,13 @@
 }
 
 // Entries lists the values that live VMs published under a key, sorted by VM.
-func (g *Gossiper) Entries(key string) []Published {
-	var out []Published
+func (g *Gossiper) Entries(key string) []PublishedValue {
+	var out []PublishedValue
 	for _, name := range g.names {
 		r := g.records[name]
 		w, ok := r.entries[key]
 		if ok && len(w.value) > 0 && r.vmKnown && !r.dead {
-			out = append(out, Published{vm: r.vm, value: w.value})
+			out = append(out, PublishedValue{vm: r.vm, value: w.value})
 		}
 	}
 	return out
--- a/tier/planner/event.go
+++ b/tier/planner/event.go
@@ -9,17 +9,17 @@
 // *CallerGone or *Tick.
 type Event interface{ event() }
 
-// Held lists the index versions of a shard that the backend servers of one data centre
+// HeldVersions lists the index versions of a shard that the backend servers of one data centre
 // hold, and the epoch of the shard map under which they hold them.
-type Held struct {
+type HeldVersions struct {
 	shard    string
 	epoch    tier.Epoch
 	versions []tier.Version
 }
 
-// NewHeld returns the versions of a shard that are held under an epoch.
-func NewHeld(shard string, e tier.Epoch, versions []tier.Version) Held {
-	return Held{shard: shard, epoch: e, versions: versions}
+// NewHeldVersions returns the versions of a shard that are held under an epoch.
+func NewHeldVersions(shard string, e tier.Epoch, versions []tier.Version) HeldVersions {
+	return HeldVersions{shard: shard, epoch: e, versions: versions}
 }
 
 // PartReplied reports that an owner answered a part.
@@ -27,14 +27,14 @@
 	part      uint64
 	snapshot  tier.Snapshot
 	results   []merger.ShardResult
-	held      []Held
+	held      []HeldVersions
 	leafCalls int
 }
 
 // NewPartReplied returns the answer to a part: the snapshot that the owner served, the
 // results of its shards, the versions that its servers now hold, and the number of
 // leaf calls it made.
-func NewPartReplied(part uint64, s tier.Snapshot, results []merger.ShardResult, held []Held, leafCalls int) *PartReplied {
+func NewPartReplied(part uint64, s tier.Snapshot, results []merger.ShardResult, held []HeldVersions, leafCalls int) *PartReplied {
 	return &PartReplied{part: part, snapshot: s, results: results, held: held, leafCalls: leafCalls}
 }
 
--- a/tier/planner/fake_test.go
+++ b/tier/planner/fake_test.go
@@ -136,8 +136,8 @@
 	return set
 }
 
-func parseHeld(t rapid.TB, words []string) []planner.Held {
-	var out []planner.Held
+func parseHeld(t rapid.TB, words []string) []planner.HeldVersions {
+	var out []planner.HeldVersions
 	for _, w := range words {
 		shard, at, _ := strings.Cut(w, "=")
 		epoch, list, _ := strings.Cut(at, ".")
@@ -145,7 +145,7 @@
 		for _, v := range strings.Split(list, "+") {
 			versions = append(versions, tier.Version(parseNumber(t, v)))
 		}
-		out = append(out, planner.NewHeld(shard, tier.Epoch(parseNumber(t, epoch)), versions))
+		out = append(out, planner.NewHeldVersions(shard, tier.Epoch(parseNumber(t, epoch)), versions))
 	}
 	return out
 }
--- a/tier/planner/planner.go
+++ b/tier/planner/planner.go
@@ -13,9 +13,9 @@
 const (
 	DefaultReruns        = 1
 	DefaultAnswerReserve = 2 * tier.Millis(1)
-	DefaultHomeReserve   = 5 * tier.Millis(1)
-	DefaultAwayReserve   = 30 * tier.Millis(1)
-	DefaultPatience      = 300 * tier.Millis(1)
+	DefaultLocalReserve  = 5 * tier.Millis(1)
+	DefaultRemoteReserve = 30 * tier.Millis(1)
+	DefaultViewWait      = 300 * tier.Millis(1)
 	viewPollInterval     = 20 * tier.Millis(1)
 )
 
@@ -37,15 +37,15 @@
 	currentRound   *round
 	rounds         []*round
 	pinned         map[tier.Snapshot]bool
-	waitingForView bool                  // for the view to show a snapshot that can be served
-	shardsLost     bool                  // a shard of this round is not served at its snapshot
-	shardsLostAt   tier.Millis           // when that was first detected
-	nextPollAt     tier.Millis           // next look at the view while waiting
-	reportedHeld   map[replicaSite]Held  // from replies
-	notServed      map[siteSnapshot]bool // according to replies
-	openParts      map[uint64]*part      // by number, not answered yet
-	lastPart       uint64                // number of the last part sent
-	mayHaveRun     bool                  // a part may have made leaf calls
+	waitingForView bool                         // for the view to show a snapshot that can be served
+	shardsLost     bool                         // a shard of this round is not served at its snapshot
+	shardsLostAt   tier.Millis                  // when that was first detected
+	nextPollAt     tier.Millis                  // next look at the view while waiting
+	reportedHeld   map[replicaSite]HeldVersions // from replies
+	notServed      map[siteSnapshot]bool        // according to replies
+	openParts      map[uint64]*part             // by number, not answered yet
+	lastPart       uint64                       // number of the last part sent
+	mayHaveRun     bool                         // a part may have made leaf calls
 	refusal        *tier.Refused
 	done           bool
 	counters       Counters
@@ -61,9 +61,9 @@
 // Without it only the plan's own limits apply.
 func WithBudget(b *Budget) Option { return func(p *Plan) { p.budget = b } }
 
-// WithEarlier adds earlier shard maps, newest first. They are pinned while the
+// WithEarlierSets adds earlier shard maps, newest first. They are pinned while the
 // servers don't hold the map in force.
-func WithEarlier(sets ...*tier.ShardSet) Option {
+func WithEarlierSets(sets ...*tier.ShardSet) Option {
 	return func(p *Plan) { p.maps = append(p.maps, sets...) }
 }
 
@@ -73,9 +73,9 @@
 	return func(p *Plan) { p.answerReserve, p.localReserve, p.remoteReserve = answer, local, remote }
 }
 
-// WithPatience sets how long a search whose snapshot is no longer served waits for the
+// WithViewWait sets how long a search whose snapshot is no longer served waits for the
 // view to show a better one. A search that can be answered never waits.
-func WithPatience(m tier.Millis) Option { return func(p *Plan) { p.viewWait = m } }
+func WithViewWait(m tier.Millis) Option { return func(p *Plan) { p.viewWait = m } }
 
 // New returns the plan of a search that has to end by the deadline. The first Step,
 // with a Tick, starts it.
@@ -88,7 +88,7 @@
 		deadline:        deadline,
 		maps:            []*tier.ShardSet{set},
 		pinned:          map[tier.Snapshot]bool{},
-		reportedHeld:    map[replicaSite]Held{},
+		reportedHeld:    map[replicaSite]HeldVersions{},
 		notServed:       map[siteSnapshot]bool{},
 		openParts:       map[uint64]*part{},
 	}
@@ -108,9 +108,9 @@
 func (p *Plan) Defaults() {
 	p.rerunsLeft = DefaultReruns
 	p.answerReserve = DefaultAnswerReserve
-	p.localReserve = DefaultHomeReserve
-	p.remoteReserve = DefaultAwayReserve
-	p.viewWait = DefaultPatience
+	p.localReserve = DefaultLocalReserve
+	p.remoteReserve = DefaultRemoteReserve
+	p.viewWait = DefaultViewWait
 }
 
 // Next returns when the next Tick is due, and whether the plan still needs one.
--- a/tier/planner/property_test.go
+++ b/tier/planner/property_test.go
@@ -135,12 +135,12 @@
 		at = tier.NewSnapshot(at.Epoch(), 15-at.Version())
 	}
 	var results []merger.ShardResult
-	var held []planner.Held
+	var held []planner.HeldVersions
 	for _, shard := range part.Shards() {
 		fault := rapid.SampledFrom([]string{"", "", "", "", "!cut", "!corrupt", ":refused", ":wrong-snapshot"}).Draw(r.t, "fault")
 		results = append(results, r.served.result(at, shard+fault))
 		if fault == ":wrong-snapshot" {
-			held = append(held, planner.NewHeld(shard, at.Epoch(), []tier.Version{8}))
+			held = append(held, planner.NewHeldVersions(shard, at.Epoch(), []tier.Version{8}))
 		}
 	}
 	return planner.NewPartReplied(part.Part(), at, results, held, len(results))
@@ -154,7 +154,7 @@
 		r.step(now, &planner.Tick{})
 		for r.outcome == nil {
 			working := len(r.openParts) > 0
-			if !working && now-idleSince > planner.DefaultPatience {
+			if !working && now-idleSince > planner.DefaultViewWait {
 				t.Fatal("no part is open, but the plan has not ended")
 			}
 			now += tier.Millis(rapid.IntRange(0, 200).Draw(t, "wait"))
--- a/tier/planner/script_test.go
+++ b/tier/planner/script_test.go
@@ -142,7 +142,7 @@
 func (s *script) reply(w []string) planner.Event {
 	at := parseSnapshot(s.t, w[1])
 	var results []merger.ShardResult
-	var held []planner.Held
+	var held []planner.HeldVersions
 	for i, word := range w[3:] {
 		if word == "held" {
 			held = parseHeld(s.t, w[3+i+1:])
--- a/tier/prober/event.go
+++ b/tier/prober/event.go
@@ -18,17 +18,17 @@
 // NewHealth returns the event of an answered probe.
 func NewHealth(number uint64, s tier.BackendState) *Health { return &Health{number: number, state: s} }
 
-// HealthFailed reports that the probe with that number was not answered.
-type HealthFailed struct {
+// ProbeFailed reports that the probe with that number was not answered.
+type ProbeFailed struct {
 	number  uint64
 	refused bool
 }
 
-// NewHealthFailed returns the event of a failed probe. Refused says that the server's
+// NewProbeFailed returns the event of a failed probe. Refused says that the server's
 // machine refused the connection, which shows that no process listens there. A timeout
 // does not show this.
-func NewHealthFailed(number uint64, refused bool) *HealthFailed {
-	return &HealthFailed{number: number, refused: refused}
+func NewProbeFailed(number uint64, refused bool) *ProbeFailed {
+	return &ProbeFailed{number: number, refused: refused}
 }
 
 // ReplyOK reports that a call was answered with records or a receipt. It carries the
@@ -53,7 +53,7 @@
 
 func (*Tick) event()         {}
 func (*Health) event()       {}
-func (*HealthFailed) event() {}
+func (*ProbeFailed) event()  {}
 func (*ReplyOK) event()      {}
 func (*ReplyShed) event()    {}
 func (*ReplyLeaving) event() {}
--- a/tier/prober/prober.go
+++ b/tier/prober/prober.go
@@ -128,7 +128,7 @@
 		p.tick()
 	case *Health:
 		p.handleHealth(e)
-	case *HealthFailed:
+	case *ProbeFailed:
 		p.handleHealthFailed(e)
 	case *ReplyOK:
 		p.handleReplyOK(e.state)
--- a/tier/prober/prober_test.go
+++ b/tier/prober/prober_test.go
@@ -67,9 +67,9 @@
 	case "tick":
 		return &Tick{}
 	case "health-failed":
-		return NewHealthFailed(p.lastProbe, false)
+		return NewProbeFailed(p.lastProbe, false)
 	case "refused":
-		return NewHealthFailed(p.lastProbe, true)
+		return NewProbeFailed(p.lastProbe, true)
 	case "refused-call":
 		return NewReplyFailed(true)
 	case "reply ok":
@@ -109,7 +109,7 @@
 	events := rapid.SampledFrom([]Event{
 		&Tick{}, &Tick{}, NewHealth(1<<40, tier.BackendLive), NewHealth(0, tier.BackendLive),
 		NewHealth(1<<40, tier.BackendCold), NewHealth(1<<40, tier.BackendShedding),
-		NewHealthFailed(1, false), NewReplyOK(tier.BackendLive), NewReplyOK(tier.BackendUnknown),
+		NewProbeFailed(1, false), NewReplyOK(tier.BackendLive), NewReplyOK(tier.BackendUnknown),
 		&ReplyShed{}, NewReplyFailed(false),
 	})
 	timed := rapid.Custom(func(t *rapid.T) timedEvent {
--- a/tier/prover/front_test.go
+++ b/tier/prover/front_test.go
@@ -97,7 +97,7 @@
 
 // replied notes what a reply brings whole, if its part still waits, and
 // passes it to the plan.
-func (q *query) replied(part uint64, at tier.Snapshot, results []merger.ShardResult, held []planner.Held, leafCalls int) {
+func (q *query) replied(part uint64, at tier.Snapshot, results []merger.ShardResult, held []planner.HeldVersions, leafCalls int) {
 	if q.outcome == nil && q.open[part] {
 		q.open[part] = false
 		for _, r := range results {
@@ -259,12 +259,12 @@
 	return out
 }
 
-func (v *vm) heldOf(results []merger.ShardResult, e tier.Epoch) []planner.Held {
-	var out []planner.Held
+func (v *vm) heldOf(results []merger.ShardResult, e tier.Epoch) []planner.HeldVersions {
+	var out []planner.HeldVersions
 	for _, r := range results {
 		if r.Miss() != "" {
 			at, held := v.Versions(setName, v.dataCentre, r.Shard())
-			out = append(out, planner.NewHeld(r.Shard(), max(at, e), held))
+			out = append(out, planner.NewHeldVersions(r.Shard(), max(at, e), held))
 		}
 	}
 	return out
