--- a/cicadagraded/owner/bench_test.go
+++ b/cicadagraded/owner/bench_test.go
@@ -15,48 +15,49 @@
 	"cicadagrade.example/tier/prober"
 )
 
-var benchShards = []int{5, 10, 20, maxLeafShards}
+var benchShardCounts = []int{5, 10, 20, maxTestShards}
 
-// BenchmarkOwner is a part through an owner; BenchmarkBare is the same fan-out
-// without one, on the same servers. Both count the processor time of the
-// servers too, which run in this process.
+// BenchmarkOwner measures a part of a search that an owner runs. BenchmarkDirectCalls makes
+// the same calls without an owner. Both figures include the processor time of the backend
+// servers, which run in this process.
 func BenchmarkOwner(b *testing.B) {
-	for _, shards := range benchShards {
+	for _, shards := range benchShardCounts {
 		b.Run(fmt.Sprintf("shards=%d", shards), func(b *testing.B) {
-			set := leafSet(b, &leaf{}, shards, 2)
+			set := newLeafSet(b, &leafServer{}, shards, 2)
 			o, clock := startOwner(b, set)
 			ids := shardIDs(set)
-			p := gate(b)
-			perCall(b, shards, func() {
+			p := newProfile(b)
+			measurePerCall(b, shards, func() {
 				e := o.Search(context.Background(), NewSearch(p, tier.NewSnapshot(1, 1), ids, "term", clock.Now()+tier.Second))
 				if d, ok := e.(*Done); !ok || len(d.Results()) != shards {
-					b.Fatalf("end %T", e)
+					b.Fatalf("result %T", e)
 				}
 			})
 		})
 	}
 }
 
-func BenchmarkBare(b *testing.B) {
-	for _, shards := range benchShards {
+func BenchmarkDirectCalls(b *testing.B) {
+	for _, shards := range benchShardCounts {
 		b.Run(fmt.Sprintf("shards=%d", shards), func(b *testing.B) {
-			set := leafSet(b, &leaf{}, shards, 2)
-			var links []*dialer.Link
+			set := newLeafSet(b, &leafServer{}, shards, 2)
+			var clients []*dialer.Link
 			for _, s := range set.Servers() {
-				links = append(links, dialer.NewLink(s, s.Slots()))
+				clients = append(clients, dialer.NewLink(s, s.Slots()))
 			}
-			perCall(b, shards, func() { bare(b, links) })
+			measurePerCall(b, shards, func() { searchDirectly(b, clients) })
 		})
 	}
 }
 
-func bare(b *testing.B, links []*dialer.Link) {
+// searchDirectly makes one search call with each client, all at once.
+func searchDirectly(b *testing.B, clients []*dialer.Link) {
 	g, ctx := errgroup.WithContext(context.Background())
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	for i, l := range links {
+	for i, c := range clients {
 		g.Go(func() error {
-			_, err := l.Search(ctx, &backendv1.SearchRequest{Attempt: "a", Set: "set", Shard: shardName(i), Snapshot: &backendv1.Snapshot{Epoch: 1, Version: 1}, Term: "term"})
+			_, err := c.Search(ctx, &backendv1.SearchRequest{Attempt: "a", Set: "set", Shard: shardName(i), Snapshot: &backendv1.Snapshot{Epoch: 1, Version: 1}, Term: "term"})
 			return err
 		})
 	}
@@ -65,8 +66,9 @@
 	}
 }
 
-// perCall reports the processor time for each leaf call.
-func perCall(b *testing.B, shards int, query func()) {
+// measurePerCall reports the processor time of query for each leaf call, of which it makes
+// one a shard.
+func measurePerCall(b *testing.B, shards int, query func()) {
 	b.ReportAllocs()
 	start, n := processorTime(), 0
 	for b.Loop() {
@@ -82,9 +84,10 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// idleOwner is an owner whose loop does not run.
-func idleOwner(b *testing.B, n int) *Owner {
-	set := leafSet(b, &leaf{}, n, 2)
+// idleOwner returns an owner whose event loop does not run. It knows that the one backend
+// server of each shard is live and holds version 1.
+func idleOwner(b *testing.B, shards int) *Owner {
+	set := newLeafSet(b, &leafServer{}, shards, 2)
 	o := New(NewIdentity("vm-1", "here", 1), tier.NewClock(), set, nil, testOutlet(nil))
 	for _, s := range set.Servers() {
 		p, err := prober.New(s.Name())
@@ -94,35 +97,35 @@
 		p.Step(0, prober.NewHealth(0, tier.BackendLive))
 		o.probers[s.Name()] = p
 	}
-	for _, h := range set.Shards() {
-		o.noteHolding(h.Replicas()[0], Held{shard: h.ID(), epoch: 1, versions: []tier.Version{1}})
+	for _, s := range set.Shards() {
+		o.updateHolding(s.Replicas()[0], Held{shard: s.ID(), epoch: 1, versions: []tier.Version{1}})
 	}
 	return o
 }
 
-// BenchmarkWait is what the loop spends after each event to find what is due
-// next.
-func BenchmarkWait(b *testing.B) {
+// BenchmarkUntilNextDue measures how long the event loop takes after each message to find
+// out when it has to act next.
+func BenchmarkUntilNextDue(b *testing.B) {
 	for _, n := range []int{10, 100, 400, 1600} {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
 			o := idleOwner(b, n)
 			for b.Loop() {
-				o.wait()
+				o.untilNextDue()
 			}
 		})
 	}
 }
 
-// BenchmarkReport is what an owner spends on each look at what it publishes,
-// and the size of the report.
+// BenchmarkReport measures how long an owner takes to check whether its report has changed,
+// and the size of the encoded report.
 func BenchmarkReport(b *testing.B) {
 	for _, n := range []int{20, 110, 330, 1000} {
 		b.Run(fmt.Sprintf("shards=%d", n), func(b *testing.B) {
 			o := idleOwner(b, n)
 			for b.Loop() {
-				o.report(o.clock.Now())
+				o.publishReport(o.clock.Now())
 			}
-			value, err := o.published.Encode()
+			value, err := o.lastReport.Encode()
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/cicadagraded/owner/cancel.go
+++ b/cicadagraded/owner/cancel.go
@@ -6,33 +6,33 @@
 	"cicadagrade.example/tier"
 )
 
-// pendingCancel is a call that nobody waits for and that is to be cancelled.
+// pendingCancel is a leaf call that is cancelled at a set time, unless it ends before.
 type pendingCancel struct {
 	at   tier.Millis
 	call *call
 }
 
-// cancelCall has a call cancelled once it has gone on for as long as a new
-// connection takes: over HTTP/1.1 a cancelled call costs its connection, and
-// many losers of a hedge end before.
+// cancelCall cancels a leaf call after a delay equal to the cost of a new connection. With
+// HTTP/1.1, cancelling a call closes its connection, and many calls that lost a hedge end
+// within the delay, so that their connection stays usable.
 func (o *Owner) cancelCall(attempt uint64) {
 	c, ok := o.calls[attempt]
-	if !ok || c.over {
+	if !ok || c.ended {
 		return
 	}
-	if c.lane == nil {
+	if c.pool == nil {
 		c.cancel()
 		return
 	}
-	p := pendingCancel{at: o.clock.Now() + c.lane.link.Server().ConnectionCost(), call: c}
-	i, _ := slices.BinarySearchFunc(o.cancels, p, func(a, b pendingCancel) int { return int(a.at - b.at) })
-	o.cancels = slices.Insert(o.cancels, i, p)
+	p := pendingCancel{at: o.clock.Now() + c.pool.client.Server().ConnectionCost(), call: c}
+	i, _ := slices.BinarySearchFunc(o.pendingCancels, p, func(a, b pendingCancel) int { return int(a.at - b.at) })
+	o.pendingCancels = slices.Insert(o.pendingCancels, i, p)
 }
 
-// cancelDue cancels the calls whose time has come.
-func (o *Owner) cancelDue(now tier.Millis) {
-	for len(o.cancels) > 0 && o.cancels[0].at <= now {
-		o.cancels[0].call.cancel()
-		o.cancels = o.cancels[1:]
+// cancelDueCalls cancels the calls whose delay has passed.
+func (o *Owner) cancelDueCalls(now tier.Millis) {
+	for len(o.pendingCancels) > 0 && o.pendingCancels[0].at <= now {
+		o.pendingCancels[0].call.cancel()
+		o.pendingCancels = o.pendingCancels[1:]
 	}
 }
--- a/cicadagraded/owner/convert.go
+++ b/cicadagraded/owner/convert.go
@@ -5,14 +5,15 @@
 	"cicadagrade.example/tier"
 )
 
-// Held says which index versions of a shard are held under an epoch.
+// Held lists the index versions of a shard that backend servers hold, and the epoch of the
+// shard map under which they hold them.
 type Held struct {
 	shard    string
 	epoch    tier.Epoch
 	versions []tier.Version
 }
 
-// NewHeld returns what is held of a shard.
+// NewHeld returns the versions of a shard that are held under an epoch.
 func NewHeld(shard string, e tier.Epoch, versions []tier.Version) Held {
 	return Held{shard: shard, epoch: e, versions: versions}
 }
@@ -26,9 +27,9 @@
 // Versions are the index versions.
 func (h Held) Versions() []tier.Version { return h.versions }
 
-func toRecords(l []*backendv1.Record) []tier.Record {
-	records := make([]tier.Record, 0, len(l))
-	for _, r := range l {
+func toRecords(list []*backendv1.Record) []tier.Record {
+	records := make([]tier.Record, 0, len(list))
+	for _, r := range list {
 		records = append(records, tier.NewRecord(r.GetKey(), r.GetValue()))
 	}
 	return records
@@ -38,7 +39,7 @@
 	return tier.NewSnapshot(tier.Epoch(s.GetEpoch()), tier.Version(s.GetVersion()))
 }
 
-func toHeld(h *backendv1.Holding) *Held {
+func toHeldVersions(h *backendv1.Holding) *Held {
 	if h == nil {
 		return nil
 	}
--- a/cicadagraded/owner/loop.go
+++ b/cicadagraded/owner/loop.go
@@ -13,17 +13,18 @@
 	"cicadagrade.example/tier/merger"
 )
 
-// idleWait bounds how long the loop sleeps when nothing is due.
+// idleWait is the longest time that the event loop sleeps.
 const idleWait = 1 * tier.Second
 
-// Run drives the owner until ctx ends.
+// Run runs the owner until ctx ends.
 func (o *Owner) Run(ctx context.Context) error {
 	o.group, o.ctx = errgroup.WithContext(ctx)
-	o.openLanes()
+	o.syncPools()
 	o.group.Go(o.loop)
 	return errors.Wrap(o.group.Wait(), "Owner.Run")
 }
 
+// loop is the event loop: it handles messages and does what is due.
 func (o *Owner) loop() error {
 	defer close(o.stopped)
 	timer := time.NewTimer(0)
@@ -38,11 +39,11 @@
 			o.tick()
 		}
 		o.handleDeferred()
-		timer.Reset(o.wait().Duration())
+		timer.Reset(o.untilNextDue().Duration())
 	}
 }
 
-// handleDeferred handles what the loop told itself.
+// handleDeferred handles the messages that the event loop queued for itself.
 func (o *Owner) handleDeferred() {
 	for len(o.deferred) > 0 {
 		m := o.deferred[0]
@@ -51,37 +52,38 @@
 	}
 }
 
-// wait is the time until something is due.
-func (o *Owner) wait() tier.Millis {
+// untilNextDue is the time until the next action that is due, at most idleWait.
+func (o *Owner) untilNextDue() tier.Millis {
 	now := o.clock.Now()
 	due := min(now+idleWait, o.reportAt)
-	if next, ok := o.core.NextTick(); ok {
+	if next, ok := o.dispatcher.NextTick(); ok {
 		due = min(due, next)
 	}
 	if next, ok := o.nextProbe(); ok {
 		due = min(due, next)
 	}
-	if len(o.early) > 0 {
-		due = min(due, o.warmAt)
+	if len(o.waitingParts) > 0 {
+		due = min(due, o.firstProbeDeadline)
 	}
-	if len(o.cancels) > 0 {
-		due = min(due, o.cancels[0].at)
+	if len(o.pendingCancels) > 0 {
+		due = min(due, o.pendingCancels[0].at)
 	}
 	return max(due-now, 0)
 }
 
+// tick does everything that is due now.
 func (o *Owner) tick() {
 	now := o.clock.Now()
-	if next, ok := o.core.NextTick(); ok && next <= now {
-		o.step(&dispatcher.Tick{})
+	if next, ok := o.dispatcher.NextTick(); ok && next <= now {
+		o.stepDispatcher(&dispatcher.Tick{})
 	}
 	o.tickProbers(now)
-	if now >= o.warmAt {
-		o.submitEarly()
+	if now >= o.firstProbeDeadline {
+		o.submitWaiting()
 	}
-	o.cancelDue(now)
+	o.cancelDueCalls(now)
 	if now >= o.reportAt {
-		o.report(now)
+		o.publishReport(now)
 	}
 }
 
@@ -90,166 +92,169 @@
 	case *submitMessage:
 		o.submit(m)
 	case *cancelMessage:
-		o.cancelPart(m.end)
-	case *repliedMessage:
-		o.replied(m)
-	case *healthMessage:
-		o.healthCame(m)
+		o.cancelPart(m.result)
+	case *callEndedMessage:
+		o.callEnded(m)
+	case *probeEndedMessage:
+		o.probeEnded(m)
 	case *setMessage:
 		o.setChanged(m.set)
-	case *shareMessage:
-		o.placed(m.index)
-		o.step(dispatcher.NewShareChanged(m.owners, m.index))
+	case *slotShareMessage:
+		o.setOwnerIndex(m.index)
+		o.stepDispatcher(dispatcher.NewShareChanged(m.owners, m.index))
 	case *standbyMessage:
-		o.placed(-1)
-		o.step(&dispatcher.Standby{})
+		o.setOwnerIndex(-1)
+		o.stepDispatcher(&dispatcher.Standby{})
 	case *statusMessage:
 		m.reply <- o.status()
 	}
 }
 
-// placed notes the owner's place among those that split the slots, and has it
-// report again.
-func (o *Owner) placed(index int) {
-	o.index = index
-	o.published = Report{}
+// setOwnerIndex sets the owner's index among the VMs that share the slots, and makes the
+// owner publish its report again.
+func (o *Owner) setOwnerIndex(index int) {
+	o.ownerIndex = index
+	o.lastReport = Report{}
 	o.reportAt = 0
 }
 
-// submit hands a part to the dispatcher. The first parts of a new owner wait
-// until it knows what its servers hold.
+// submit passes a part to the dispatcher. The first parts of a new owner wait until each
+// backend server has been probed, so that the owner knows what they hold.
 func (o *Owner) submit(m *submitMessage) {
-	if len(o.unheard) > 0 && o.clock.Now() < o.warmAt {
-		if len(o.early) == inboxSize {
-			m.end <- &NotRun{reason: tier.RefuseOverload, retryAfter: warmLimit}
+	if len(o.unprobed) > 0 && o.clock.Now() < o.firstProbeDeadline {
+		if len(o.waitingParts) == inboxSize {
+			m.result <- &NotRun{reason: tier.RefuseOverload, retryAfter: firstProbeWait}
 			return
 		}
-		o.early = append(o.early, m)
+		o.waitingParts = append(o.waitingParts, m)
 		return
 	}
 	o.submitNow(m)
 }
 
-// heard notes that a server's health was read, or could not be.
-func (o *Owner) heard(server string) {
-	delete(o.unheard, server)
-	if len(o.unheard) == 0 {
-		o.submitEarly()
+// markProbed records that a probe of a backend server has ended, and submits the waiting
+// parts after the first probe of the last server.
+func (o *Owner) markProbed(server string) {
+	delete(o.unprobed, server)
+	if len(o.unprobed) == 0 {
+		o.submitWaiting()
 	}
 }
 
-func (o *Owner) submitEarly() {
-	early := o.early
-	o.early = nil
-	for _, m := range early {
+func (o *Owner) submitWaiting() {
+	waiting := o.waitingParts
+	o.waitingParts = nil
+	for _, m := range waiting {
 		o.submitNow(m)
 	}
 }
 
 func (o *Owner) submitNow(m *submitMessage) {
 	o.lastPart++
-	p := &part{number: o.lastPart, end: m.end}
+	p := &part{number: o.lastPart, result: m.result}
 	o.parts[p.number] = p
-	o.byEnd[p.end] = p.number
+	o.partByResult[p.result] = p.number
 	if b := m.booking; b != nil {
 		p.booking = b
-		o.step(dispatcher.NewSubmit(p.number, b.profile, b.deadline, []string{b.shard}, dispatcher.NonIdempotent()))
+		o.stepDispatcher(dispatcher.NewSubmit(p.number, b.profile, b.deadline, []string{b.shard}, dispatcher.NonIdempotent()))
 		return
 	}
 	s := m.search
 	p.snapshot = s.snapshot
 	p.term = s.term
-	o.step(dispatcher.NewSubmit(p.number, s.profile, s.deadline, s.shards, dispatcher.WithSnapshot(s.snapshot)))
+	o.stepDispatcher(dispatcher.NewSubmit(p.number, s.profile, s.deadline, s.shards, dispatcher.WithSnapshot(s.snapshot)))
 }
 
 func (o *Owner) cancelPart(end chan End) {
-	if n, ok := o.byEnd[end]; ok {
-		o.step(dispatcher.NewCancelled(n))
+	if n, ok := o.partByResult[end]; ok {
+		o.stepDispatcher(dispatcher.NewCancelled(n))
 		return
 	}
-	for i, m := range o.early {
-		if m.end == end {
-			o.early = slices.Delete(o.early, i, i+1)
+	for i, m := range o.waitingParts {
+		if m.result == end {
+			o.waitingParts = slices.Delete(o.waitingParts, i, i+1)
 			end <- &NotRun{reason: tier.RefuseCallerGone}
 			return
 		}
 	}
 }
 
-// replied tells the dispatcher and the prober how a leaf call ended.
-func (o *Owner) replied(m *repliedMessage) {
+// callEnded passes the result of a leaf call to the dispatcher and the prober.
+func (o *Owner) callEnded(m *callEndedMessage) {
 	c, ok := o.calls[m.attempt]
 	if !ok {
 		return
 	}
 	c.records = m.records
 	c.receipt = m.receipt
-	c.over = true
-	if c.lane != nil {
-		c.lane.closed()
+	c.ended = true
+	if c.pool != nil {
+		c.pool.callEnded()
 	}
 	if m.rejected {
-		o.rejected++
+		o.rejectedReplies++
 	}
-	o.replySign(c.server, m)
-	if m.holding != nil {
-		o.noteHolding(c.server, *m.holding)
+	o.stepProberOnReply(c.server, m)
+	if m.heldVersions != nil {
+		o.updateHolding(c.server, *m.heldVersions)
 	}
-	if _, waiting := o.parts[c.part]; !waiting {
+	if _, running := o.parts[c.part]; !running {
 		delete(o.calls, m.attempt)
 	}
-	o.step(dispatcher.NewCallEnded(m.attempt, m.result))
+	o.stepDispatcher(dispatcher.NewCallEnded(m.attempt, m.result))
 }
 
-// noteHolding passes on what a server holds, if it is news.
-func (o *Owner) noteHolding(server string, h Held) {
+// updateHolding tells the dispatcher which versions a backend server holds, if they have
+// changed.
+func (o *Owner) updateHolding(server string, h Held) {
 	k := holdingKey{server: server, shard: h.shard, epoch: h.epoch}
 	if slices.Equal(o.holdings[k], h.versions) {
 		return
 	}
 	o.holdings[k] = h.versions
-	o.step(dispatcher.NewHoldingChanged(server, h.shard, h.epoch, h.versions))
+	o.stepDispatcher(dispatcher.NewHoldingChanged(server, h.shard, h.epoch, h.versions))
 }
 
-// step drives the dispatcher and does what it asks for.
-func (o *Owner) step(e dispatcher.Event) {
-	for _, a := range o.core.Step(o.clock.Now(), e) {
-		o.act(a)
+// stepDispatcher passes an event to the dispatcher and performs the resulting actions.
+func (o *Owner) stepDispatcher(e dispatcher.Event) {
+	for _, a := range o.dispatcher.Step(o.clock.Now(), e) {
+		o.perform(a)
 	}
 }
 
-func (o *Owner) act(a dispatcher.Action) {
+// perform performs one action of the dispatcher.
+func (o *Owner) perform(a dispatcher.Action) {
 	switch a := a.(type) {
 	case *dispatcher.Call:
-		o.call(a)
+		o.startCall(a)
 	case *dispatcher.CancelCall:
 		o.cancelCall(a.Attempt())
 	case *dispatcher.PartDone:
 		o.partDone(a)
 	case *dispatcher.PartRefused:
-		o.finish(a.Part(), &NotRun{reason: a.Reason(), retryAfter: a.RetryAfter()})
+		o.finishPart(a.Part(), &NotRun{reason: a.Reason(), retryAfter: a.RetryAfter()})
 	case *dispatcher.PartUnknown:
-		o.finish(a.Part(), &Unsure{reason: a.Reason()})
+		o.finishPart(a.Part(), &Unsure{reason: a.Reason()})
 	}
 }
 
-// call hands a leaf call to a worker of its server. The dispatcher keeps to
-// the server's slots, so that the ring has room.
-func (o *Owner) call(a *dispatcher.Call) {
+// startCall queues a leaf call for the worker pool of its backend server. The dispatcher
+// makes no more calls at once than the server has slots, so the queue has room.
+func (o *Owner) startCall(a *dispatcher.Call) {
 	p := o.parts[a.Part()]
-	l := o.lanes[a.Server()]
-	left := a.Deadline() - o.clock.Now()
-	ctx, cancel := context.WithTimeout(o.ctx, left.Duration())
+	w := o.pools[a.Server()]
+	remaining := a.Deadline() - o.clock.Now()
+	ctx, cancel := context.WithTimeout(o.ctx, remaining.Duration())
 	c := &call{
-		attempt:  a.Attempt(),
-		id:       o.attempt(),
-		part:     a.Part(),
-		set:      o.set.Name(),
-		shard:    a.Shard(),
-		server:   a.Server(),
-		snapshot: a.Snapshot(),
-		ctx:      ctx,
-		cancel:   cancel,
+		attempt:   a.Attempt(),
+		attemptID: o.newAttemptID(),
+		part:      a.Part(),
+		set:       o.set.Name(),
+		shard:     a.Shard(),
+		server:    a.Server(),
+		snapshot:  a.Snapshot(),
+		ctx:       ctx,
+		cancel:    cancel,
 	}
 	if p != nil {
 		c.term, c.booking = p.term, p.booking
@@ -258,22 +263,22 @@
 	if p != nil {
 		p.calls = append(p.calls, c.attempt)
 	}
-	if p == nil || l == nil || l.ending || !l.ring.TryPush(c) {
+	if p == nil || w == nil || w.closing || !w.calls.TryPush(c) {
 		cancel()
-		o.deferred = append(o.deferred, &repliedMessage{attempt: c.attempt, result: dispatcher.NewReplyNotRun(dispatcher.NotRunShed)})
+		o.deferred = append(o.deferred, &callEndedMessage{attempt: c.attempt, result: dispatcher.NewReplyNotRun(dispatcher.NotRunShed)})
 		return
 	}
-	c.lane = l
-	l.open++
+	c.pool = w
+	w.openCalls++
 }
 
-// partDone puts the winning replies of a part together.
+// partDone builds the result of a part from the replies that the dispatcher accepted.
 func (o *Owner) partDone(a *dispatcher.PartDone) {
 	p, ok := o.parts[a.Part()]
 	if !ok {
 		return
 	}
-	d := &Done{calls: a.Calls(), extraCalls: a.ExtraCalls()}
+	d := &Done{leafCalls: a.Calls(), extraCalls: a.ExtraCalls()}
 	for _, w := range a.Winners() {
 		c := o.calls[w.Attempt()]
 		d.receipt = c.receipt
@@ -284,21 +289,22 @@
 		missed[m.Shard()] = true
 		d.results = append(d.results, merger.NewMissingShard(m.Shard(), m.Reason()))
 	}
-	d.held = o.heldOf(missed)
-	o.finish(p.number, d)
+	d.holdings = o.heldVersionsOf(missed)
+	o.finishPart(p.number, d)
 }
 
-// finish ends a part and forgets the calls that are over.
-func (o *Owner) finish(number uint64, e End) {
+// finishPart returns the result of a part and forgets its ended calls. Calls that still
+// run are forgotten when they end.
+func (o *Owner) finishPart(number uint64, e End) {
 	p, ok := o.parts[number]
 	if !ok {
 		return
 	}
 	delete(o.parts, number)
-	delete(o.byEnd, p.end)
-	p.end <- e
+	delete(o.partByResult, p.result)
+	p.result <- e
 	for _, n := range p.calls {
-		if c, ok := o.calls[n]; ok && c.over {
+		if c, ok := o.calls[n]; ok && c.ended {
 			delete(o.calls, n)
 		}
 	}
--- a/cicadagraded/owner/message.go
+++ b/cicadagraded/owner/message.go
@@ -5,62 +5,66 @@
 	"cicadagrade.example/tier/dispatcher"
 )
 
-// message is what the loop is told.
+// message is an input of an owner's event loop.
 type message interface{ message() }
 
-// submitMessage asks for a part; exactly one of search and booking is set.
+// submitMessage submits a part of a search, or a booking: exactly one of the two is set.
 type submitMessage struct {
 	search  *Search
 	booking *Booking
-	end     chan End
+	result  chan End
 }
 
-// cancelMessage says that nobody waits for a part any more.
-type cancelMessage struct{ end chan End }
+// cancelMessage cancels the part whose result nobody waits for any more.
+type cancelMessage struct{ result chan End }
 
-// repliedMessage ends a leaf call.
-type repliedMessage struct {
-	attempt  uint64
-	result   dispatcher.Result
-	records  []tier.Record
-	receipt  string
-	state    tier.BackendState
-	holding  *Held
-	rejected bool
-	// refused says that no connection could be made, cancelled that the
-	// owner gave the call up itself.
-	refused   bool
+// callEndedMessage reports the result of a leaf call.
+type callEndedMessage struct {
+	attempt      uint64
+	result       dispatcher.Result
+	records      []tier.Record
+	receipt      string
+	state        tier.BackendState
+	heldVersions *Held
+	rejected     bool
+	// connectionRefused reports that the backend server's machine refused the
+	// connection.
+	connectionRefused bool
+	// cancelled reports that the owner itself cancelled the call.
 	cancelled bool
 }
 
-// healthMessage is what a server's health endpoint said, or its failure.
-type healthMessage struct {
+// probeEndedMessage reports the reply of a backend server's health endpoint, or that the
+// probe failed.
+type probeEndedMessage struct {
 	server string
 	number uint64
 	failed bool
-	// refused says that no process listens at the server's address.
-	refused bool
-	state   tier.BackendState
-	held    []Held
+	// connectionRefused reports that the backend server's machine refused the
+	// connection.
+	connectionRefused bool
+	state             tier.BackendState
+	holdings          []Held
 }
 
-// setMessage replaces the set's description.
+// setMessage replaces the shard set's configuration.
 type setMessage struct{ set *tier.ShardSet }
 
-// shareMessage changes the owner's share of the slots.
-type shareMessage struct{ owners, index int }
+// slotShareMessage changes how many owners share the slots of the backend servers, and
+// this owner's index among them.
+type slotShareMessage struct{ owners, index int }
 
-// standbyMessage says that another VM owns the set.
+// standbyMessage reports that this VM does not own the shard set.
 type standbyMessage struct{}
 
-// statusMessage asks for the owner's status.
+// statusMessage requests the owner's status.
 type statusMessage struct{ reply chan Status }
 
-func (*submitMessage) message()  {}
-func (*cancelMessage) message()  {}
-func (*repliedMessage) message() {}
-func (*healthMessage) message()  {}
-func (*setMessage) message()     {}
-func (*shareMessage) message()   {}
-func (*standbyMessage) message() {}
-func (*statusMessage) message()  {}
+func (*submitMessage) message()     {}
+func (*cancelMessage) message()     {}
+func (*callEndedMessage) message()  {}
+func (*probeEndedMessage) message() {}
+func (*setMessage) message()        {}
+func (*slotShareMessage) message()  {}
+func (*standbyMessage) message()    {}
+func (*statusMessage) message()     {}
--- a/cicadagraded/owner/owner.go
+++ b/cicadagraded/owner/owner.go
@@ -1,6 +1,6 @@
-// Package owner runs the parts of queries that this VM owns: one event loop
-// for each shard set drives its dispatcher and the links to its backend
-// servers.
+// Package owner runs the parts of searches and the bookings of the shard sets that this
+// VM owns. Each owner has one event loop, which drives the dispatcher of its shard set and
+// the connections to the backend servers in its data centre.
 package owner
 
 import (
@@ -18,121 +18,123 @@
 	"cicadagrade.example/tier/ring"
 )
 
-// Sizes of an owner's rings and the pace of its reports.
 const (
-	inboxSize      = 8192
+	inboxSize      = 8192 // messages
 	reportInterval = 100 * tier.Millis(1)
-	// warmLimit is how long a new owner's first parts wait for the health of
-	// its servers.
-	warmLimit = 500 * tier.Millis(1)
+	// firstProbeWait bounds how long the first parts of a new owner wait until each
+	// backend server has been probed once.
+	firstProbeWait = 500 * tier.Millis(1)
 )
 
-// Identity says which life of which VM an owner runs on.
+// Identity identifies the VM that an owner runs on: its name, data centre and incarnation.
 type Identity struct {
 	vm          string
 	dataCentre  string
 	incarnation tier.Incarnation
 }
 
-// NewIdentity returns the identity of a VM's life.
+// NewIdentity returns the identity of an incarnation of a VM.
 func NewIdentity(vm, dataCentre string, i tier.Incarnation) Identity {
 	return Identity{vm: vm, dataCentre: dataCentre, incarnation: i}
 }
 
-// Owner is the owner of one shard set in one data centre.
+// Owner runs searches and bookings on the backend servers of one shard set in one data
+// centre.
 type Owner struct {
 	id    Identity
 	name  string
 	clock *tier.Clock
 	inbox *ring.Ring[message]
-	// threshold is the present threshold of admission.
+	// threshold is the current admission threshold.
 	threshold atomic.Pointer[admitter.Threshold]
 
-	// The rest belongs to the loop.
-	set       *tier.ShardSet
-	core      *dispatcher.Dispatcher
-	parts     map[uint64]*part
-	byEnd     map[chan End]uint64
-	calls     map[uint64]*call
-	lanes     map[string]*lane
-	probers   map[string]*prober.Prober
-	holdings  map[holdingKey][]tier.Version
-	unheard   map[string]bool  // servers whose health has not been read yet
-	early     []*submitMessage // parts that wait for it
-	warmAt    tier.Millis      // when they wait no longer
-	cancels   []pendingCancel  // the earliest first
-	deferred  []message        // what the loop told itself
-	lastPart  uint64
-	rejected  uint64
-	attempt   func() tier.AttemptID
-	group     *errgroup.Group
-	ctx       context.Context
-	stopped   chan struct{} // closed when the loop has ended
-	outlet    Outlet
-	index     int // among those that split the slots; negative: stands by
-	published Report
-	pressed   bool        // a threshold that holds back was given out last
-	pressedAt tier.Millis // when a threshold was given out last
-	reportAt  tier.Millis
+	// The fields below belong to the event loop. Other goroutines use only ctx and stopped.
+	set                    *tier.ShardSet
+	dispatcher             *dispatcher.Dispatcher
+	parts                  map[uint64]*part
+	partByResult           map[chan End]uint64
+	calls                  map[uint64]*call
+	pools                  map[string]*workerPool
+	probers                map[string]*prober.Prober
+	holdings               map[holdingKey][]tier.Version
+	unprobed               map[string]bool  // backend servers without a finished probe
+	waitingParts           []*submitMessage // parts that wait for these probes
+	firstProbeDeadline     tier.Millis      // when the parts stop waiting
+	pendingCancels         []pendingCancel  // by time, earliest first
+	deferred               []message        // messages of the loop to itself
+	lastPart               uint64
+	rejectedReplies        uint64
+	newAttemptID           func() tier.AttemptID
+	group                  *errgroup.Group
+	ctx                    context.Context
+	stopped                chan struct{} // closed when the event loop has ended
+	publisher              Outlet
+	ownerIndex             int // among the VMs that share the slots; negative while on standby
+	lastReport             Report
+	lastThresholdRestricts bool        // the threshold published last does not admit all
+	lastThresholdAt        tier.Millis // when a threshold was last published
+	reportAt               tier.Millis
 }
 
-// holdingKey names what a server may hold.
+// holdingKey identifies a shard, under an epoch of the shard map, on a backend server.
 type holdingKey struct {
 	server string
 	shard  string
 	epoch  tier.Epoch
 }
 
-// part is a part of a query while it runs.
+// part is a submitted part of a search, or a booking, that has not ended.
 type part struct {
 	number   uint64
 	snapshot tier.Snapshot
 	term     string
 	booking  *Booking
 	calls    []uint64
-	end      chan End
+	result   chan End
 }
 
-// Outlet is told what owners find out. Its methods are called from owners'
-// loops and do not wait.
+// Outlet publishes what owners learn about their shard sets. Its methods are called from
+// the owners' event loops and must not block.
 type Outlet interface {
-	// Report takes what the servers of a set hold. The owner is the index-th of
-	// those that split its slots, or negative if it only stands by.
+	// Report publishes which index versions the backend servers of a set hold. Index is
+	// that of the owner among the VMs that share the slots of the set, or negative if
+	// the owner is on standby.
 	Report(set string, r Report, index int)
-	// Threshold takes a set's threshold of admission.
+	// Threshold publishes the admission threshold of a set.
 	Threshold(set string, t admitter.Threshold)
-	// Withdraw says that the owner of a set ended.
+	// Withdraw withdraws the report and the threshold of a set whose owner has ended.
 	Withdraw(set string)
-	// Backend takes a change of a backend server's state, with its sign.
+	// Backend reports a new state of a backend server. Reason names the observation
+	// behind the change.
 	Backend(set, server string, s tier.BackendState, reason string)
 }
 
-// New returns an owner of a set, which stands by at first. attempt returns a
-// fresh id for each leaf call.
-func New(id Identity, clock *tier.Clock, set *tier.ShardSet, attempt func() tier.AttemptID, outlet Outlet) *Owner {
+// New returns an owner of a shard set, on standby. NewAttemptID returns a new id for each
+// leaf call.
+func New(id Identity, clock *tier.Clock, set *tier.ShardSet, newAttemptID func() tier.AttemptID, publisher Outlet) *Owner {
 	return &Owner{
-		id:       id,
-		name:     set.Name(),
-		clock:    clock,
-		inbox:    ring.New[message](inboxSize),
-		set:      set,
-		core:     dispatcher.New(set, id.dataCentre, dispatcher.WithSeed(uint64(id.incarnation))),
-		parts:    map[uint64]*part{},
-		byEnd:    map[chan End]uint64{},
-		attempt:  attempt,
-		stopped:  make(chan struct{}),
-		calls:    map[uint64]*call{},
-		lanes:    map[string]*lane{},
-		holdings: map[holdingKey][]tier.Version{},
-		unheard:  map[string]bool{},
-		warmAt:   clock.Now() + warmLimit,
-		outlet:   outlet,
-		index:    -1,
-		probers:  map[string]*prober.Prober{},
+		id:                 id,
+		name:               set.Name(),
+		clock:              clock,
+		inbox:              ring.New[message](inboxSize),
+		set:                set,
+		dispatcher:         dispatcher.New(set, id.dataCentre, dispatcher.WithSeed(uint64(id.incarnation))),
+		parts:              map[uint64]*part{},
+		partByResult:       map[chan End]uint64{},
+		newAttemptID:       newAttemptID,
+		stopped:            make(chan struct{}),
+		calls:              map[uint64]*call{},
+		pools:              map[string]*workerPool{},
+		holdings:           map[holdingKey][]tier.Version{},
+		unprobed:           map[string]bool{},
+		firstProbeDeadline: clock.Now() + firstProbeWait,
+		publisher:          publisher,
+		ownerIndex:         -1,
+		probers:            map[string]*prober.Prober{},
 	}
 }
 
-// Threshold is the present threshold of admission.
+// Threshold is the current admission threshold.
 func (o *Owner) Threshold() admitter.Threshold {
 	if t := o.threshold.Load(); t != nil {
 		return *t
@@ -140,7 +142,7 @@
 	return admitter.AdmitAll()
 }
 
-// Search is one part of a search.
+// Search is a part of a search: the shards to query in one data centre.
 type Search struct {
 	profile  *tier.Profile
 	snapshot tier.Snapshot
@@ -149,7 +151,7 @@
 	deadline tier.Millis
 }
 
-// NewSearch returns a part of a search, with an absolute deadline.
+// NewSearch returns a part of a search. The deadline is a time of the VM's clock.
 func NewSearch(p *tier.Profile, s tier.Snapshot, shards []string, term string, deadline tier.Millis) Search {
 	return Search{profile: p, snapshot: s, shards: shards, term: term, deadline: deadline}
 }
@@ -157,19 +159,19 @@
 // Profile is the caller's profile.
 func (s Search) Profile() *tier.Profile { return s.profile }
 
-// Snapshot is the pinned snapshot.
+// Snapshot is the snapshot that the search is pinned to.
 func (s Search) Snapshot() tier.Snapshot { return s.snapshot }
 
-// Shards are the ids of the wanted shards.
+// Shards are the ids of the shards to query.
 func (s Search) Shards() []string { return s.shards }
 
-// Term is what is searched for.
+// Term is the search term.
 func (s Search) Term() string { return s.term }
 
-// Deadline is absolute.
+// Deadline is the time on the VM's clock by which the part has to end.
 func (s Search) Deadline() tier.Millis { return s.deadline }
 
-// Booking is a request that may not be repeated.
+// Booking is a non-idempotent request: it must run at most once.
 type Booking struct {
 	profile   *tier.Profile
 	shard     string
@@ -178,121 +180,123 @@
 	deadline  tier.Millis
 }
 
-// NewBooking returns a booking on one shard, with an absolute deadline.
+// NewBooking returns a booking on one shard. The deadline is a time of the VM's clock.
 func NewBooking(p *tier.Profile, shard, recordKey, body string, deadline tier.Millis) Booking {
 	return Booking{profile: p, shard: shard, recordKey: recordKey, body: body, deadline: deadline}
 }
 
-// End is the end of a part: *Done, *NotRun or *Unsure.
-type End interface{ end() }
+// End is the result of a part: *Done, *NotRun or *Unknown.
+type End interface{ partResult() }
 
-// Done is a part that ran.
+// Done is the result of a part that ran.
 type Done struct {
 	results    []merger.ShardResult
-	held       []Held
+	holdings   []Held
 	receipt    string
-	calls      int
+	leafCalls  int
 	extraCalls int
 }
 
-// Results are those of the part's shards.
+// Results are the results of the shards of a search.
 func (d *Done) Results() []merger.ShardResult { return d.results }
 
-// Held is what the owner's servers hold now of the part's shards.
-func (d *Done) Held() []Held { return d.held }
+// Held lists the index versions that the backend servers hold of the shards without
+// records.
+func (d *Done) Held() []Held { return d.holdings }
 
-// Receipt is that of a booking.
+// Receipt is the receipt of a booking.
 func (d *Done) Receipt() string { return d.receipt }
 
-// Calls is how many leaf calls the part made.
-func (d *Done) Calls() int { return d.calls }
+// Calls is the number of leaf calls that were made.
+func (d *Done) Calls() int { return d.leafCalls }
 
-// ExtraCalls is how many of them were hedges or retries.
+// ExtraCalls is the number of leaf calls that were hedges or retries.
 func (d *Done) ExtraCalls() int { return d.extraCalls }
 
-// NewDone returns a part that ran.
-func NewDone(results []merger.ShardResult, held []Held, calls, extraCalls int) *Done {
-	return &Done{results: results, held: held, calls: calls, extraCalls: extraCalls}
+// NewDone returns the result of a part of a search that ran.
+func NewDone(results []merger.ShardResult, holdings []Held, leafCalls, extraCalls int) *Done {
+	return &Done{results: results, holdings: holdings, leafCalls: leafCalls, extraCalls: extraCalls}
 }
 
-// NotRun is a part of which nothing was run.
+// NotRun is the result of a part that no backend server ran.
 type NotRun struct {
 	reason     tier.RefuseReason
 	retryAfter tier.Millis
 }
 
-// NewNotRun returns the end of a part of which nothing was run.
+// NewNotRun returns the result of a part that no backend server ran.
 func NewNotRun(r tier.RefuseReason, retryAfter tier.Millis) *NotRun {
 	return &NotRun{reason: r, retryAfter: retryAfter}
 }
 
-// Reason says why.
+// Reason is the reason why the part was refused.
 func (n *NotRun) Reason() tier.RefuseReason { return n.reason }
 
-// RetryAfter is when a new try may succeed, or 0.
+// RetryAfter is the time after which a retry may succeed, or 0 if it is not known.
 func (n *NotRun) RetryAfter() tier.Millis { return n.retryAfter }
 
-// Unsure is a booking that may have run.
+// Unsure is the result of a part that may have run, in full or in part.
 type Unsure struct{ reason tier.UnknownReason }
 
-// Reason says why it can't be told.
+// Reason is the reason why the result is unknown.
 func (u *Unsure) Reason() tier.UnknownReason { return u.reason }
 
-func (*Done) end()   {}
-func (*NotRun) end() {}
-func (*Unsure) end() {}
+func (*Done) partResult()   {}
+func (*NotRun) partResult() {}
+func (*Unsure) partResult() {}
 
-// Search runs a part of a search and returns its end. When ctx ends first
-// the part is cancelled.
+// Search runs a part of a search and returns its result. If ctx ends first, the part is
+// cancelled.
 func (o *Owner) Search(ctx context.Context, s Search) End {
-	m := &submitMessage{search: &s, end: make(chan End, 1)}
+	m := &submitMessage{search: &s, result: make(chan End, 1)}
 	if err := o.inbox.Push(ctx, m); err != nil {
 		return &NotRun{reason: tier.RefuseOverload}
 	}
 	select {
-	case e := <-m.end:
+	case e := <-m.result:
 		return e
 	case <-ctx.Done():
-		o.inbox.TryPush(&cancelMessage{end: m.end})
+		o.inbox.TryPush(&cancelMessage{result: m.result})
 	case <-o.stopped:
 	}
 	return &Unsure{reason: tier.UnknownDeadline}
 }
 
-// Book runs a booking, at most once, and returns its end. When ctx ends, a
-// booking that was not sent yet is not sent any more; one that was sent ends
-// with its reply or at its deadline.
+// Book runs a booking at most once and returns its result. If ctx ends before the booking
+// was sent to a backend server, it is not sent. If it was sent, it ends with the reply or
+// at its deadline.
 func (o *Owner) Book(ctx context.Context, b Booking) End {
-	m := &submitMessage{booking: &b, end: make(chan End, 1)}
+	m := &submitMessage{booking: &b, result: make(chan End, 1)}
 	if err := o.inbox.Push(ctx, m); err != nil {
 		return &NotRun{reason: tier.RefuseOverload}
 	}
 	select {
-	case e := <-m.end:
+	case e := <-m.result:
 		return e
 	case <-ctx.Done():
-		o.inbox.TryPush(&cancelMessage{end: m.end})
+		o.inbox.TryPush(&cancelMessage{result: m.result})
 	case <-o.stopped:
 	}
 	select {
-	case e := <-m.end:
+	case e := <-m.result:
 		return e
 	case <-o.stopped:
 		return &Unsure{reason: tier.UnknownLostReply}
 	}
 }
 
-// SetChanged tells the owner of a new description of its set.
+// SetChanged replaces the configuration of the owner's shard set.
 func (o *Owner) SetChanged(ctx context.Context, s *tier.ShardSet) error {
 	return errors.Wrap(o.inbox.Push(ctx, &setMessage{set: s}), "Owner.SetChanged")
 }
 
-// ShareChanged tells the owner how many VMs split the set's slots.
+// ShareChanged makes the owner use its share of the slots of the backend servers, as the
+// VM with that index among owners VMs.
 func (o *Owner) ShareChanged(ctx context.Context, owners, index int) error {
-	return errors.Wrap(o.inbox.Push(ctx, &shareMessage{owners: owners, index: index}), "Owner.ShareChanged")
+	return errors.Wrap(o.inbox.Push(ctx, &slotShareMessage{owners: owners, index: index}), "Owner.ShareChanged")
 }
 
-// StandBy tells the owner that another VM owns the set.
+// StandBy puts the owner on standby: this VM does not own the shard set any more.
 func (o *Owner) StandBy(ctx context.Context) error {
 	return errors.Wrap(o.inbox.Push(ctx, &standbyMessage{}), "Owner.StandBy")
 }
--- a/cicadagraded/owner/owner_test.go
+++ b/cicadagraded/owner/owner_test.go
@@ -16,15 +16,15 @@
 	"cicadagrade.example/tier/admitter"
 )
 
-// leaf is a backend server that answers at once, unless reply changes what it
-// says.
-type leaf struct {
+// leafServer is a backend server that answers at once. Reply, if set, changes its replies
+// to searches.
+type leafServer struct {
 	reply  func(*backendv1.SearchReply)
-	book   func() error
-	booked chan string
+	book   func() error // the result of each booking
+	booked chan string  // the attempt id of each booking received
 }
 
-func (l *leaf) Search(_ context.Context, r *connect.Request[backendv1.SearchRequest]) (*connect.Response[backendv1.SearchReply], error) {
+func (l *leafServer) Search(_ context.Context, r *connect.Request[backendv1.SearchRequest]) (*connect.Response[backendv1.SearchReply], error) {
 	q := r.Msg
 	records := []tier.Record{tier.NewRecord("key-"+q.GetShard(), "value")}
 	w := &backendv1.SearchReply{
@@ -38,7 +38,7 @@
 	return connect.NewResponse(w), nil
 }
 
-func (l *leaf) Book(_ context.Context, r *connect.Request[backendv1.BookRequest]) (*connect.Response[backendv1.BookReply], error) {
+func (l *leafServer) Book(_ context.Context, r *connect.Request[backendv1.BookRequest]) (*connect.Response[backendv1.BookReply], error) {
 	l.booked <- r.Msg.GetAttempt()
 	if err := l.book(); err != nil {
 		return nil, err
@@ -46,44 +46,44 @@
 	return connect.NewResponse(&backendv1.BookReply{Attempt: r.Msg.GetAttempt(), Set: r.Msg.GetSet(), Shard: r.Msg.GetShard(), Receipt: "receipt"}), nil
 }
 
-func (l *leaf) Health(context.Context, *connect.Request[backendv1.HealthRequest]) (*connect.Response[backendv1.HealthReply], error) {
+func (l *leafServer) Health(context.Context, *connect.Request[backendv1.HealthRequest]) (*connect.Response[backendv1.HealthReply], error) {
 	w := &backendv1.HealthReply{State: backendv1.ServerState_SERVER_STATE_LIVE}
-	for i := range maxLeafShards {
+	for i := range maxTestShards {
 		w.Holdings = append(w.Holdings, &backendv1.Holding{Set: "set", Shard: shardName(i), Epoch: 1, Versions: []uint64{1}})
 	}
 	return connect.NewResponse(w), nil
 }
 
-const maxLeafShards = 40
+const maxTestShards = 40
 
 func shardName(i int) string { return fmt.Sprintf("s%02d", i) }
 
-// leafSet starts servers for a set of as many shards, one server each.
-func leafSet(tb testing.TB, l *leaf, shards, slots int) *tier.ShardSet {
+// newLeafSet starts one backend server for each of the shards of a new set.
+func newLeafSet(tb testing.TB, l *leafServer, shardCount, slots int) *tier.ShardSet {
 	tb.Helper()
 	_, h := backendv1connect.NewLeafServiceHandler(l)
 	var servers []tier.Backend
-	var list []tier.Shard
-	width := math.MaxUint64/uint64(shards) + 1
-	for i := range shards {
+	var shards []tier.Shard
+	width := math.MaxUint64/uint64(shardCount) + 1
+	for i := range shardCount {
 		s := httptest.NewServer(h)
 		tb.Cleanup(s.Close)
 		name := fmt.Sprintf("b%02d", i)
 		servers = append(servers, tier.NewBackend(name, s.Listener.Addr().String(), "here", tier.WithSlots(slots)))
 		to := uint64(i+1)*width - 1
-		if i == shards-1 {
+		if i == shardCount-1 {
 			to = math.MaxUint64
 		}
-		list = append(list, tier.NewShard(shardName(i), uint64(i)*width, to, name))
+		shards = append(shards, tier.NewShard(shardName(i), uint64(i)*width, to, name))
 	}
-	set, err := tier.NewShardSet("set", tier.WithServers(servers...), tier.WithShards(list...))
+	set, err := tier.NewShardSet("set", tier.WithServers(servers...), tier.WithShards(shards...))
 	if err != nil {
 		tb.Fatal(err)
 	}
 	return set
 }
 
-// testOutlet passes reports on.
+// testOutlet sends the published reports to a channel and ignores the rest.
 type testOutlet chan Report
 
 func (c testOutlet) Report(_ string, r Report, _ int) { c <- r }
@@ -94,18 +94,18 @@
 
 func (testOutlet) Backend(string, string, tier.BackendState, string) {}
 
-// startOwner runs an owner until the test ends, and waits until it knows what
-// its servers hold.
+// startOwner runs an owner until the test ends. It returns when the owner knows what the
+// backend servers of every shard hold.
 func startOwner(tb testing.TB, set *tier.ShardSet) (*Owner, *tier.Clock) {
 	tb.Helper()
 	clock := tier.NewClock()
 	reports := make(chan Report, 16)
 	n := uint64(0)
-	attempt := func() tier.AttemptID {
+	newAttemptID := func() tier.AttemptID {
 		n++
 		return tier.NewAttemptID("vm-1", 1, n)
 	}
-	o := New(NewIdentity("vm-1", "here", 1), clock, set, attempt, testOutlet(reports))
+	o := New(NewIdentity("vm-1", "here", 1), clock, set, newAttemptID, testOutlet(reports))
 	ctx, cancel := context.WithCancel(context.Background())
 	var g errgroup.Group
 	g.Go(func() error { return o.Run(ctx) })
@@ -123,13 +123,13 @@
 
 func shardIDs(set *tier.ShardSet) []string {
 	var ids []string
-	for _, h := range set.Shards() {
-		ids = append(ids, h.ID())
+	for _, s := range set.Shards() {
+		ids = append(ids, s.ID())
 	}
 	return ids
 }
 
-func gate(tb testing.TB, opts ...tier.ProfileOption) *tier.Profile {
+func newProfile(tb testing.TB, opts ...tier.ProfileOption) *tier.Profile {
 	tb.Helper()
 	p, err := tier.NewProfile("gate", append([]tier.ProfileOption{tier.WithRank(tier.Urgent)}, opts...)...)
 	if err != nil {
@@ -138,7 +138,8 @@
 	return p
 }
 
-func TestOwnerRejectsForeignReplies(t *testing.T) {
+// Each case changes one field of an otherwise correct reply. The owner must not use it.
+func TestOwnerRejectsMismatchedReplies(t *testing.T) {
 	changes := map[string]func(*backendv1.SearchReply){
 		"attempt":   func(w *backendv1.SearchReply) { w.Attempt = "vm-1/1/999" },
 		"shard":     func(w *backendv1.SearchReply) { w.Shard = "s01" },
@@ -148,20 +149,22 @@
 	}
 	for name, change := range changes {
 		t.Run(name, func(t *testing.T) {
-			set := leafSet(t, &leaf{reply: change}, 1, 2)
+			set := newLeafSet(t, &leafServer{reply: change}, 1, 2)
 			o, clock := startOwner(t, set)
-			s := NewSearch(gate(t), tier.NewSnapshot(1, 1), shardIDs(set), "term", clock.Now()+tier.Second)
+			s := NewSearch(newProfile(t), tier.NewSnapshot(1, 1), shardIDs(set), "term", clock.Now()+tier.Second)
 			d, ok := o.Search(context.Background(), s).(*Done)
 			if !ok || len(d.Results()) != 1 {
-				t.Fatalf("end %+v", d)
+				t.Fatalf("result %+v", d)
 			}
 			if got := d.Results()[0].Miss(); got != tier.MissBadReply {
-				t.Errorf("miss %q, want %q", got, tier.MissBadReply)
+				t.Errorf("reason of the missing shard %q, want %q", got, tier.MissBadReply)
 			}
 		})
 	}
 }
 
+// A booking is sent once, whether it is answered, fails in a way that may have run it, or
+// is refused by the backend server.
 func TestOwnerSendsBookingOnce(t *testing.T) {
 	lost := func() error { return connect.NewError(connect.CodeInternal, fmt.Errorf("no answer")) }
 	shed := func() error { return connect.NewError(connect.CodeResourceExhausted, fmt.Errorf("busy")) }
@@ -175,15 +178,15 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			l := &leaf{book: c.book, booked: make(chan string, 8)}
-			set := leafSet(t, l, 1, 2)
+			l := &leafServer{book: c.book, booked: make(chan string, 8)}
+			set := newLeafSet(t, l, 1, 2)
 			o, clock := startOwner(t, set)
-			e := o.Book(context.Background(), NewBooking(gate(t), "s00", "record", "body", clock.Now()+tier.Second))
+			e := o.Book(context.Background(), NewBooking(newProfile(t), "s00", "record", "body", clock.Now()+tier.Second))
 			if !c.want(e) {
-				t.Errorf("end %T", e)
+				t.Errorf("result %T", e)
 			}
 			if n := len(l.booked); n != 1 {
-				t.Errorf("sent %d times", n)
+				t.Errorf("sent %d times, want once", n)
 			}
 		})
 	}
@@ -196,7 +199,7 @@
 		t.Fatal(err)
 	}
 	got, err := DecodeReport(b)
-	if err != nil || !got.holdsSame(r) {
+	if err != nil || !got.sameHoldings(r) {
 		t.Errorf("got %+v, %v", got, err)
 	}
 }
@@ -208,7 +211,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if gotVM, got, err := DecodeAnnouncement("there", b); err != nil || gotVM != vm || !got.holdsSame(r) {
+	if gotVM, got, err := DecodeAnnouncement("there", b); err != nil || gotVM != vm || !got.sameHoldings(r) {
 		t.Errorf("got %+v, %+v, %v", gotVM, got, err)
 	}
 }
--- a/cicadagraded/owner/probing.go
+++ b/cicadagraded/owner/probing.go
@@ -13,47 +13,48 @@
 	"cicadagrade.example/tier/prober"
 )
 
-// probeTimeout bounds one read of a server's health.
+// probeTimeout bounds one probe of a backend server's health endpoint.
 const probeTimeout = 1 * time.Second
 
-// openLanes starts a lane and a prober for each server of the set in this
-// data centre, and ends those of servers that are gone.
-func (o *Owner) openLanes() {
+// syncPools starts a worker pool and a prober for each new backend server of the set in
+// this data centre, and stops those of servers that were removed or changed.
+func (o *Owner) syncPools() {
 	wanted := map[string]tier.Backend{}
 	for _, b := range o.set.Servers() {
 		if b.DataCentre() == o.id.dataCentre {
 			wanted[b.Name()] = b
 		}
 	}
-	for name, l := range o.lanes {
-		if b, ok := wanted[name]; !ok || b != l.link.Server() {
-			l.end()
-			delete(o.lanes, name)
+	for name, w := range o.pools {
+		if b, ok := wanted[name]; !ok || b != w.client.Server() {
+			w.closeWhenIdle()
+			delete(o.pools, name)
 			delete(o.probers, name)
-			delete(o.unheard, name)
+			delete(o.unprobed, name)
 		}
 	}
 	for name, b := range wanted {
-		if _, ok := o.lanes[name]; ok {
+		if _, ok := o.pools[name]; ok {
 			continue
 		}
 		p, err := prober.New(name, prober.WithColdRamp(o.set.ColdRamp()))
 		if err != nil {
 			continue
 		}
-		o.lanes[name] = o.startLane(b)
-		o.unheard[name] = true
+		o.pools[name] = o.startPool(b)
+		o.unprobed[name] = true
 		o.probers[name] = p
 	}
 }
 
 func (o *Owner) setChanged(set *tier.ShardSet) {
 	o.set = set
-	o.openLanes()
-	o.step(dispatcher.NewSetChanged(set))
+	o.syncPools()
+	o.stepDispatcher(dispatcher.NewSetChanged(set))
 	o.reportAt = 0
 }
 
+// nextProbe returns when the next tick of a prober is due.
 func (o *Owner) nextProbe() (tier.Millis, bool) {
 	var due tier.Millis
 	found := false
@@ -68,13 +69,14 @@
 func (o *Owner) tickProbers(now tier.Millis) {
 	for name, p := range o.probers {
 		if at, ok := p.Next(); ok && at <= now {
-			o.sign(name, &prober.Tick{})
+			o.stepProber(name, &prober.Tick{})
 		}
 	}
 }
 
-// sign tells a server's prober of an event.
-func (o *Owner) sign(server string, e prober.Event) {
+// stepProber passes an event to the prober of a backend server and performs the resulting
+// actions.
+func (o *Owner) stepProber(server string, e prober.Event) {
 	p, ok := o.probers[server]
 	if !ok {
 		return
@@ -82,7 +84,7 @@
 	for _, a := range p.Step(o.clock.Now(), e) {
 		switch a := a.(type) {
 		case *prober.Probe:
-			o.lanes[server].probes.TryPush(a.Number())
+			o.pools[server].probes.TryPush(a.Number())
 		case *prober.StateChanged:
 			o.stateChanged(a)
 		}
@@ -90,94 +92,95 @@
 }
 
 func (o *Owner) stateChanged(a *prober.StateChanged) {
-	o.outlet.Backend(o.name, a.Server(), a.State(), a.Reason())
-	o.step(dispatcher.NewBackendChanged(a.Server(), a.State()))
+	o.publisher.Backend(o.name, a.Server(), a.State(), a.Reason())
+	o.stepDispatcher(dispatcher.NewBackendChanged(a.Server(), a.State()))
 	o.reportAt = 0
 }
 
-// replySign tells a server's prober what a reply shows.
-func (o *Owner) replySign(server string, m *repliedMessage) {
+// stepProberOnReply passes the result of a leaf call to the prober of the backend server.
+func (o *Owner) stepProberOnReply(server string, m *callEndedMessage) {
 	switch r := m.result.(type) {
 	case *dispatcher.ReplyOK:
-		o.sign(server, prober.NewReplyOK(m.state))
+		o.stepProber(server, prober.NewReplyOK(m.state))
 	case *dispatcher.ReplyNotRun:
-		o.notRunSign(server, m.state)
+		o.stepProberOnNotRun(server, m.state)
 	case *dispatcher.ReplyFailed:
 		if !m.cancelled {
-			o.sign(server, prober.NewReplyFailed(m.refused))
+			o.stepProber(server, prober.NewReplyFailed(m.connectionRefused))
 		}
 	default:
 		_ = r
 	}
 }
 
-func (o *Owner) notRunSign(server string, s tier.BackendState) {
+func (o *Owner) stepProberOnNotRun(server string, s tier.BackendState) {
 	switch s {
 	case tier.BackendShedding:
-		o.sign(server, &prober.ReplyShed{})
+		o.stepProber(server, &prober.ReplyShed{})
 	case tier.BackendLeaving:
-		o.sign(server, &prober.ReplyLeaving{})
+		o.stepProber(server, &prober.ReplyLeaving{})
 	case tier.BackendLost:
-		o.sign(server, prober.NewReplyFailed(true))
+		o.stepProber(server, prober.NewReplyFailed(true))
 	}
 }
 
-// healthCame tells a server's prober what its health endpoint said.
-func (o *Owner) healthCame(m *healthMessage) {
-	defer o.heard(m.server)
+// probeEnded passes the result of a probe to the prober of the backend server.
+func (o *Owner) probeEnded(m *probeEndedMessage) {
+	defer o.markProbed(m.server)
 	if m.failed {
-		o.sign(m.server, prober.NewProbeFailed(m.number, m.refused))
+		o.stepProber(m.server, prober.NewProbeFailed(m.number, m.connectionRefused))
 		return
 	}
-	for _, h := range m.held {
-		o.noteHolding(m.server, h)
+	for _, h := range m.holdings {
+		o.updateHolding(m.server, h)
 	}
-	o.sign(m.server, prober.NewHealth(m.number, m.state))
+	o.stepProber(m.server, prober.NewHealth(m.number, m.state))
 }
 
-// takesWork reports whether a server is believed to take new calls.
+// takesWork reports whether a backend server is assumed to accept new calls.
 func (o *Owner) takesWork(server string) bool {
 	p, ok := o.probers[server]
 	return ok && p.State().TakesWork()
 }
 
-// probe reads a server's health whenever the loop asks.
-func (o *Owner) probe(l *lane) error {
+// runProbes probes a backend server whenever the event loop requests it, until the pool is
+// stopped.
+func (o *Owner) runProbes(w *workerPool) error {
 	for {
-		number, err := l.probes.Pop(l.ctx)
+		number, err := w.probes.Pop(w.ctx)
 		if err != nil {
 			return nil
 		}
-		m := o.readHealth(l, number)
-		if err := o.inbox.Push(l.ctx, m); err != nil {
+		m := o.readHealth(w, number)
+		if err := o.inbox.Push(w.ctx, m); err != nil {
 			return nil
 		}
 	}
 }
 
-func (o *Owner) readHealth(l *lane, number uint64) *healthMessage {
-	ctx, cancel := context.WithTimeout(l.ctx, probeTimeout)
+func (o *Owner) readHealth(w *workerPool, number uint64) *probeEndedMessage {
+	ctx, cancel := context.WithTimeout(w.ctx, probeTimeout)
 	defer cancel()
-	m := &healthMessage{server: l.link.Server().Name(), number: number}
-	reply, err := l.link.Health(ctx)
+	m := &probeEndedMessage{server: w.client.Server().Name(), number: number}
+	reply, err := w.client.Health(ctx)
 	if err != nil {
 		var notRun *dialer.NotRunError
 		m.failed = true
-		m.refused = errors.As(err, &notRun) && notRun.Refused()
+		m.connectionRefused = errors.As(err, &notRun) && notRun.Refused()
 		return m
 	}
 	m.state = toState(reply.GetState())
-	m.held = o.heldByServer(reply.GetHoldings())
+	m.holdings = o.holdingsOfSet(reply.GetHoldings())
 	return m
 }
 
-// heldByServer converts what a server holds of the set.
-func (o *Owner) heldByServer(l []*backendv1.Holding) []Held {
-	held := make([]Held, 0, len(l))
-	for _, h := range l {
+// holdingsOfSet converts the holdings of a backend server that belong to the owner's set.
+func (o *Owner) holdingsOfSet(list []*backendv1.Holding) []Held {
+	holdings := make([]Held, 0, len(list))
+	for _, h := range list {
 		if h.GetSet() == o.name {
-			held = append(held, *toHeld(h))
+			holdings = append(holdings, *toHeldVersions(h))
 		}
 	}
-	return held
+	return holdings
 }
--- a/cicadagraded/owner/registry.go
+++ b/cicadagraded/owner/registry.go
@@ -12,47 +12,49 @@
 	"cicadagrade.example/tier/admitter"
 )
 
-// idleLimit is how long an owner without ownership and without work stays.
-const idleLimit = 30 * tier.Second
+// idleTimeout is how long an owner keeps running while its VM does not own the set and no
+// request uses it.
+const idleTimeout = 30 * tier.Second
 
-// Registry holds the owners of this VM, one for each shard set that has
-// backend servers in its data centre.
+// Registry manages the owners that run on this VM, at most one for each shard set. It is
+// safe for concurrent use.
 type Registry struct {
-	id     Identity
-	clock  *tier.Clock
-	sets   func(name string) (*tier.ShardSet, bool)
-	outlet Outlet
-	mu     sync.Mutex
-	owners map[string]*held
-	group  *errgroup.Group
-	ctx    context.Context
-	calls  atomic.Uint64
+	id        Identity
+	clock     *tier.Clock
+	sets      func(name string) (*tier.ShardSet, bool)
+	publisher Outlet
+	mu        sync.Mutex
+	owners    map[string]*registryEntry
+	group     *errgroup.Group
+	ctx       context.Context
+	lastCall  atomic.Uint64
 }
 
-// held is an owner with what the registry knows of it.
-type held struct {
-	owner  *Owner
-	set    *tier.ShardSet
-	owned  bool
-	owners int
-	index  int
-	usedAt tier.Millis
-	stop   context.CancelFunc
+// registryEntry is an owner and its state in the registry.
+type registryEntry struct {
+	owner      *Owner
+	set        *tier.ShardSet
+	owned      bool
+	ownerCount int
+	index      int
+	lastUsed   tier.Millis
+	stop       context.CancelFunc
 }
 
-// NewRegistry returns a registry without owners. sets finds the sets in
-// force.
-func NewRegistry(ctx context.Context, id Identity, clock *tier.Clock, sets func(string) (*tier.ShardSet, bool), outlet Outlet) *Registry {
-	group, inner := errgroup.WithContext(ctx)
+// NewRegistry returns a registry without owners, which stop when ctx ends. Sets looks up a
+// shard set in the configuration in force.
+func NewRegistry(ctx context.Context, id Identity, clock *tier.Clock, sets func(string) (*tier.ShardSet, bool), publisher Outlet) *Registry {
+	group, groupCtx := errgroup.WithContext(ctx)
 	return &Registry{
-		id: id, clock: clock, sets: sets, outlet: outlet,
-		owners: map[string]*held{}, group: group, ctx: inner,
+		id: id, clock: clock, sets: sets, publisher: publisher,
+		owners: map[string]*registryEntry{}, group: group, ctx: groupCtx,
 	}
 }
 
-// Search runs a part of a search on the owner of its set. A VM that does not
-// think itself the owner runs it all the same: two VMs may disagree for a
-// while, and the dispatcher of a new owner starts with a small share.
+// Search runs a part of a search on this VM's owner of the set, and starts that owner if
+// there is none. The part runs even if this VM is not an owner of the set in its own view:
+// the views of two VMs may differ for a while, and an owner on standby uses only one slot
+// of each backend server.
 func (r *Registry) Search(ctx context.Context, set string, s Search) End {
 	o, ok := r.get(set)
 	if !ok {
@@ -61,17 +63,18 @@
 	return o.Search(ctx, s)
 }
 
-// Threshold is the threshold of admission of a set's owner here.
+// Threshold is the admission threshold of this VM's owner of a set. Without an owner it
+// admits all.
 func (r *Registry) Threshold(set string) admitter.Threshold {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if h, ok := r.owners[set]; ok {
-		return h.owner.Threshold()
+	if e, ok := r.owners[set]; ok {
+		return e.owner.Threshold()
 	}
 	return admitter.AdmitAll()
 }
 
-// Book runs a booking on the owner of its set.
+// Book runs a booking on this VM's owner of the set, as Search does.
 func (r *Registry) Book(ctx context.Context, set string, b Booking) End {
 	o, ok := r.get(set)
 	if !ok {
@@ -80,13 +83,14 @@
 	return o.Book(ctx, b)
 }
 
-// get returns the owner of a set and starts it if there is none.
+// get returns the owner of a set. It starts one if there is none; it returns false if the
+// set is not in force.
 func (r *Registry) get(name string) (*Owner, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if h, ok := r.owners[name]; ok {
-		h.usedAt = r.clock.Now()
-		return h.owner, true
+	if e, ok := r.owners[name]; ok {
+		e.lastUsed = r.clock.Now()
+		return e.owner, true
 	}
 	set, ok := r.sets(name)
 	if !ok {
@@ -95,23 +99,25 @@
 	return r.start(set).owner, true
 }
 
-func (r *Registry) start(set *tier.ShardSet) *held {
+// start starts an owner of a set, on standby. The caller holds mu.
+func (r *Registry) start(set *tier.ShardSet) *registryEntry {
 	ctx, cancel := context.WithCancel(r.ctx)
-	o := New(r.id, r.clock, set, r.attempt, r.outlet)
-	h := &held{owner: o, set: set, usedAt: r.clock.Now(), stop: cancel}
-	r.owners[set.Name()] = h
+	o := New(r.id, r.clock, set, r.newAttemptID, r.publisher)
+	e := &registryEntry{owner: o, set: set, lastUsed: r.clock.Now(), stop: cancel}
+	r.owners[set.Name()] = e
 	o.inbox.TryPush(&standbyMessage{})
 	r.group.Go(func() error { return o.Run(ctx) })
-	return h
+	return e
 }
 
-// attempt returns the id of the next leaf call of this VM's life.
-func (r *Registry) attempt() tier.AttemptID {
-	return tier.NewAttemptID(r.id.vm, r.id.incarnation, r.calls.Add(1))
+// newAttemptID returns the id of a new leaf call, which is unique for this incarnation of
+// the VM.
+func (r *Registry) newAttemptID() tier.AttemptID {
+	return tier.NewAttemptID(r.id.vm, r.id.incarnation, r.lastCall.Add(1))
 }
 
-// Sync brings the owners in line with the sets in force and with the members:
-// ownersOf lists the owners of a set in this data centre.
+// Sync starts, updates and stops owners to match the sets in force and the members. OwnersOf
+// lists the VMs that own a set in this data centre.
 func (r *Registry) Sync(ctx context.Context, sets []*tier.ShardSet, ownersOf func(set *tier.ShardSet) []tier.VM) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -122,15 +128,17 @@
 			return errors.Wrap(err, "Registry.Sync")
 		}
 	}
-	for name, h := range r.owners {
+	for name, e := range r.owners {
 		if !inForce[name] {
-			h.owned = false
+			e.owned = false
 		}
-		r.retire(name, h)
+		r.retire(name, e)
 	}
 	return nil
 }
 
+// syncSet updates the owner of a set, and starts one if this VM is among the owners of the
+// set. The caller holds mu.
 func (r *Registry) syncSet(ctx context.Context, set *tier.ShardSet, owners []tier.VM) error {
 	index := -1
 	for i, vm := range owners {
@@ -138,57 +146,58 @@
 			index = i
 		}
 	}
-	h, running := r.owners[set.Name()]
+	e, running := r.owners[set.Name()]
 	if !running && index < 0 {
 		return nil
 	}
 	if !running {
-		h = r.start(set)
+		e = r.start(set)
 	}
-	lost := h.owned && index < 0
-	h.owned = index >= 0
-	if h.set != set {
-		h.set = set
-		if err := h.owner.SetChanged(ctx, set); err != nil {
+	lostOwnership := e.owned && index < 0
+	e.owned = index >= 0
+	if e.set != set {
+		e.set = set
+		if err := e.owner.SetChanged(ctx, set); err != nil {
 			return err
 		}
 	}
-	if lost {
-		h.owners = 0
-		return h.owner.StandBy(ctx)
+	if lostOwnership {
+		e.ownerCount = 0
+		return e.owner.StandBy(ctx)
 	}
-	if !h.owned || (h.owners == len(owners) && h.index == index) {
+	if !e.owned || (e.ownerCount == len(owners) && e.index == index) {
 		return nil
 	}
-	h.owners, h.index = len(owners), index
-	return h.owner.ShareChanged(ctx, len(owners), index)
+	e.ownerCount, e.index = len(owners), index
+	return e.owner.ShareChanged(ctx, len(owners), index)
 }
 
-// retire stops an owner that owns nothing and has had no work for a while.
-func (r *Registry) retire(name string, h *held) {
-	if h.owned {
-		h.usedAt = r.clock.Now()
+// retire stops an owner whose VM does not own the set and that was not used for
+// idleTimeout.
+func (r *Registry) retire(name string, e *registryEntry) {
+	if e.owned {
+		e.lastUsed = r.clock.Now()
 		return
 	}
-	if r.clock.Now()-h.usedAt > idleLimit {
-		h.stop()
+	if r.clock.Now()-e.lastUsed > idleTimeout {
+		e.stop()
 		delete(r.owners, name)
-		r.outlet.Withdraw(name)
+		r.publisher.Withdraw(name)
 	}
 }
 
-// Statuses lists the status of every owner.
+// Statuses returns the status of every owner.
 func (r *Registry) Statuses(ctx context.Context) []Status {
 	r.mu.Lock()
-	owners := make([]*held, 0, len(r.owners))
-	for _, h := range r.owners {
-		owners = append(owners, h)
+	owners := make([]*registryEntry, 0, len(r.owners))
+	for _, e := range r.owners {
+		owners = append(owners, e)
 	}
 	r.mu.Unlock()
 	var out []Status
-	for _, h := range owners {
-		if s, ok := h.owner.Status(ctx); ok {
-			s.Owned = h.owned
+	for _, e := range owners {
+		if s, ok := e.owner.Status(ctx); ok {
+			s.Owned = e.owned
 			out = append(out, s)
 		}
 	}
--- a/cicadagraded/owner/report.go
+++ b/cicadagraded/owner/report.go
@@ -12,54 +12,54 @@
 	"cicadagrade.example/tier/admitter"
 )
 
-// thresholdInterval is the time between two reports of which only the
-// threshold is news. Fronts that ask this owner hear it with each reply.
+// thresholdInterval is the shortest time between two publications of a threshold. Entry VMs
+// that send requests to this owner get the threshold with each reply.
 const thresholdInterval = 1 * tier.Second
 
-// Report is what an owner publishes of its set: which index versions its
-// servers hold of each shard.
+// Report lists which index versions the backend servers of a set in one data centre hold of
+// each shard.
 type Report struct {
 	epoch    tier.Epoch
-	versions map[int][]tier.Version // by the shard's place in the map
+	versions map[int][]tier.Version // by the shard's index in the map
 }
 
 // Epoch is the epoch of the shard map.
 func (r Report) Epoch() tier.Epoch { return r.epoch }
 
-// Versions are the index versions that servers hold of the i-th shard of the
-// epoch's map.
+// Versions are the index versions that backend servers hold of the shard with index i in
+// the epoch's map.
 func (r Report) Versions(i int) []tier.Version { return r.versions[i] }
 
-// Informed reports whether the owner knows what any server holds.
+// Informed reports whether the report lists any versions.
 func (r Report) Informed() bool { return len(r.versions) > 0 }
 
-// holdingWire lists shards that hold the same versions, in runs of the map's
-// order: the first one and how many.
-type holdingWire struct {
+// holdingJSON lists the shards of which the same versions are held, as runs of consecutive
+// shards of the map: the index of the first one and the length.
+type holdingJSON struct {
 	Versions []tier.Version `json:"versions"`
 	Runs     [][2]int       `json:"runs"`
 }
 
-// reportWire is a report between VMs.
-type reportWire struct {
+// reportJSON is the encoding of a report between VMs.
+type reportJSON struct {
 	Epoch    tier.Epoch    `json:"epoch"`
-	Holdings []holdingWire `json:"holdings"`
+	Holdings []holdingJSON `json:"holdings"`
 }
 
-// thresholdWire is a threshold between VMs. It changes often under load, and
-// goes apart from the holdings, which are larger and rarely change.
-type thresholdWire struct {
+// thresholdJSON is the encoding of a threshold between VMs. A threshold often changes under
+// load, so it is sent separately from the report, which is larger and rarely changes.
+type thresholdJSON struct {
 	Fractions [len(tier.Ranks)]float64     `json:"fractions"`
 	After     [len(tier.Ranks)]tier.Millis `json:"after-ms"`
 }
 
-// EncodeThreshold writes a threshold for other VMs; one that lets everything
-// in is empty.
+// EncodeThreshold encodes a threshold for other VMs. The encoding of one that admits all is
+// empty.
 func EncodeThreshold(t admitter.Threshold) ([]byte, error) {
 	if t.AdmitsAll() {
 		return nil, nil
 	}
-	var w thresholdWire
+	var w thresholdJSON
 	for _, k := range tier.Ranks {
 		w.Fractions[k] = t.Fraction(k)
 		w.After[k] = t.RetryAfter(k)
@@ -68,40 +68,41 @@
 	return b, errors.Wrap(err, "EncodeThreshold")
 }
 
-// DecodeThreshold reads a threshold of another VM.
+// DecodeThreshold decodes a threshold of another VM.
 func DecodeThreshold(b []byte) (admitter.Threshold, error) {
 	if len(b) == 0 {
 		return admitter.AdmitAll(), nil
 	}
-	var w thresholdWire
+	var w thresholdJSON
 	if err := json.Unmarshal(b, &w); err != nil {
 		return admitter.AdmitAll(), errors.Wrap(err, "DecodeThreshold")
 	}
 	return admitter.NewThreshold(w.Fractions, w.After), nil
 }
 
-// Encode writes a report for other VMs.
+// Encode encodes the report for other VMs.
 func (r Report) Encode() ([]byte, error) {
-	w := reportWire{Epoch: r.epoch}
+	w := reportJSON{Epoch: r.epoch}
 	for _, i := range slices.Sorted(maps.Keys(r.versions)) {
-		w.add(i, r.versions[i])
+		w.addShard(i, r.versions[i])
 	}
 	b, err := json.Marshal(w)
 	return b, errors.Wrap(err, "Report.Encode")
 }
 
-func (w *reportWire) add(i int, versions []tier.Version) {
+// addShard adds the shard with index i.
+func (w *reportJSON) addShard(i int, versions []tier.Version) {
 	for n := range w.Holdings {
 		if slices.Equal(w.Holdings[n].Versions, versions) {
-			w.Holdings[n].add(i)
+			w.Holdings[n].addShard(i)
 			return
 		}
 	}
-	w.Holdings = append(w.Holdings, holdingWire{Versions: versions, Runs: [][2]int{{i, 1}}})
+	w.Holdings = append(w.Holdings, holdingJSON{Versions: versions, Runs: [][2]int{{i, 1}}})
 }
 
-// add lengthens the last run or begins another.
-func (h *holdingWire) add(i int) {
+// addShard adds the shard with index i to the last run, or starts a new run.
+func (h *holdingJSON) addShard(i int) {
 	last := &h.Runs[len(h.Runs)-1]
 	if last[0]+last[1] == i {
 		last[1]++
@@ -110,28 +111,28 @@
 	h.Runs = append(h.Runs, [2]int{i, 1})
 }
 
-// announcementWire is a report with the VM that gives it, for VMs of other data
-// centres, which may not know that VM.
-type announcementWire struct {
+// announcementJSON is the encoding of a report for VMs of other data centres. It includes
+// the owner's VM, which they may not know.
+type announcementJSON struct {
 	VM          string           `json:"vm"`
 	Address     string           `json:"address"`
 	Incarnation tier.Incarnation `json:"incarnation"`
 	Report      json.RawMessage  `json:"report"`
 }
 
-// EncodeAnnouncement writes an owner's report for VMs of other data centres.
+// EncodeAnnouncement encodes the report of an owner on a VM for VMs of other data centres.
 func EncodeAnnouncement(vm tier.VM, r Report) ([]byte, error) {
 	report, err := r.Encode()
 	if err != nil {
 		return nil, errors.Wrap(err, "EncodeAnnouncement")
 	}
-	b, err := json.Marshal(announcementWire{VM: vm.Name(), Address: vm.Address(), Incarnation: vm.Incarnation(), Report: report})
+	b, err := json.Marshal(announcementJSON{VM: vm.Name(), Address: vm.Address(), Incarnation: vm.Incarnation(), Report: report})
 	return b, errors.Wrap(err, "EncodeAnnouncement")
 }
 
-// DecodeAnnouncement reads the report of an owner in another data centre.
+// DecodeAnnouncement decodes the VM and the report of an owner in another data centre.
 func DecodeAnnouncement(dataCentre string, b []byte) (tier.VM, Report, error) {
-	var w announcementWire
+	var w announcementJSON
 	if err := json.Unmarshal(b, &w); err != nil {
 		return tier.VM{}, Report{}, errors.Wrap(err, "DecodeAnnouncement")
 	}
@@ -143,9 +144,9 @@
 	return vm, r, nil
 }
 
-// DecodeReport reads a report of another VM.
+// DecodeReport decodes a report of another VM.
 func DecodeReport(b []byte) (Report, error) {
-	var w reportWire
+	var w reportJSON
 	if err := json.Unmarshal(b, &w); err != nil {
 		return Report{}, errors.Wrap(err, "DecodeReport")
 	}
@@ -156,7 +157,7 @@
 	for _, h := range w.Holdings {
 		for _, run := range h.Runs {
 			if run[0] < 0 || run[1] < 0 || run[0] >= tier.MaxShards || run[1] > tier.MaxShards {
-				return Report{}, errors.Wrap(&badRunError{first: run[0], count: run[1]}, "DecodeReport")
+				return Report{}, errors.Wrap(&invalidRunError{first: run[0], count: run[1]}, "DecodeReport")
 			}
 			for i := range run[1] {
 				r.versions[run[0]+i] = h.Versions
@@ -166,69 +167,72 @@
 	return r, nil
 }
 
-// badRunError says that a run of shards lies outside of any map.
-type badRunError struct{ first, count int }
+// invalidRunError reports a run of shards that exceeds the limits of a shard map.
+type invalidRunError struct{ first, count int }
 
-func (e *badRunError) Error() string {
-	return fmt.Sprintf("run of %d shards from %d is not allowed", e.count, e.first)
+func (e *invalidRunError) Error() string {
+	return fmt.Sprintf("run of %d shards from index %d exceeds the limits of a shard map", e.count, e.first)
 }
 
-// holdsSame reports whether two reports tell of the same holdings.
-func (r Report) holdsSame(o Report) bool {
+// sameHoldings reports whether two reports list the same epoch and versions.
+func (r Report) sameHoldings(o Report) bool {
 	return r.epoch == o.epoch && maps.EqualFunc(r.versions, o.versions, slices.Equal)
 }
 
-// report publishes what is news, and repeats a threshold that holds back.
-func (o *Owner) report(now tier.Millis) {
+// publishReport publishes the threshold, and the report if it has changed.
+func (o *Owner) publishReport(now tier.Millis) {
 	o.reportAt = now + reportInterval
-	o.reportThreshold(now)
-	r := Report{epoch: o.set.Epoch(), versions: o.versions()}
-	if !r.holdsSame(o.published) {
-		o.published = r
-		o.outlet.Report(o.name, r, o.index)
+	o.publishThreshold(now)
+	r := Report{epoch: o.set.Epoch(), versions: o.heldVersions()}
+	if !r.sameHoldings(o.lastReport) {
+		o.lastReport = r
+		o.publisher.Report(o.name, r, o.ownerIndex)
 	}
 }
 
-func (o *Owner) reportThreshold(now tier.Millis) {
-	t := o.core.Threshold()
+// publishThreshold publishes the threshold at most every thresholdInterval, as long as it
+// does not admit all, and once more when it does again.
+func (o *Owner) publishThreshold(now tier.Millis) {
+	t := o.dispatcher.Threshold()
 	o.threshold.Store(&t)
-	if t.AdmitsAll() && !o.pressed || now-o.pressedAt < thresholdInterval {
+	if t.AdmitsAll() && !o.lastThresholdRestricts || now-o.lastThresholdAt < thresholdInterval {
 		return
 	}
-	o.pressedAt = now
-	o.pressed = !t.AdmitsAll()
-	o.outlet.Threshold(o.name, t)
+	o.lastThresholdAt = now
+	o.lastThresholdRestricts = !t.AdmitsAll()
+	o.publisher.Threshold(o.name, t)
 }
 
-// versions lists, for each shard of the map, the index versions that some
-// server of this data centre that takes work holds.
-func (o *Owner) versions() map[int][]tier.Version {
+// heldVersions lists, by the shard's index in the map, the index versions held by the
+// backend servers in this data centre that accept calls.
+func (o *Owner) heldVersions() map[int][]tier.Version {
 	out := map[int][]tier.Version{}
-	for i, h := range o.set.Shards() {
-		if v := o.versionsOf(h); len(v) > 0 {
+	for i, s := range o.set.Shards() {
+		if v := o.versionsOfShard(s); len(v) > 0 {
 			out[i] = v
 		}
 	}
 	return out
 }
 
-func (o *Owner) versionsOf(h tier.Shard) []tier.Version {
+func (o *Owner) versionsOfShard(s tier.Shard) []tier.Version {
 	var versions []tier.Version
-	for _, server := range h.Replicas() {
+	for _, server := range s.Replicas() {
 		if o.takesWork(server) {
-			versions = append(versions, o.holdings[holdingKey{server, h.ID(), o.set.Epoch()}]...)
+			versions = append(versions, o.holdings[holdingKey{server, s.ID(), o.set.Epoch()}]...)
 		}
 	}
 	slices.Sort(versions)
 	return slices.Compact(versions)
 }
 
-// heldOf lists what the owner's servers hold of missed shards.
-func (o *Owner) heldOf(missed map[string]bool) []Held {
+// heldVersionsOf lists the index versions that the owner's backend servers hold of the
+// missed shards.
+func (o *Owner) heldVersionsOf(missed map[string]bool) []Held {
 	var held []Held
-	for _, h := range o.set.Shards() {
-		if missed[h.ID()] {
-			held = append(held, Held{shard: h.ID(), epoch: o.set.Epoch(), versions: o.versionsOf(h)})
+	for _, s := range o.set.Shards() {
+		if missed[s.ID()] {
+			held = append(held, Held{shard: s.ID(), epoch: o.set.Epoch(), versions: o.versionsOfShard(s)})
 		}
 	}
 	return held
--- a/cicadagraded/owner/status.go
+++ b/cicadagraded/owner/status.go
@@ -7,16 +7,16 @@
 	"cicadagrade.example/tier/dispatcher"
 )
 
-// Status is the state of an owner, for the status endpoint and metrics.
+// Status is the state of an owner, for the status endpoint and the metrics.
 type Status struct {
-	// Owned reports whether this VM is an owner in its own view.
+	// Owned reports whether this VM is an owner of the set in its own view.
 	Owned bool
 
-	set      string
-	epoch    tier.Epoch
-	core     dispatcher.Status
-	rejected uint64
-	parts    int
+	set             string
+	epoch           tier.Epoch
+	dispatcher      dispatcher.Status
+	rejectedReplies uint64
+	parts           int
 }
 
 // Set is the name of the shard set.
@@ -25,26 +25,26 @@
 // Epoch is the epoch of its shard map.
 func (s Status) Epoch() tier.Epoch { return s.epoch }
 
-// Core is the dispatcher's status.
-func (s Status) Core() dispatcher.Status { return s.core }
+// Core is the status of the owner's dispatcher.
+func (s Status) Core() dispatcher.Status { return s.dispatcher }
 
-// Rejected is how many replies did not match their call.
-func (s Status) Rejected() uint64 { return s.rejected }
+// Rejected is the number of replies that did not match their call.
+func (s Status) Rejected() uint64 { return s.rejectedReplies }
 
-// Parts is how many parts are queued or run.
+// Parts is the number of parts that are queued or running.
 func (s Status) Parts() int { return s.parts }
 
 func (o *Owner) status() Status {
 	return Status{
-		set:      o.set.Name(),
-		epoch:    o.set.Epoch(),
-		core:     o.core.Status(),
-		rejected: o.rejected,
-		parts:    len(o.parts),
+		set:             o.set.Name(),
+		epoch:           o.set.Epoch(),
+		dispatcher:      o.dispatcher.Status(),
+		rejectedReplies: o.rejectedReplies,
+		parts:           len(o.parts),
 	}
 }
 
-// Status asks the loop for the owner's status.
+// Status returns the owner's status, or false if ctx ended or the owner has stopped.
 func (o *Owner) Status(ctx context.Context) (Status, bool) {
 	m := &statusMessage{reply: make(chan Status, 1)}
 	if err := o.inbox.Push(ctx, m); err != nil {
