--- a/cicadagraded/asker/book.go
+++ b/cicadagraded/asker/book.go
@@ -9,54 +9,55 @@
 	"cicadagrade.example/tier/claimer"
 )
 
-// Book runs a booking at most once. Its errors are *KeyReusedError and
-// *tier.InvalidError; nothing was run then.
-func (f *Front) Book(ctx context.Context, b Booking) (Receipt, error) {
-	set, ok := f.directory.Set(b.set)
+// Book runs a booking at most once. Its errors are *KeyReusedError and *tier.InvalidError;
+// after these nothing was run.
+func (c *Front) Book(ctx context.Context, b Booking) (Receipt, error) {
+	set, ok := c.directory.Set(b.set)
 	if !ok {
-		return notRun(b, tier.RefuseNoConfig, 0), nil
+		return notRunResult(b, tier.RefuseNoConfig, 0), nil
 	}
-	minted, err := f.key(ctx, &b)
+	minted, err := c.resolveKey(ctx, &b)
 	if err != nil {
-		return Receipt{}, errors.Wrap(err, "Front.Book")
+		return Receipt{}, errors.Wrap(err, "Coordinator.Book")
 	}
 	if b.idempotencyKey == "" {
-		return notRun(b, tier.RefuseLeaving, noOwnerRetryAfter), nil
+		return notRunResult(b, tier.RefuseLeaving, noOwnerRetryAfter), nil
 	}
-	if wait, ok := f.directory.Admit(b.set, b.profile.Rank()); !ok {
-		return notRun(b, tier.RefuseOverload, wait), nil
+	if wait, ok := c.directory.Admit(b.set, b.profile.Rank()); !ok {
+		return notRunResult(b, tier.RefuseOverload, wait), nil
 	}
 	shard := set.ShardOf(b.recordKey)
-	o, err := f.claimed(ctx, b, set, shard, minted)
+	o, err := c.runClaimed(ctx, b, set, shard, minted)
 	if err != nil {
-		return Receipt{}, errors.Wrap(err, "Front.Book")
+		return Receipt{}, errors.Wrap(err, "Coordinator.Book")
 	}
-	return NewReceipt(o, b.idempotencyKey).at(set, shard), nil
+	return NewReceipt(o, b.idempotencyKey).withLocation(set, shard), nil
 }
 
-// key checks the booking's key, or mints one, and reports whether it is a
-// minted one.
-func (f *Front) key(ctx context.Context, b *Booking) (minted bool, err error) {
+// resolveKey validates the booking's idempotency key, or mints one if there is none. It
+// reports whether the key is a minted one, of this VM or another.
+func (c *Front) resolveKey(ctx context.Context, b *Booking) (minted bool, err error) {
 	if b.idempotencyKey == "" {
-		b.idempotencyKey, b.first = f.claims.Mint(ctx), true
+		b.idempotencyKey, b.firstSending = c.claimer.Mint(ctx), true
 		return true, nil
 	}
 	k, err := claimer.ParseKey(b.idempotencyKey)
 	return k.Minted(), err
 }
 
-// claimed runs a booking under its claim: a minted key is claimed here, where
-// it was minted; a caller's own key by the owner, in the store.
-func (f *Front) claimed(ctx context.Context, b Booking, set *tier.ShardSet, shard tier.Shard, minted bool) (tier.Outcome, error) {
+// runClaimed claims the booking's key and runs the booking. A minted key is claimed on this
+// VM, which minted it; a caller's own key is claimed in the store by the VM that the
+// booking is forwarded to.
+func (c *Front) runClaimed(ctx context.Context, b Booking, set *tier.ShardSet, shard tier.Shard, minted bool) (tier.Outcome, error) {
 	if !minted {
-		o, err := f.forward(ctx, b, set, shard, false)
+		o, err := c.forward(ctx, b, set, shard, false)
 		if o == nil && err == nil {
-			o = notRun(b, tier.RefuseUnreachable, noOwnerRetryAfter).outcome
+			o = notRunResult(b, tier.RefuseUnreachable, noOwnerRetryAfter).outcome
 		}
 		return o, err
 	}
-	return f.claims.Book(ctx, b, func(ctx context.Context) tier.Outcome {
-		o, err := f.forward(ctx, b, set, shard, true)
+	return c.claimer.Book(ctx, b, func(ctx context.Context) tier.Outcome {
+		o, err := c.forward(ctx, b, set, shard, true)
 		if err != nil {
 			return tier.NewUnknown(tier.UnknownLostReply)
 		}
@@ -67,27 +68,27 @@
 	})
 }
 
-// bookingReserve is kept of a booking's time for the owner's answer to come
-// back.
-const bookingReserve = 50 * tier.Millis(1)
+// bookingReplyReserve is the part of a booking's time that is reserved for the reply from
+// the owner to reach this VM.
+const bookingReplyReserve = 50 * tier.Millis(1)
 
-// forward sends a booking to an owner, once: the next owner is tried only
-// when the booking did not reach the one before.
-func (f *Front) forward(ctx context.Context, b Booking, set *tier.ShardSet, shard tier.Shard, minted bool) (tier.Outcome, error) {
-	ctx, cancel := context.WithTimeout(ctx, (b.deadline - f.clock.Now()).Duration())
+// forward sends a booking to its owners in turn until it has reached one of them, so that
+// at most one owner runs it. It returns nil if it reached none.
+func (c *Front) forward(ctx context.Context, b Booking, set *tier.ShardSet, shard tier.Shard, minted bool) (tier.Outcome, error) {
+	ctx, cancel := context.WithTimeout(ctx, (b.deadline - c.clock.Now()).Duration())
 	defer cancel()
-	b.deadline -= min(bookingReserve, (b.deadline-f.clock.Now())/4)
-	for _, vm := range f.bookingOwners(set, shard) {
-		o, err := f.messenger.Book(ctx, vm, NewForwarded(b, shard.ID(), minted))
+	b.deadline -= min(bookingReplyReserve, (b.deadline-c.clock.Now())/4)
+	for _, vm := range c.bookingOwners(set, shard) {
+		o, err := c.messenger.Book(ctx, vm, NewForwarded(b, shard.ID(), minted))
 		if err == nil {
-			f.directory.Answered(vm.Name())
+			c.directory.Answered(vm.Name())
 			return o, nil
 		}
 		var reused *KeyReusedError
 		if errors.As(err, &reused) {
-			return nil, errors.Wrap(err, "Front.forward")
+			return nil, errors.Wrap(err, "Coordinator.forward")
 		}
-		f.directory.Failed(vm.Name())
+		c.directory.Failed(vm.Name())
 		if !wasNotSent(err) {
 			return tier.NewUnknown(tier.UnknownLostReply), nil
 		}
@@ -95,34 +96,34 @@
 	return nil, nil
 }
 
-// wasNotSent reports whether a booking never reached its VM.
+// wasNotSent reports whether a request did not reach the VM it was sent to.
 func wasNotSent(err error) bool {
 	var n *NotSentError
 	return errors.As(err, &n)
 }
 
-// bookingOwners lists the VMs that may run a booking on a shard: those of
-// the data centre of its first replica, then those of the others.
-func (f *Front) bookingOwners(set *tier.ShardSet, shard tier.Shard) []tier.VM {
+// bookingOwners lists the VMs that may run a booking on a shard: first those in the data
+// centre of the first replica, then those in the data centres of the other replicas.
+func (c *Front) bookingOwners(set *tier.ShardSet, shard tier.Shard) []tier.VM {
 	var vms []tier.VM
 	seen := map[string]bool{}
 	for _, r := range shard.Replicas() {
 		b, ok := set.Server(r)
-		if !ok || seen[b.DataCentre()] || !f.directory.Reachable(b.DataCentre()) {
+		if !ok || seen[b.DataCentre()] || !c.directory.Reachable(b.DataCentre()) {
 			continue
 		}
 		seen[b.DataCentre()] = true
-		owners := f.directory.Owners(set.Name(), b.DataCentre(), f.turn.Add(1))
+		owners := c.directory.Owners(set.Name(), b.DataCentre(), c.turn.Add(1))
 		vms = append(vms, owners[:min(len(owners), maxOwnersTried)]...)
 	}
 	return vms
 }
 
-// notRun is the end of a booking that this VM did not send. Unless the caller
-// vouches for the first sending, an earlier one with its key may have run.
-func notRun(b Booking, r tier.RefuseReason, retryAfter tier.Millis) Receipt {
+// notRunResult is the result of a booking that this VM did not send. The outcome is unknown
+// if the caller may have sent the key before, because that request may have run.
+func notRunResult(b Booking, r tier.RefuseReason, retryAfter tier.Millis) Receipt {
 	refused := tier.NewRefused(r, retryAfter)
-	if b.first || b.idempotencyKey == "" {
+	if b.firstSending || b.idempotencyKey == "" {
 		return NewReceipt(refused, b.idempotencyKey)
 	}
 	return NewReceipt(tier.NewUnknownEarlier(refused), b.idempotencyKey)
--- a/cicadagraded/asker/budgets.go
+++ b/cicadagraded/asker/budgets.go
@@ -7,17 +7,19 @@
 	"cicadagrade.example/tier/planner"
 )
 
-// rerunTokens is how many repeated shard requests a set's budget saves up.
-const rerunTokens = 512
+// rerunBudgetCapacity is the largest number of repeated shard requests that the budget of a
+// set can accumulate.
+const rerunBudgetCapacity = 512
 
-// budgets holds the rerun budget of each set.
-type budgets struct {
+// rerunBudgets holds the rerun budget of each shard set, which all searches of the set
+// share.
+type rerunBudgets struct {
 	mu    sync.Mutex
 	bySet map[string]*planner.Budget
 }
 
-// of returns the budget of a set.
-func (b *budgets) of(set *tier.ShardSet) *planner.Budget {
+// of returns the budget of a set, and creates it at first use.
+func (b *rerunBudgets) of(set *tier.ShardSet) *planner.Budget {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p, ok := b.bySet[set.Name()]
@@ -27,7 +29,7 @@
 	if b.bySet == nil {
 		b.bySet = map[string]*planner.Budget{}
 	}
-	p = planner.NewBudget(set.HedgeBudget(), rerunTokens)
+	p = planner.NewBudget(set.HedgeBudget(), rerunBudgetCapacity)
 	b.bySet[set.Name()] = p
 	return p
 }
--- a/cicadagraded/asker/lost_test.go
+++ b/cicadagraded/asker/lost_owner_test.go
@@ -11,32 +11,32 @@
 	"cicadagrade.example/tier"
 )
 
-// lostOwner has two owners: the first is lost with the part, which it may
-// have run, and the second does not run it.
-type lostOwner struct {
-	*home
-	second owner.End
+// lostOwnerTier has two owners. The connection to the first breaks after the part was sent,
+// so that it may have run the part; the second returns a fixed result.
+type lostOwnerTier struct {
+	*fakeTier
+	secondResult owner.End
 }
 
-func (l *lostOwner) Owners(_, dataCentre string, _ uint64) []tier.VM {
+func (l *lostOwnerTier) Owners(_, dataCentre string, _ uint64) []tier.VM {
 	return []tier.VM{tier.NewVM("lost", dataCentre, "127.0.0.1:1"), tier.NewVM("second", dataCentre, "127.0.0.1:2")}
 }
 
-func (l *lostOwner) Ask(_ context.Context, vm tier.VM, _ string, _ owner.Search) (owner.End, error) {
+func (l *lostOwnerTier) Ask(_ context.Context, vm tier.VM, _ string, _ owner.Search) (owner.End, error) {
 	if vm.Name() == "lost" {
 		return nil, errors.New("connection reset")
 	}
-	return l.second, nil
+	return l.secondResult, nil
 }
 
-// TestLostOwnerMayHaveRun: a search that a lost owner may have run is not
-// refused, whatever the next owner says.
+// A search that an owner may have run before it was lost has the outcome unknown, not
+// refused, whatever the next owner returns.
 func TestLostOwnerMayHaveRun(t *testing.T) {
-	for name, second := range map[string]owner.End{
+	for name, secondResult := range map[string]owner.End{
 		"refuses":       owner.NewNotRun(tier.RefuseOverload, 0),
 		"has no server": owner.NewDone(nil, nil, 0, 0),
 	} {
-		l := &lostOwner{home: newHome(t, 2), second: second}
+		l := &lostOwnerTier{fakeTier: newFakeTier(t, 2), secondResult: secondResult}
 		clock := tier.NewClock()
 		p, err := tier.NewProfile("gate")
 		if err != nil {
--- a/cicadagraded/asker/request.go
+++ b/cicadagraded/asker/request.go
@@ -1,5 +1,6 @@
-// Package asker is the front of a VM: it plans each caller's request, has the
-// owners of the shard set run it and puts the answer together.
+// Package asker coordinates callers' requests on their entry VM: it plans each search, has
+// the owners of the shard set run its parts and merges the results, and it forwards each
+// booking to the owner of its shard.
 package asker
 
 import "cicadagrade.example/tier"
@@ -13,28 +14,28 @@
 	deadline tier.Millis
 }
 
-// NewSearch returns a search under a profile, with an absolute deadline.
+// NewSearch returns a search under a profile. The deadline is a time of the VM's clock.
 func NewSearch(id string, profile *tier.Profile, set, term string, deadline tier.Millis) Search {
 	return Search{id: id, profile: profile, set: set, term: term, deadline: deadline}
 }
 
-// Answer is the end of a search.
+// Answer is the result of a search.
 type Answer struct {
 	outcome    tier.Outcome
 	leafCalls  int
 	extraCalls int
 }
 
-// Outcome says how it ended.
-func (a Answer) Outcome() tier.Outcome { return a.outcome }
+// Outcome is the outcome of the search.
+func (r Answer) Outcome() tier.Outcome { return r.outcome }
 
-// LeafCalls is how many calls to backend servers it took.
-func (a Answer) LeafCalls() int { return a.leafCalls }
+// LeafCalls is the number of calls to backend servers that were made.
+func (r Answer) LeafCalls() int { return r.leafCalls }
 
-// ExtraCalls is how many of them were hedges and retries.
-func (a Answer) ExtraCalls() int { return a.extraCalls }
+// ExtraCalls is the number of these calls that were hedges or retries.
+func (r Answer) ExtraCalls() int { return r.extraCalls }
 
-// Booking is a caller's request that may not be repeated.
+// Booking is a caller's non-idempotent request: it must run at most once.
 type Booking struct {
 	id             string
 	profile        *tier.Profile
@@ -42,20 +43,20 @@
 	recordKey      string
 	body           string
 	idempotencyKey string
-	first          bool
+	firstSending   bool
 	deadline       tier.Millis
 }
 
 // BookingOption sets one field of a booking.
 type BookingOption func(*Booking)
 
-// WithIdempotencyKey sets the caller's key. First says that the caller
-// vouches never to have sent it before. Without a key the VM mints one.
-func WithIdempotencyKey(key string, first bool) BookingOption {
-	return func(b *Booking) { b.idempotencyKey, b.first = key, first }
+// WithIdempotencyKey sets the caller's idempotency key. FirstSending says that the caller
+// guarantees never to have sent the key before. Without a key the VM mints one.
+func WithIdempotencyKey(key string, firstSending bool) BookingOption {
+	return func(b *Booking) { b.idempotencyKey, b.firstSending = key, firstSending }
 }
 
-// NewBooking returns a booking, with an absolute deadline.
+// NewBooking returns a booking under a profile. The deadline is a time of the VM's clock.
 func NewBooking(id string, profile *tier.Profile, set, recordKey, body string, deadline tier.Millis, opts ...BookingOption) Booking {
 	b := Booking{id: id, profile: profile, set: set, recordKey: recordKey, body: body, deadline: deadline}
 	for _, o := range opts {
@@ -64,7 +65,7 @@
 	return b
 }
 
-// ID is the caller's request id.
+// ID is the request id that the caller gave.
 func (b Booking) ID() string { return b.id }
 
 // Profile is the caller's profile.
@@ -73,66 +74,66 @@
 // Set is the name of the shard set.
 func (b Booking) Set() string { return b.set }
 
-// RecordKey is the record that the booking is about.
+// RecordKey is the key of the record to book; it determines the shard.
 func (b Booking) RecordKey() string { return b.recordKey }
 
-// Body is what is booked.
+// Body is the content of the booking.
 func (b Booking) Body() string { return b.body }
 
-// IdempotencyKey is the key that it may run under once.
+// IdempotencyKey is the idempotency key, under which the booking runs at most once.
 func (b Booking) IdempotencyKey() string { return b.idempotencyKey }
 
-// First reports whether the caller vouches never to have sent the key before.
-func (b Booking) First() bool { return b.first }
+// First reports whether the caller guarantees never to have sent the key before.
+func (b Booking) First() bool { return b.firstSending }
 
-// Deadline is absolute.
+// Deadline is the time on the VM's clock by which the booking has to end.
 func (b Booking) Deadline() tier.Millis { return b.deadline }
 
-// Receipt is the end of a booking: the outcome is *tier.Booked,
-// *tier.Refused or *tier.Unknown.
+// Receipt is the result of a booking. Its outcome is *tier.Booked, *tier.Refused or
+// *tier.Unknown.
 type Receipt struct {
 	outcome        tier.Outcome
 	idempotencyKey string
-	ran            bool
+	executed       bool
 	epoch          tier.Epoch
 	shard          string
 }
 
-// NewReceipt returns the end of a booking under a key.
+// NewReceipt returns the result of a booking with an idempotency key.
 func NewReceipt(o tier.Outcome, idempotencyKey string) Receipt {
 	return Receipt{outcome: o, idempotencyKey: idempotencyKey}
 }
 
-// Outcome says how it ended.
+// Outcome is the outcome of the booking.
 func (r Receipt) Outcome() tier.Outcome { return r.outcome }
 
-// IdempotencyKey is the key it ran under.
+// IdempotencyKey is the caller's idempotency key or the one that was minted.
 func (r Receipt) IdempotencyKey() string { return r.idempotencyKey }
 
-// Where is the shard map and the shard of a booking that ran for this
-// request.
-func (r Receipt) Where() (e tier.Epoch, shard string, ok bool) { return r.epoch, r.shard, r.ran }
+// Where returns the epoch of the shard map and the id of the shard on which the booking
+// ran. Ok is false if it did not run, or ran for an earlier request with the same key.
+func (r Receipt) Where() (e tier.Epoch, shard string, ok bool) { return r.epoch, r.shard, r.executed }
 
-// at notes where a booking ran.
-func (r Receipt) at(set *tier.ShardSet, shard tier.Shard) Receipt {
+// withLocation adds the shard map and the shard of the booking.
+func (r Receipt) withLocation(set *tier.ShardSet, shard tier.Shard) Receipt {
 	b, ok := r.outcome.(*tier.Booked)
-	r.ran = ok && !b.Repeated()
+	r.executed = ok && !b.Repeated()
 	r.epoch = set.Epoch()
 	r.shard = shard.ID()
 	return r
 }
 
-// KeyReusedError says that an idempotency key was already used for another
-// request. Nothing was run.
+// KeyReusedError reports that an idempotency key was used before for another request.
+// Nothing was run.
 type KeyReusedError struct{ key string }
 
-// NewKeyReusedError returns an error for a key that belongs to another request.
+// NewKeyReusedError returns the error for a key that belongs to another request.
 func NewKeyReusedError(key string) *KeyReusedError { return &KeyReusedError{key: key} }
 
 // Key is the idempotency key.
 func (e *KeyReusedError) Key() string { return e.key }
 
-// Error names the key.
+// Error gives the key.
 func (e *KeyReusedError) Error() string {
 	return "idempotency key " + e.key + " belongs to another request"
 }
--- a/cicadagraded/asker/search.go
+++ b/cicadagraded/asker/search.go
@@ -13,61 +13,62 @@
 	"cicadagrade.example/tier/ring"
 )
 
-// partEvents bounds the events of one search that wait for its plan.
-const partEvents = 64
+// eventQueueSize bounds the queued events of one search.
+const eventQueueSize = 64
 
-// run is one search while it runs.
-type run struct {
-	front   *Front
-	search  Search
-	set     *tier.ShardSet
-	plan    *planner.Plan
-	events  *ring.Ring[planner.Event]
-	group   *errgroup.Group
-	ctx     context.Context
-	cancels map[uint64]context.CancelFunc
-	answer  Answer
-	calls   atomic.Int64
-	extra   atomic.Int64
+// searchRun is a running search.
+type searchRun struct {
+	coordinator *Front
+	search      Search
+	set         *tier.ShardSet
+	plan        *planner.Plan
+	events      *ring.Ring[planner.Event]
+	group       *errgroup.Group
+	ctx         context.Context
+	cancels     map[uint64]context.CancelFunc
+	result      Answer
+	leafCalls   atomic.Int64
+	extraCalls  atomic.Int64
 }
 
-// Search runs a search and returns its answer at once when it is settled.
-func (f *Front) Search(ctx context.Context, s Search) Answer {
-	set, ok := f.directory.Set(s.set)
+// Search runs a search and returns as soon as its outcome is known. Parts that still run are
+// cancelled.
+func (c *Front) Search(ctx context.Context, s Search) Answer {
+	set, ok := c.directory.Set(s.set)
 	if !ok {
-		return refused(tier.RefuseNoConfig, 0)
+		return refusedResult(tier.RefuseNoConfig, 0)
 	}
-	if wait, ok := f.directory.Admit(s.set, s.profile.Rank()); !ok {
-		return refused(tier.RefuseOverload, wait)
+	if wait, ok := c.directory.Admit(s.set, s.profile.Rank()); !ok {
+		return refusedResult(tier.RefuseOverload, wait)
 	}
-	group, inner := errgroup.WithContext(ctx)
-	inner, cancel := context.WithCancel(inner)
+	group, groupCtx := errgroup.WithContext(ctx)
+	groupCtx, cancel := context.WithCancel(groupCtx)
 	defer cancel()
-	r := &run{
-		front:   f,
-		search:  s,
-		set:     set,
-		events:  ring.New[planner.Event](partEvents),
-		group:   group,
-		ctx:     inner,
-		cancels: map[uint64]context.CancelFunc{},
+	r := &searchRun{
+		coordinator: c,
+		search:      s,
+		set:         set,
+		events:      ring.New[planner.Event](eventQueueSize),
+		group:       group,
+		ctx:         groupCtx,
+		cancels:     map[uint64]context.CancelFunc{},
 	}
-	now := f.clock.Now()
-	r.plan = planner.New(now, f.dataCentre, s.profile, set, f.directory, s.deadline, planner.WithBudget(f.budgets.of(set)))
-	r.drive()
-	r.answer.leafCalls = int(r.calls.Load())
-	r.answer.extraCalls = int(r.extra.Load())
-	return r.answer
+	now := c.clock.Now()
+	r.plan = planner.New(now, c.dataCentre, s.profile, set, c.directory, s.deadline, planner.WithBudget(c.rerunBudgets.of(set)))
+	r.execute()
+	r.result.leafCalls = int(r.leafCalls.Load())
+	r.result.extraCalls = int(r.extraCalls.Load())
+	return r.result
 }
 
-// drive steps the plan until it finishes.
-func (r *run) drive() {
+// execute runs the plan until it finishes.
+func (r *searchRun) execute() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	r.step(&planner.Tick{})
-	for r.answer.outcome == nil {
+	for r.result.outcome == nil {
 		if next, ok := r.plan.Next(); ok {
-			timer.Reset(max(next-r.front.clock.Now(), 0).Duration())
+			timer.Reset(max(next-r.coordinator.clock.Now(), 0).Duration())
 		}
 		select {
 		case e := <-r.events.Out():
@@ -76,64 +77,68 @@
 			r.step(&planner.Tick{})
 		case <-r.ctx.Done():
 			r.step(&planner.CallerGone{})
-			r.endGone()
+			r.endCallerGone()
 		}
 	}
 }
 
-// endGone makes sure that a search whose caller has gone ends.
-func (r *run) endGone() {
-	if r.answer.outcome == nil {
-		r.answer.outcome = tier.NewUnknown(tier.UnknownDeadline)
+// endCallerGone sets the outcome of a search whose caller has gone, unless the plan has set
+// one.
+func (r *searchRun) endCallerGone() {
+	if r.result.outcome == nil {
+		r.result.outcome = tier.NewUnknown(tier.UnknownDeadline)
 	}
 }
 
-func (r *run) step(e planner.Event) {
-	for _, a := range r.plan.Step(r.front.clock.Now(), e) {
+// step passes an event to the plan and performs the resulting actions.
+func (r *searchRun) step(e planner.Event) {
+	for _, a := range r.plan.Step(r.coordinator.clock.Now(), e) {
 		switch a := a.(type) {
 		case *planner.SendPart:
-			r.send(a)
+			r.sendPart(a)
 		case *planner.CancelPart:
-			r.cancel(a.Part())
+			r.cancelPart(a.Part())
 		case *planner.Finish:
-			r.answer.outcome = a.Outcome()
+			r.result.outcome = a.Outcome()
 		}
 	}
 }
 
-func (r *run) cancel(part uint64) {
-	if c, ok := r.cancels[part]; ok {
-		c()
+func (r *searchRun) cancelPart(part uint64) {
+	if cancel, ok := r.cancels[part]; ok {
+		cancel()
 	}
 }
 
-// send has the owner in a data centre run a part.
-func (r *run) send(a *planner.SendPart) {
-	left := a.Deadline() - r.front.clock.Now()
-	ctx, cancel := context.WithTimeout(r.ctx, max(left, 0).Duration())
+// sendPart starts a part on an owner in its data centre. The result becomes an event of the
+// plan.
+func (r *searchRun) sendPart(a *planner.SendPart) {
+	remaining := a.Deadline() - r.coordinator.clock.Now()
+	ctx, cancel := context.WithTimeout(r.ctx, max(remaining, 0).Duration())
 	r.cancels[a.Part()] = cancel
 	s := owner.NewSearch(r.search.profile, a.Snapshot(), a.Shards(), r.search.term, a.Deadline())
 	r.group.Go(func() error {
 		defer cancel()
-		e := r.ask(ctx, a, s)
+		e := r.askOwners(ctx, a, s)
 		_ = r.events.Push(r.ctx, e)
 		return nil
 	})
 }
 
-// ask tries the owners of a data centre in turn. The next one is tried when
-// the part was not sent, or when the VM was lost: searches are repeatable.
-func (r *run) ask(ctx context.Context, a *planner.SendPart, s owner.Search) planner.Event {
-	vms := r.front.directory.Owners(r.set.Name(), a.DataCentre(), r.front.turn.Add(1))
+// askOwners sends a part to the owners of a data centre in turn until one of them answers.
+// It tries the next owner even if the one before may have run the part, because searches
+// are idempotent.
+func (r *searchRun) askOwners(ctx context.Context, a *planner.SendPart, s owner.Search) planner.Event {
+	vms := r.coordinator.directory.Owners(r.set.Name(), a.DataCentre(), r.coordinator.turn.Add(1))
 	sent := false
 	for _, vm := range vms[:min(len(vms), maxOwnersTried)] {
-		end, err := r.front.messenger.Ask(ctx, vm, r.set.Name(), s)
+		result, err := r.coordinator.messenger.Ask(ctx, vm, r.set.Name(), s)
 		if err == nil {
-			r.front.directory.Answered(vm.Name())
-			return r.ended(a, end, sent)
+			r.coordinator.directory.Answered(vm.Name())
+			return r.partEvent(a, result, sent)
 		}
 		if r.ctx.Err() == nil {
-			r.front.directory.Failed(vm.Name())
+			r.coordinator.directory.Failed(vm.Name())
 		}
 		if ctx.Err() != nil {
 			return planner.NewPartFailed(a.Part(), tier.MissDeadline)
@@ -146,20 +151,20 @@
 	return planner.NewPartFailed(a.Part(), tier.MissCutOff)
 }
 
-// maxOwnersTried bounds the owners that are tried for one part.
+// maxOwnersTried bounds the owners in one data centre that a request is sent to.
 const maxOwnersTried = 2
 
-// ended turns an owner's end of a part into the plan's event. Lost says that
-// an owner asked before was lost and may have made leaf calls.
-func (r *run) ended(a *planner.SendPart, e owner.End, lost bool) planner.Event {
+// partEvent converts an owner's result of a part to an event of the plan. Lost says that
+// another owner got the part before, did not answer and may have made leaf calls.
+func (r *searchRun) partEvent(a *planner.SendPart, e owner.End, lost bool) planner.Event {
 	switch e := e.(type) {
 	case *owner.Done:
 		calls := e.Calls()
 		if lost {
 			calls = max(calls, 1)
 		}
-		r.calls.Add(int64(e.Calls()))
-		r.extra.Add(int64(e.ExtraCalls()))
+		r.leafCalls.Add(int64(e.Calls()))
+		r.extraCalls.Add(int64(e.ExtraCalls()))
 		held := make([]planner.HeldVersions, 0, len(e.Held()))
 		for _, h := range e.Held() {
 			held = append(held, planner.NewHeldVersions(h.Shard(), h.Epoch(), h.Versions()))
--- a/cicadagraded/dialer/errors.go
+++ b/cicadagraded/dialer/errors.go
@@ -8,53 +8,53 @@
 	"github.com/pkg/errors"
 )
 
-// NotRunReason says why a server did not run a call.
+// NotRunReason is the reason why a backend server did not run a call.
 type NotRunReason int
 
-// The reasons.
+// The reasons of a NotRunError.
 const (
-	NotRunShed          NotRunReason = iota // the server sheds load
+	NotRunShed          NotRunReason = iota // the server is shedding load
 	NotRunLeaving                           // the server is leaving
-	NotRunWrongSnapshot                     // it lacks the shard at the snapshot
+	NotRunWrongSnapshot                     // the server does not hold the shard at the snapshot
 	NotRunNoConnection                      // no connection could be made
 )
 
-var notRunNames = [...]string{"shed", "leaving", "wrong-snapshot", "no-connection"}
+var notRunReasonNames = [...]string{"shed", "leaving", "wrong-snapshot", "no-connection"}
 
-// String is the reason's name in logs.
-func (r NotRunReason) String() string { return notRunNames[r] }
+// String is the name of the reason in error texts.
+func (r NotRunReason) String() string { return notRunReasonNames[r] }
 
-// NotRunError says that the server did not run the call.
+// NotRunError reports that the backend server did not run the call.
 type NotRunError struct {
 	reason NotRunReason
 	cause  error
 }
 
-// Reason says why.
+// Reason is the reason why the call was not run.
 func (e *NotRunError) Reason() NotRunReason { return e.reason }
 
-// Refused reports whether the server's machine refused the connection, so
-// that no process listens there.
+// Refused reports whether the server's machine refused the connection, which shows that no
+// process listens there.
 func (e *NotRunError) Refused() bool { return errors.Is(e.cause, syscall.ECONNREFUSED) }
 
 // Unwrap is the cause.
 func (e *NotRunError) Unwrap() error { return e.cause }
 
-// Error names the reason and the cause.
+// Error gives the reason and the cause.
 func (e *NotRunError) Error() string { return "not run: " + e.reason.String() + ": " + e.cause.Error() }
 
-// LostError says that the call may have run: its reply did not come.
+// LostError reports that no usable reply was received. The call may have run.
 type LostError struct{ cause error }
 
 // Unwrap is the cause.
 func (e *LostError) Unwrap() error { return e.cause }
 
-// Error names the cause.
-func (e *LostError) Error() string { return "reply lost: " + e.cause.Error() }
+// Error gives the cause.
+func (e *LostError) Error() string { return "no reply: " + e.cause.Error() }
 
-// classify tells what is known of a failed call. Only a code that the server
-// itself sent, or a connection that was never made, proves that it did not
-// run.
+// classify returns a *NotRunError if the call was certainly not run, and a *NoReplyError
+// otherwise. Only a connection that was not established, or one of three error codes sent
+// by the server itself, proves that the call was not run.
 func classify(err error) error {
 	if isDialError(err) {
 		return &NotRunError{reason: NotRunNoConnection, cause: err}
--- a/cicadagraded/ticker/ticker.go
+++ b/cicadagraded/ticker/ticker.go
@@ -1,4 +1,4 @@
-// Package ticker steps a state machine whenever it is due.
+// Package ticker runs the timer loop of a state machine.
 package ticker
 
 import (
@@ -9,8 +9,8 @@
 	"cicadagrade.example/tier/ring"
 )
 
-// Run calls step, waits for as long as wait says or until woken, and so on
-// until ctx ends, whose error it returns.
+// Run calls step at once and then whenever the time returned by wait after the last step
+// has passed or wake has an element. It returns the error of ctx when ctx ends.
 func Run(ctx context.Context, wake *ring.Ring[struct{}], step func(), wait func() tier.Millis) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
