--- a/cicadagraded/asker/book.go
+++ b/cicadagraded/asker/book.go
@@ -9,8 +9,8 @@
 	"cicadagrade.example/tier/claimer"
 )
 
-// Book runs a booking at most once. Its errors are *KeyReusedError and *tier.InvalidError;
-// after these nothing was run.
+// Book runs a booking at most once. Its errors are *KeyReusedError and
+// *tier.InvalidError; after these nothing was run.
 func (c *Front) Book(ctx context.Context, b Booking) (Receipt, error) {
 	set, ok := c.directory.Set(b.set)
 	if !ok {
@@ -45,8 +45,8 @@
 	return k.Minted(), err
 }
 
-// runClaimed claims the booking's key and runs the booking. A minted key is claimed on this
-// VM, which minted it; a caller's own key is claimed in the store by the VM that the
+// runClaimed claims the booking's key and runs the booking. A minted key is claimed on
+// this VM, which minted it; a caller's own key is claimed in the store by the VM that the
 // booking is forwarded to.
 func (c *Front) runClaimed(ctx context.Context, b Booking, set *tier.ShardSet, shard tier.Shard, minted bool) (tier.Outcome, error) {
 	if !minted {
@@ -119,8 +119,8 @@
 	return vms
 }
 
-// notRunResult is the result of a booking that this VM did not send. The outcome is unknown
-// if the caller may have sent the key before, because that request may have run.
+// notRunResult is the result of a booking that this VM did not send. The outcome is
+// unknown if the caller may have sent the key before, because that request may have run.
 func notRunResult(b Booking, r tier.RefuseReason, retryAfter tier.Millis) Receipt {
 	refused := tier.NewRefused(r, retryAfter)
 	if b.firstSending || b.idempotencyKey == "" {
--- a/cicadagraded/asker/budgets.go
+++ b/cicadagraded/asker/budgets.go
@@ -7,8 +7,8 @@
 	"cicadagrade.example/tier/planner"
 )
 
-// rerunBudgetCapacity is the largest number of repeated shard requests that the budget of a
-// set can accumulate.
+// rerunBudgetCapacity is the largest number of repeated shard requests that the budget of
+// a set can accumulate.
 const rerunBudgetCapacity = 512
 
 // rerunBudgets holds the rerun budget of each shard set, which all searches of the set
--- a/cicadagraded/asker/coordinator.go
+++ b/cicadagraded/asker/coordinator.go
@@ -25,7 +25,8 @@
 }
 
 // Messenger sends requests to the owners on other VMs and on this one. Its errors are
-// *NotSentError if the request did not reach the VM; after any other error it may have run.
+// *NotSentError if the request did not reach the VM; after any other error it may have
+// run.
 type Messenger interface {
 	// Ask has the owner of a set on a VM run a part of a search.
 	Ask(ctx context.Context, vm tier.VM, set string, s owner.Search) (owner.End, error)
@@ -51,8 +52,8 @@
 	minted bool
 }
 
-// NewForwarded returns a booking for the owner of a shard. Minted reports whether the entry
-// VM minted its idempotency key.
+// NewForwarded returns a booking for the owner of a shard. Minted reports whether the
+// entry VM minted its idempotency key.
 func NewForwarded(b Booking, shard string, minted bool) Forwarded {
 	return Forwarded{Booking: b, shard: shard, minted: minted}
 }
@@ -75,8 +76,8 @@
 // Error gives the cause.
 func (e *NotSentError) Error() string { return "not sent: " + e.cause.Error() }
 
-// Front runs callers' searches and bookings on the owners of the shard sets. It is safe for
-// concurrent use.
+// Front runs callers' searches and bookings on the owners of the shard sets. It is safe
+// for concurrent use.
 type Front struct {
 	dataCentre   string
 	clock        *tier.Clock
--- a/cicadagraded/asker/coordinator_test.go
+++ b/cicadagraded/asker/coordinator_test.go
@@ -66,8 +66,8 @@
 	return &fakeTier{set: set}
 }
 
-// BenchmarkSearch measures what a search costs on the entry VM, without the requests to the
-// owners.
+// BenchmarkSearch measures what a search costs on the entry VM, without the requests to
+// the owners.
 func BenchmarkSearch(b *testing.B) {
 	for _, shards := range []int{10, 30, 110, 330} {
 		b.Run(fmt.Sprintf("shards=%d", shards), func(b *testing.B) {
--- a/cicadagraded/asker/lost_owner_test.go
+++ b/cicadagraded/asker/lost_owner_test.go
@@ -11,8 +11,8 @@
 	"cicadagrade.example/tier"
 )
 
-// lostOwnerTier has two owners. The connection to the first breaks after the part was sent,
-// so that it may have run the part; the second returns a fixed result.
+// lostOwnerTier has two owners. The connection to the first breaks after the part was
+// sent, so that it may have run the part; the second returns a fixed result.
 type lostOwnerTier struct {
 	*fakeTier
 	secondResult owner.End
--- a/cicadagraded/asker/request.go
+++ b/cicadagraded/asker/request.go
@@ -1,6 +1,6 @@
-// Package asker coordinates callers' requests on their entry VM: it plans each search, has
-// the owners of the shard set run its parts and merges the results, and it forwards each
-// booking to the owner of its shard.
+// Package asker coordinates callers' requests on their entry VM: it plans each search,
+// has the owners of the shard set run its parts and merges the results, and it forwards
+// each booking to the owner of its shard.
 package asker
 
 import "cicadagrade.example/tier"
--- a/cicadagraded/asker/search.go
+++ b/cicadagraded/asker/search.go
@@ -31,8 +31,8 @@
 	extraCalls  atomic.Int64
 }
 
-// Search runs a search and returns as soon as its outcome is known. Parts that still run are
-// cancelled.
+// Search runs a search and returns as soon as its outcome is known. Parts that still run
+// are cancelled.
 func (c *Front) Search(ctx context.Context, s Search) Answer {
 	set, ok := c.directory.Set(s.set)
 	if !ok {
@@ -82,8 +82,8 @@
 	}
 }
 
-// endCallerGone sets the outcome of a search whose caller has gone, unless the plan has set
-// one.
+// endCallerGone sets the outcome of a search whose caller has gone, unless the plan has
+// set one.
 func (r *searchRun) endCallerGone() {
 	if r.result.outcome == nil {
 		r.result.outcome = tier.NewUnknown(tier.UnknownDeadline)
@@ -110,8 +110,8 @@
 	}
 }
 
-// sendPart starts a part on an owner in its data centre. The result becomes an event of the
-// plan.
+// sendPart starts a part on an owner in its data centre. The result becomes an event of
+// the plan.
 func (r *searchRun) sendPart(a *planner.SendPart) {
 	remaining := a.Deadline() - r.coordinator.clock.Now()
 	ctx, cancel := context.WithTimeout(r.ctx, max(remaining, 0).Duration())
@@ -125,9 +125,9 @@
 	})
 }
 
-// askOwners sends a part to the owners of a data centre in turn until one of them answers.
-// It tries the next owner even if the one before may have run the part, because searches
-// are idempotent.
+// askOwners sends a part to the owners of a data centre in turn until one of them
+// answers. It tries the next owner even if the one before may have run the part, because
+// searches are idempotent.
 func (r *searchRun) askOwners(ctx context.Context, a *planner.SendPart, s owner.Search) planner.Event {
 	vms := r.coordinator.directory.Owners(r.set.Name(), a.DataCentre(), r.coordinator.turn.Add(1))
 	sent := false
--- a/cicadagraded/booker/book.go
+++ b/cicadagraded/booker/book.go
@@ -13,165 +13,167 @@
 
 // Request is a booking under an idempotency key.
 type Request struct {
-	key      string
-	set      string
-	record   string
-	body     string
-	deadline tier.Millis
-	first    bool
+	key          string
+	set          string
+	recordKey    string
+	body         string
+	deadline     tier.Millis
+	firstSending bool
 }
 
 // RequestOption sets one field of a request.
 type RequestOption func(*Request)
 
-// WithFirstSending says that the caller vouches never to have sent this key
-// before. Then a refusal without a look at the store is true of the key, not
-// of this sending alone.
-func WithFirstSending() RequestOption { return func(r *Request) { r.first = true } }
+// WithFirstSending says that the caller guarantees never to have sent this key before.
+// Then a request refused without reading the store was never run; otherwise an earlier
+// request with the key may have run.
+func WithFirstSending() RequestOption { return func(r *Request) { r.firstSending = true } }
 
-// NewRequest returns a booking that has to end by deadline, on the clock
-// that Booker was given. The key is a caller's own or a minted one.
-func NewRequest(key, set, record, body string, deadline tier.Millis, opts ...RequestOption) Request {
-	r := Request{key: key, set: set, record: record, body: body, deadline: deadline}
+// NewRequest returns a booking. The key is a caller's own or a minted one. The deadline
+// is a time of the Booker's clock.
+func NewRequest(key, set, recordKey, body string, deadline tier.Millis, opts ...RequestOption) Request {
+	r := Request{key: key, set: set, recordKey: recordKey, body: body, deadline: deadline}
 	for _, o := range opts {
 		o(&r)
 	}
 	return r
 }
 
-// Send sends a booking on its way. It returns *tier.Booked, *tier.Refused
-// only if the booking was not run and never will be by this sending, or
-// *tier.Unknown.
+// Send sends a booking to be run. It returns *tier.Refused only if the booking was not
+// run and will not be run because of this call, and *tier.Booked or *tier.Unknown
+// otherwise.
 type Send func(ctx context.Context) tier.Outcome
 
-// Mint returns a key that this life of the VM alone can run. It is empty if
-// the duty has stopped or ctx ended.
-func (c *Booker) Mint(ctx context.Context) string {
-	minted := ring.New[claimer.Key](1)
-	if c.tell(ctx, message{minted: minted}) != nil {
+// Mint returns a key that only this incarnation of the VM can run, or an empty one if the
+// Booker has stopped or ctx ended.
+func (b *Booker) Mint(ctx context.Context) string {
+	reply := ring.New[claimer.Key](1)
+	if b.post(ctx, message{keyReply: reply}) != nil {
 		return ""
 	}
 	select {
-	case k := <-minted.Out():
+	case k := <-reply.Out():
 		return k.String()
-	case <-c.stopped:
+	case <-b.stopped:
 	case <-ctx.Done():
 	}
 	return ""
 }
 
-// Book runs a booking at most once: send is called once, or not at all when
-// the key ran before, is claimed elsewhere, or can't be claimed. The error
-// is a *claimer.KeyReusedError or a *tier.InvalidError. When ctx ends before
-// the send, nothing is sent; a send that has begun goes on to its deadline,
-// so that its outcome can be recorded.
-func (c *Booker) Book(ctx context.Context, r Request, send Send) (tier.Outcome, error) {
+// Book runs a booking at most once: it calls send once, or not at all if the key ran
+// before, is claimed by another VM or can't be claimed. Its errors are
+// *claimer.KeyReusedError and *tier.InvalidError. If ctx ends before send is called,
+// nothing is sent. A call of send that has started continues until its deadline, so that
+// its outcome can be recorded.
+func (b *Booker) Book(ctx context.Context, r Request, send Send) (tier.Outcome, error) {
 	key, err := claimer.ParseKey(r.key)
 	if err != nil {
 		return nil, errors.Wrap(err, "Booker.Book")
 	}
-	ticket := c.tickets.Add(1)
-	mail := ring.New[claimer.Action](2)
-	fingerprint := claimer.Fingerprint(r.set, r.record, r.body)
-	submit := claimer.NewSubmit(ticket, key, r.set, fingerprint, r.first, r.deadline, c.clock.Wall())
-	if c.tell(ctx, message{event: submit, ticket: ticket, mail: mail}) != nil {
-		return claimer.NotRunOutcome(r.first, tier.RefuseCallerGone), nil
+	submissionID := b.lastSubmission.Add(1)
+	actions := ring.New[claimer.Action](2)
+	fingerprint := claimer.Fingerprint(r.set, r.recordKey, r.body)
+	submit := claimer.NewSubmit(submissionID, key, r.set, fingerprint, r.firstSending, r.deadline, b.clock.Wall())
+	if b.post(ctx, message{event: submit, submissionID: submissionID, actions: actions}) != nil {
+		return claimer.NotRunOutcome(r.firstSending, tier.RefuseCallerGone), nil
 	}
-	o, err := c.await(ctx, ticket, mail, send)
+	o, err := b.awaitOutcome(ctx, submissionID, actions, send)
 	return o, errors.Wrap(err, "Booker.Book")
 }
 
-// await follows a booking to its end.
-func (c *Booker) await(ctx context.Context, ticket uint64, mail *ring.Ring[claimer.Action], send Send) (tier.Outcome, error) {
-	gone := ctx.Done()
+// awaitOutcome performs the actions of a submitted booking until it ends.
+func (b *Booker) awaitOutcome(ctx context.Context, submissionID uint64, actions *ring.Ring[claimer.Action], send Send) (tier.Outcome, error) {
+	callerGone := ctx.Done()
 	for {
 		select {
-		case a := <-mail.Out():
+		case a := <-actions.Out():
 			switch a := a.(type) {
 			case *claimer.Run:
-				o := c.sendOnce(ctx, a, send)
-				_ = c.tell(context.WithoutCancel(ctx), message{event: claimer.NewRan(ticket, o)})
+				o := b.sendOnce(ctx, a, send)
+				_ = b.post(context.WithoutCancel(ctx), message{event: claimer.NewRan(submissionID, o)})
 			case *claimer.Finish:
 				return a.Outcome(), a.Err()
 			}
-		case <-gone:
-			gone = nil
-			_ = c.tell(context.WithoutCancel(ctx), message{event: claimer.NewCallerGone(ticket)})
-		case <-c.stopped:
+		case <-callerGone:
+			callerGone = nil
+			_ = b.post(context.WithoutCancel(ctx), message{event: claimer.NewCallerGone(submissionID)})
+		case <-b.stopped:
 			return tier.NewUnknown(tier.UnknownHolderGone), nil
 		}
 	}
 }
 
-// sendOnce sends unless the caller has gone or the deadline has passed, as
-// after a pause of the VM.
-func (c *Booker) sendOnce(ctx context.Context, a *claimer.Run, send Send) tier.Outcome {
+// sendOnce calls send unless the caller has gone or the deadline has passed, which it may
+// have if the VM was paused.
+func (b *Booker) sendOnce(ctx context.Context, a *claimer.Run, send Send) tier.Outcome {
 	if ctx.Err() != nil {
 		return tier.NewRefused(tier.RefuseCallerGone, 0)
 	}
-	left := a.Deadline() - c.clock.Now()
-	if left <= 0 {
+	remaining := a.Deadline() - b.clock.Now()
+	if remaining <= 0 {
 		return tier.NewRefused(tier.RefuseDeadline, 0)
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), left.Duration())
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), remaining.Duration())
 	defer cancel()
 	return send(ctx)
 }
 
-// Fence has nothing more sent: a later life of this VM has been seen.
-func (c *Booker) Fence(ctx context.Context) error {
-	return errors.Wrap(c.tell(ctx, message{event: &claimer.Fenced{}}), "Booker.Fence")
+// Fence stops all sending. It is called once a later incarnation of this VM has been
+// seen.
+func (b *Booker) Fence(ctx context.Context) error {
+	return errors.Wrap(b.post(ctx, message{event: &claimer.Fenced{}}), "Booker.Fence")
 }
 
-// Flush returns once every booking has ended and its outcome is recorded. A
-// planned stop calls it before Run's context ends.
-func (c *Booker) Flush(ctx context.Context) error {
+// Flush returns once every booking has ended and its outcome is recorded. A graceful
+// shutdown calls it before it ends the context of Run.
+func (b *Booker) Flush(ctx context.Context) error {
 	flushed := make(chan struct{})
-	if err := c.tell(ctx, message{event: &claimer.Flush{}, flushed: flushed}); err != nil {
+	if err := b.post(ctx, message{event: &claimer.Flush{}, flushed: flushed}); err != nil {
 		return errors.Wrap(err, "Booker.Flush")
 	}
 	select {
 	case <-flushed:
 		return nil
-	case <-c.stopped:
+	case <-b.stopped:
 		return errors.WithStack(&StoppedError{})
 	case <-ctx.Done():
 		return errors.Wrap(ctx.Err(), "Booker.Flush")
 	}
 }
 
-// Counters are the counts so far; false if the duty has stopped or ctx ended.
-func (c *Booker) Counters(ctx context.Context) (claimer.Counters, bool) {
-	counted := ring.New[claimer.Counters](1)
-	if err := c.tell(ctx, message{counted: counted}); err != nil {
+// Counters returns the counts since the start, or false if the Booker has stopped or ctx
+// ended.
+func (b *Booker) Counters(ctx context.Context) (claimer.Counters, bool) {
+	reply := ring.New[claimer.Counters](1)
+	if err := b.post(ctx, message{countersReply: reply}); err != nil {
 		return claimer.Counters{}, false
 	}
 	select {
-	case n := <-counted.Out():
+	case n := <-reply.Out():
 		return n, true
-	case <-c.stopped:
+	case <-b.stopped:
 	case <-ctx.Done():
 	}
 	return claimer.Counters{}, false
 }
 
-// tell hands a message to the duty.
-func (c *Booker) tell(ctx context.Context, m message) error {
+// post sends a message to the event loop.
+func (b *Booker) post(ctx context.Context, m message) error {
 	select {
-	case <-c.stopped:
+	case <-b.stopped:
 		return errors.WithStack(&StoppedError{})
 	default:
 	}
-	return c.events.Push(ctx, m)
+	return b.messages.Push(ctx, m)
 }
 
-// StoppedError says that the duty has ended.
+// StoppedError reports that the Booker has stopped.
 type StoppedError struct{}
 
-// Error says so.
+// Error describes the error.
 func (*StoppedError) Error() string { return "the booker has stopped" }
 
-// Today is the UTC date that a caller's own key of now starts with.
+// Today returns the current UTC date in the form with which a caller's own key starts.
 func Today(clock *tier.Clock) string {
 	return time.UnixMilli(int64(clock.Wall())).UTC().Format(time.DateOnly)
 }
--- a/cicadagraded/booker/booker.go
+++ b/cicadagraded/booker/booker.go
@@ -1,5 +1,5 @@
-// Package booker runs the at-most-once state machine of tier/claimer
-// against the platform's store.
+// Package booker runs bookings at most once per idempotency key. It drives the state
+// machine of package claimer and makes its calls to the platform's store.
 package booker
 
 import (
@@ -18,97 +18,98 @@
 	"cicadagrade.example/tier/storer"
 )
 
-// Defaults of the options, and the sizes of rings.
+// Defaults of the options.
 const (
 	DefaultStoreTimeout = 2 * tier.Second
 	DefaultWorkers      = 16
-	eventRingSize       = 4096
-	callRingSize        = 1024
+	messageRingSize     = 4096 // queued messages
+	storeCallRingSize   = 1024 // queued store calls
 )
 
-// Booker is a duty that owns a claimer. Its methods are safe for
-// concurrent use.
+// Booker drives a claimer in an event loop and runs its store calls on a pool of workers.
+// Its methods are safe for concurrent use.
 type Booker struct {
-	store        storer.Store
-	clock        *tier.Clock
-	claimer      *claimer.Claimer
-	storeTimeout tier.Millis
-	workers      int
-	options      []claimer.Option
-	tickets      atomic.Uint64
-	events       *ring.Ring[message]
-	calls        *ring.Ring[claimer.Action]
-	stopped      chan struct{}
-
-	waiting  map[uint64]*ring.Ring[claimer.Action]
-	flushers []chan struct{}
+	store          storer.Store
+	clock          *tier.Clock
+	claimer        *claimer.Claimer
+	storeTimeout   tier.Millis
+	workers        int
+	claimerOptions []claimer.Option
+	lastSubmission atomic.Uint64
+	messages       *ring.Ring[message]
+	storeCalls     *ring.Ring[claimer.Action]
+	stopped        chan struct{}
+
+	// The fields below belong to the event loop.
+	submissions  map[uint64]*ring.Ring[claimer.Action]
+	flushWaiters []chan struct{}
 }
 
 // Option sets one field of a Booker.
 type Option func(*Booker)
 
-// WithLive sets which other VMs are believed to live. The function is called
-// from the duty's goroutine.
+// WithLive sets the function that reports which other VMs are assumed to be alive. It is
+// called from the event loop.
 func WithLive(f claimer.LiveFunc) Option {
-	return func(c *Booker) { c.options = append(c.options, claimer.WithLive(f)) }
+	return func(b *Booker) { b.claimerOptions = append(b.claimerOptions, claimer.WithLive(f)) }
 }
 
-// WithStoreTimeout bounds each call of the store.
-func WithStoreTimeout(m tier.Millis) Option { return func(c *Booker) { c.storeTimeout = m } }
+// WithStoreTimeout sets the timeout of each call to the store.
+func WithStoreTimeout(m tier.Millis) Option { return func(b *Booker) { b.storeTimeout = m } }
 
 // WithClaimer passes options to the claimer.
 func WithClaimer(opts ...claimer.Option) Option {
-	return func(c *Booker) { c.options = append(c.options, opts...) }
+	return func(b *Booker) { b.claimerOptions = append(b.claimerOptions, opts...) }
 }
 
-// New returns the booker of one life of a VM. Nothing happens before Run.
+// New returns the Booker of one incarnation of a VM. It does nothing before Run is
+// called.
 func New(store storer.Store, vm string, i tier.Incarnation, clock *tier.Clock, opts ...Option) *Booker {
-	c := &Booker{
-		store:   store,
-		clock:   clock,
-		events:  ring.New[message](eventRingSize),
-		calls:   ring.New[claimer.Action](callRingSize),
-		stopped: make(chan struct{}),
-		waiting: map[uint64]*ring.Ring[claimer.Action]{},
+	b := &Booker{
+		store:       store,
+		clock:       clock,
+		messages:    ring.New[message](messageRingSize),
+		storeCalls:  ring.New[claimer.Action](storeCallRingSize),
+		stopped:     make(chan struct{}),
+		submissions: map[uint64]*ring.Ring[claimer.Action]{},
 	}
-	c.Defaults()
+	b.Defaults()
 	for _, o := range opts {
-		o(c)
+		o(b)
 	}
-	c.claimer = claimer.New(vm, i, c.options...)
-	return c
+	b.claimer = claimer.New(vm, i, b.claimerOptions...)
+	return b
 }
 
-// Defaults sets timeout, workers and a random seed.
-func (c *Booker) Defaults() {
+// Defaults sets the store timeout, the number of workers and a random seed.
+func (b *Booker) Defaults() {
 	var seed [8]byte
 	_, _ = rand.Read(seed[:])
-	c.storeTimeout = DefaultStoreTimeout
-	c.workers = DefaultWorkers
-	c.options = []claimer.Option{claimer.WithSeed(binary.BigEndian.Uint64(seed[:]))}
+	b.storeTimeout = DefaultStoreTimeout
+	b.workers = DefaultWorkers
+	b.claimerOptions = []claimer.Option{claimer.WithSeed(binary.BigEndian.Uint64(seed[:]))}
 }
 
-// message is what other goroutines tell the duty.
+// message is an input of the event loop.
 type message struct {
-	event claimer.Event
-	// Set with a Submit: where its Run and Finish go.
-	ticket uint64
-	mail   *ring.Ring[claimer.Action]
-	// Set to ask for a new key, to be told that all is recorded, or for the
-	// counts.
-	minted  *ring.Ring[claimer.Key]
-	flushed chan struct{}
-	counted *ring.Ring[claimer.Counters]
+	event claimer.Event // or nil
+	// Set together with a claimer.Submit: its id, and the ring for its actions.
+	submissionID uint64
+	actions      *ring.Ring[claimer.Action]
+	// Set to request a new key, a signal when all outcomes are recorded, or the counters.
+	keyReply      *ring.Ring[claimer.Key]
+	flushed       chan struct{}
+	countersReply *ring.Ring[claimer.Counters]
 }
 
-// Run drives the claimer until ctx ends. It is called once.
-func (c *Booker) Run(ctx context.Context) error {
-	defer close(c.stopped)
+// Run runs the event loop and the workers until ctx ends. It must be called only once.
+func (b *Booker) Run(ctx context.Context) error {
+	defer close(b.stopped)
 	g, ctx := errgroup.WithContext(ctx)
-	for range c.workers {
-		g.Go(func() error { return c.work(ctx) })
+	for range b.workers {
+		g.Go(func() error { return b.runStoreCalls(ctx) })
 	}
-	g.Go(func() error { return c.loop(ctx) })
+	g.Go(func() error { return b.loop(ctx) })
 	err := g.Wait()
 	if errors.Is(err, context.Canceled) {
 		return nil
@@ -116,77 +117,79 @@
 	return errors.Wrap(err, "Booker.Run")
 }
 
-func (c *Booker) loop(ctx context.Context) error {
+// loop passes messages and ticks to the claimer.
+func (b *Booker) loop(ctx context.Context) error {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
-		timer.Reset(c.untilTick())
+		timer.Reset(b.untilNextTick())
 		select {
-		case m := <-c.events.Out():
-			c.take(m)
+		case m := <-b.messages.Out():
+			b.handle(m)
 		case <-timer.C:
-			c.step(&claimer.Tick{})
+			b.step(&claimer.Tick{})
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-func (c *Booker) untilTick() time.Duration {
-	at, ok := c.claimer.Next()
+func (b *Booker) untilNextTick() time.Duration {
+	at, ok := b.claimer.Next()
 	if !ok {
 		return time.Hour
 	}
-	return max(at-c.clock.Now(), 1).Duration()
+	return max(at-b.clock.Now(), 1).Duration()
 }
 
-func (c *Booker) take(m message) {
-	if m.mail != nil {
-		c.waiting[m.ticket] = m.mail
+func (b *Booker) handle(m message) {
+	if m.actions != nil {
+		b.submissions[m.submissionID] = m.actions
 	}
-	if m.minted != nil {
-		m.minted.TryPush(c.claimer.Mint())
+	if m.keyReply != nil {
+		m.keyReply.TryPush(b.claimer.Mint())
 	}
 	if m.flushed != nil {
-		c.flushers = append(c.flushers, m.flushed)
+		b.flushWaiters = append(b.flushWaiters, m.flushed)
 	}
-	if m.counted != nil {
-		m.counted.TryPush(c.claimer.Counters())
+	if m.countersReply != nil {
+		m.countersReply.TryPush(b.claimer.Counters())
 	}
 	if m.event != nil {
-		c.step(m.event)
+		b.step(m.event)
 	}
 }
 
-func (c *Booker) step(e claimer.Event) {
-	for _, a := range c.claimer.Step(c.clock.Now(), e) {
+// step passes an event to the claimer and performs the resulting actions.
+func (b *Booker) step(e claimer.Event) {
+	for _, a := range b.claimer.Step(b.clock.Now(), e) {
 		switch a := a.(type) {
 		case *claimer.Read:
-			c.call(a, a.Call())
+			b.enqueueStoreCall(a, a.Call())
 		case *claimer.Write:
-			c.call(a, a.Call())
+			b.enqueueStoreCall(a, a.Call())
 		case *claimer.DeletePage:
-			c.calls.TryPush(a)
+			b.storeCalls.TryPush(a)
 		case *claimer.Run:
-			c.waiting[a.SubmissionID()].TryPush(a)
+			b.submissions[a.SubmissionID()].TryPush(a)
 		case *claimer.Finish:
-			c.waiting[a.SubmissionID()].TryPush(a)
-			delete(c.waiting, a.SubmissionID())
+			b.submissions[a.SubmissionID()].TryPush(a)
+			delete(b.submissions, a.SubmissionID())
 		}
 	}
-	if len(c.flushers) == 0 || !c.claimer.Idle() {
+	if len(b.flushWaiters) == 0 || !b.claimer.Idle() {
 		return
 	}
-	for _, f := range c.flushers {
+	for _, f := range b.flushWaiters {
 		close(f)
 	}
-	c.flushers = nil
+	b.flushWaiters = nil
 }
 
-// call hands a call to the workers. If they have too much to do, it has
-// failed without effect.
-func (c *Booker) call(a claimer.Action, number uint64) {
-	if !c.calls.TryPush(a) {
-		c.step(claimer.NewFailed(number, false))
+// enqueueStoreCall queues a store call for the workers. If the queue is full, the call
+// fails without effect.
+func (b *Booker) enqueueStoreCall(a claimer.Action, number uint64) {
+	if !b.storeCalls.TryPush(a) {
+		b.step(claimer.NewFailed(number, false))
 	}
 }
--- a/cicadagraded/dialer/client.go
+++ b/cicadagraded/dialer/client.go
@@ -1,5 +1,5 @@
-// Package dialer is a client of backend servers. It uses the Connect protocol over HTTP/1.1
-// with a bounded number of connections to each server.
+// Package dialer is a client of backend servers. It uses the Connect protocol over
+// HTTP/1.1 with a bounded number of connections to each server.
 package dialer
 
 import (
@@ -94,8 +94,8 @@
 	return reply.Msg, nil
 }
 
-// Health requests the server's state on the connection for probes. Its errors are those of
-// Search.
+// Health requests the server's state on the connection for probes. Its errors are those
+// of Search.
 func (c *Link) Health(ctx context.Context) (*backendv1.HealthReply, error) {
 	reply, err := c.probeClient.Health(ctx, connect.NewRequest(&backendv1.HealthRequest{}))
 	if err != nil {
--- a/cicadagraded/locator/bench_test.go
+++ b/cicadagraded/locator/bench_test.go
@@ -12,8 +12,9 @@
 
 const benchMembers = 273
 
-// fleet is a locator that holds sets of 110 shards in one data centre.
-func fleet(b *testing.B, sets int) (*locator.Locator, []*tier.ShardSet, []tier.VM, owner.Report) {
+// newLocator returns a locator with sets of 110 shards in one data centre, together with
+// the sets, the members and the report of each set's owner.
+func newLocator(b *testing.B, setCount int) (*locator.Locator, []*tier.ShardSet, []tier.VM, owner.Report) {
 	var shards []tier.Shard
 	width := uint64(math.MaxUint64 / 110)
 	for i := range 110 {
@@ -27,53 +28,54 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	var list []*tier.ShardSet
-	for i := range sets {
+	var sets []*tier.ShardSet
+	for i := range setCount {
 		s, err := tier.NewShardSet(fmt.Sprintf("set-%d", i), tier.WithShards(shards...),
 			tier.WithServers(tier.NewBackend("a", "127.0.0.1:1", "here")))
 		if err != nil {
 			b.Fatal(err)
 		}
-		list = append(list, s)
+		sets = append(sets, s)
 	}
 	var members []tier.VM
 	for i := range benchMembers {
 		members = append(members, tier.NewVM(fmt.Sprintf("vm-%d", i), "here", "127.0.0.1:1", tier.WithVMState(tier.VMLive)))
 	}
 	l := locator.New(tier.NewManualClock(0).Clock())
-	l.Update(list, members, everywhere)
-	for _, s := range list {
+	l.Update(sets, members, allReachable)
+	for _, s := range sets {
 		o := l.Owners(s.Name(), "here", 0)[0]
 		l.Reported(s.Name(), o.Name(), r, true)
 	}
-	return l, list, members, r
+	return l, sets, members, r
 }
 
-func everywhere(string) bool { return true }
+func allReachable(string) bool { return true }
 
-// BenchmarkReported is the cost of an owner's report, by the number of sets.
+// BenchmarkReported measures the cost of recording one owner's report, by the number of
+// sets.
 func BenchmarkReported(b *testing.B) {
-	for _, sets := range []int{4, 12, 120, 360} {
-		b.Run(fmt.Sprintf("sets=%d", sets), func(b *testing.B) {
-			l, list, _, r := fleet(b, sets)
-			vm := l.Owners(list[0].Name(), "here", 0)[0].Name()
+	for _, setCount := range []int{4, 12, 120, 360} {
+		b.Run(fmt.Sprintf("sets=%d", setCount), func(b *testing.B) {
+			l, sets, _, r := newLocator(b, setCount)
+			vm := l.Owners(sets[0].Name(), "here", 0)[0].Name()
 			for b.Loop() {
-				l.Reported(list[0].Name(), vm, r, true)
+				l.Reported(sets[0].Name(), vm, r, true)
 			}
 		})
 	}
 }
 
-// BenchmarkMemberChange is the cost of a member that comes or goes, by the
-// number of sets, with 273 members.
+// BenchmarkMemberChange measures the cost of one of 273 members joining or leaving, by
+// the number of sets.
 func BenchmarkMemberChange(b *testing.B) {
-	for _, sets := range []int{4, 12, 120, 360} {
-		b.Run(fmt.Sprintf("sets=%d", sets), func(b *testing.B) {
-			l, list, members, _ := fleet(b, sets)
+	for _, setCount := range []int{4, 12, 120, 360} {
+		b.Run(fmt.Sprintf("sets=%d", setCount), func(b *testing.B) {
+			l, sets, members, _ := newLocator(b, setCount)
 			n := 0
 			for b.Loop() {
 				n++
-				l.Update(list, members[:benchMembers-n%2], everywhere)
+				l.Update(sets, members[:benchMembers-n%2], allReachable)
 			}
 		})
 	}
--- a/cicadagraded/locator/candidates.go
+++ b/cicadagraded/locator/candidates.go
@@ -8,18 +8,18 @@
 	"cicadagrade.example/tier/picker"
 )
 
-// Announced notes who owns a set in another data centre, of which this VM may
-// know only few members, and that owner's report.
+// Announced records the VM that owns a set in another data centre, as one of its owners
+// by index, and its report. This VM may know only a few members of that data centre.
 func (l *Locator) Announced(set string, index int, vm tier.VM, r owner.Report) {
 	l.mu.Lock()
-	l.announced[announcedKey{set, vm.DataCentre(), index}] = vm
+	l.remoteOwners[remoteOwnerKey{set, vm.DataCentre(), index}] = vm
 	l.mu.Unlock()
 	l.Reported(set, vm.Name(), r, true)
 }
 
-// candidates lists the VMs that may run parts of a set in a data centre: the
-// announced owners of another data centre, then those picked among the members
-// that are known, then those that leave.
+// candidates lists the VMs that may run requests to a set in a data centre: first the
+// announced owners, if it is another data centre, then the owners picked among the known
+// members, then the VMs with a report that are leaving.
 func (l *Locator) candidates(s *tier.ShardSet, dataCentre string, owners int) []tier.VM {
 	var out []tier.VM
 	add := func(vm tier.VM) {
@@ -28,7 +28,7 @@
 		}
 	}
 	for i := range owners {
-		if vm, ok := l.announced[announcedKey{s.Name(), dataCentre, i}]; ok && !l.lost(vm) {
+		if vm, ok := l.remoteOwners[remoteOwnerKey{s.Name(), dataCentre, i}]; ok && !l.isOutdated(vm) {
 			add(vm)
 		}
 	}
@@ -44,9 +44,9 @@
 	return out
 }
 
-// lost reports whether an announced VM is known not to be live, or to have begun
-// a later life, in which it has announced nothing yet.
-func (l *Locator) lost(vm tier.VM) bool {
+// isOutdated reports whether an announced VM is known not to be live, or to have
+// restarted since its announcement.
+func (l *Locator) isOutdated(vm tier.VM) bool {
 	for _, m := range l.members {
 		if m.Name() == vm.Name() {
 			return m.State() != tier.VMLive || m.Incarnation() > vm.Incarnation()
--- a/cicadagraded/locator/locator.go
+++ b/cicadagraded/locator/locator.go
@@ -1,6 +1,6 @@
-// Package locator knows, from gossip and configuration, where requests go:
-// the shard sets in force, the owners in each data centre, what their
-// backend servers hold and what they admit.
+// Package locator tells where a request can run. From gossip and the configuration it
+// knows the shard sets in force, the owners of each set in each data centre, the index
+// versions that their backend servers hold, and their admission thresholds.
 package locator
 
 import (
@@ -14,202 +14,207 @@
 	"cicadagrade.example/tier/admitter"
 )
 
-// Locator is read by every request without waiting and changed as news come.
+// Locator is safe for concurrent use. Requests read an immutable view, and so never wait
+// for an update, except in Admit, which keeps state and takes a lock of its own.
 type Locator struct {
-	clock   *tier.Clock
-	current atomic.Pointer[view]
-
-	mu         sync.Mutex
-	members    []tier.VM
-	sets       map[string]*tier.ShardSet
-	earlier    map[string]*tier.ShardSet // the former shard map of a set
-	reports    map[reportKey]heardReport
-	announced  map[announcedKey]tier.VM
-	reachable  map[string]bool
-	admitMu    sync.Mutex
-	admitters  map[string]*admitter.Admitter
-	thresholds map[reportKey]admitter.ReceivedThreshold
-	failed     sync.Map // name of a VM to its suspicion
+	clock *tier.Clock
+	view  atomic.Pointer[view]
+
+	mu           sync.Mutex
+	members      []tier.VM
+	sets         map[string]*tier.ShardSet
+	earlierSets  map[string]*tier.ShardSet // by the set's name: the shard map before the one in force
+	reports      map[reportKey]ownerReports
+	remoteOwners map[remoteOwnerKey]tier.VM
+	reachable    map[string]bool
+	admissionMu  sync.Mutex
+	admitters    map[string]*admitter.Admitter
+	thresholds   map[reportKey]admitter.ReceivedThreshold
+	suspicions   sync.Map // from the name of a VM to a suspicion
 }
 
-// reportKey names the report of an owner on its set.
+// reportKey identifies the owner of a set that a report or a threshold is from.
 type reportKey struct{ set, vm string }
 
-// announcedKey names a place among the owners of a set in another data centre.
-type announcedKey struct {
+// remoteOwnerKey identifies one of the owners of a set in another data centre.
+type remoteOwnerKey struct {
 	set        string
 	dataCentre string
 	index      int
 }
 
-// heardReport is a report with the last one under a former shard map.
-type heardReport struct {
-	report owner.Report
-	former owner.Report
+// ownerReports holds the latest report of an owner, and the last one under an earlier
+// shard map.
+type ownerReports struct {
+	latest  owner.Report
+	earlier owner.Report
 }
 
-// under is the report of a shard map, if there is one.
-func (h heardReport) under(e tier.Epoch) (owner.Report, bool) {
+// atEpoch returns the report under the shard map of an epoch.
+func (r ownerReports) atEpoch(e tier.Epoch) (owner.Report, bool) {
 	switch e {
-	case h.report.Epoch():
-		return h.report, true
-	case h.former.Epoch():
-		return h.former, true
+	case r.latest.Epoch():
+		return r.latest, true
+	case r.earlier.Epoch():
+		return r.earlier, true
 	}
 	return owner.Report{}, false
 }
 
-// view is one consistent state; it never changes.
+// view is an immutable snapshot of what requests need.
 type view struct {
-	sets      map[string]*tier.ShardSet
-	earlier   map[string]*tier.ShardSet
-	places    map[placeKey]*place
-	reachable map[string]bool
+	sets        map[string]*tier.ShardSet
+	earlierSets map[string]*tier.ShardSet
+	placements  map[placementKey]*placement
+	reachable   map[string]bool
 }
 
-// placeKey names a set in a data centre.
-type placeKey struct{ set, dataCentre string }
-
-// place is what is known of a set in a data centre.
-type place struct {
-	owners     int // how many of the candidates split the slots
-	candidates []tier.VM
-	reported   map[string]bool // the VMs whose reports count
-	epoch      tier.Epoch
-	versions   map[string][]tier.Version
+// placementKey identifies a set in a data centre.
+type placementKey struct{ set, dataCentre string }
+
+// placement lists the VMs that may run requests to a set in a data centre, and the index
+// versions that the backend servers there hold, by shard.
+type placement struct {
+	ownerCount  int // how many of the candidates, from the first, share the slots
+	candidates  []tier.VM
+	informedVMs map[string]bool // the VMs whose report lists any versions
+	epoch       tier.Epoch
+	versions    map[string][]tier.Version
 }
 
-// maxCandidates bounds the VMs listed for a set in a data centre.
+// maxCandidates is the number of members that are candidates for a set in a data centre,
+// if the set has not more owners.
 const maxCandidates = 4
 
-// New returns a locator that knows nothing.
+// New returns a locator without sets and members.
 func New(clock *tier.Clock) *Locator {
 	l := &Locator{
-		clock:      clock,
-		sets:       map[string]*tier.ShardSet{},
-		earlier:    map[string]*tier.ShardSet{},
-		reports:    map[reportKey]heardReport{},
-		announced:  map[announcedKey]tier.VM{},
-		admitters:  map[string]*admitter.Admitter{},
-		thresholds: map[reportKey]admitter.ReceivedThreshold{},
-		reachable:  map[string]bool{},
+		clock:        clock,
+		sets:         map[string]*tier.ShardSet{},
+		earlierSets:  map[string]*tier.ShardSet{},
+		reports:      map[reportKey]ownerReports{},
+		remoteOwners: map[remoteOwnerKey]tier.VM{},
+		admitters:    map[string]*admitter.Admitter{},
+		thresholds:   map[reportKey]admitter.ReceivedThreshold{},
+		reachable:    map[string]bool{},
 	}
 	l.rebuild()
 	return l
 }
 
-// Update replaces the sets in force, the members and what is reachable. It
-// does nothing when all are as before.
+// Update replaces the sets in force, the members and the reachability of the members'
+// data centres. It does nothing if none of them has changed.
 func (l *Locator) Update(sets []*tier.ShardSet, members []tier.VM, reachable func(dataCentre string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	bySet := make(map[string]*tier.ShardSet, len(sets))
+	byName := make(map[string]*tier.ShardSet, len(sets))
 	for _, s := range sets {
-		bySet[s.Name()] = s
+		byName[s.Name()] = s
 	}
-	now := map[string]bool{}
+	nowReachable := map[string]bool{}
 	for _, m := range members {
-		now[m.DataCentre()] = reachable(m.DataCentre())
+		nowReachable[m.DataCentre()] = reachable(m.DataCentre())
 	}
-	if maps.Equal(bySet, l.sets) && slices.Equal(members, l.members) && maps.Equal(now, l.reachable) {
+	if maps.Equal(byName, l.sets) && slices.Equal(members, l.members) && maps.Equal(nowReachable, l.reachable) {
 		return
 	}
-	for name, s := range bySet {
+	for name, s := range byName {
 		if old, ok := l.sets[name]; ok && old.Epoch() < s.Epoch() {
-			l.earlier[name] = old
+			l.earlierSets[name] = old
 		}
 	}
-	l.sets, l.members, l.reachable = bySet, members, now
+	l.sets, l.members, l.reachable = byName, members, nowReachable
 	l.rebuild()
 }
 
-// Reported notes an owner's report, or forgets it when ok is false.
+// Reported records the report of an owner, or forgets its reports if ok is false.
 func (l *Locator) Reported(set, vm string, r owner.Report, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := reportKey{set: set, vm: vm}
 	if ok {
 		last := l.reports[k]
-		h := heardReport{report: r, former: last.former}
-		if last.report.Epoch() < r.Epoch() {
-			h.former = last.report
+		reports := ownerReports{latest: r, earlier: last.earlier}
+		if last.latest.Epoch() < r.Epoch() {
+			reports.earlier = last.latest
 		}
-		l.reports[k] = h
+		l.reports[k] = reports
 	} else {
 		delete(l.reports, k)
 	}
 	l.rebuildSet(set)
 }
 
-// rebuild makes the next view. The caller holds mu.
+// rebuild replaces the view. The caller holds mu.
 func (l *Locator) rebuild() {
-	v := &view{sets: l.sets, earlier: maps.Clone(l.earlier), places: map[placeKey]*place{}, reachable: l.reachable}
+	v := &view{sets: l.sets, earlierSets: maps.Clone(l.earlierSets), placements: map[placementKey]*placement{}, reachable: l.reachable}
 	for _, s := range l.sets {
 		for _, d := range s.DataCentres() {
-			v.places[placeKey{s.Name(), d}] = l.place(s, d)
+			v.placements[placementKey{s.Name(), d}] = l.placement(s, d)
 		}
 	}
-	l.current.Store(v)
+	l.view.Store(v)
 }
 
-// rebuildSet makes the next view after news of one set. The caller holds mu.
+// rebuildSet replaces the view after a change to one set. The caller holds mu.
 func (l *Locator) rebuildSet(name string) {
 	s, ok := l.sets[name]
 	if !ok {
 		return
 	}
-	last := l.current.Load()
-	v := &view{sets: last.sets, earlier: last.earlier, places: maps.Clone(last.places), reachable: last.reachable}
+	last := l.view.Load()
+	v := &view{sets: last.sets, earlierSets: last.earlierSets, placements: maps.Clone(last.placements), reachable: last.reachable}
 	for _, d := range s.DataCentres() {
-		v.places[placeKey{name, d}] = l.place(s, d)
+		v.placements[placementKey{name, d}] = l.placement(s, d)
 	}
-	l.current.Store(v)
+	l.view.Store(v)
 }
 
-// place is what is known of a set in a data centre: under the map in force
-// or, until servers are known to hold that one, under the former.
-func (l *Locator) place(s *tier.ShardSet, dataCentre string) *place {
-	p := l.placeUnder(s, dataCentre)
-	former, ok := l.earlier[s.Name()]
+// placement returns the placement of a set in a data centre under the shard map in force,
+// or under the earlier map as long as no server is known to hold the map in force.
+func (l *Locator) placement(s *tier.ShardSet, dataCentre string) *placement {
+	p := l.placementUnder(s, dataCentre)
+	earlier, ok := l.earlierSets[s.Name()]
 	if !ok || len(p.versions) > 0 {
 		return p
 	}
-	if f := l.placeUnder(former, dataCentre); len(f.versions) > 0 {
-		return f
+	if e := l.placementUnder(earlier, dataCentre); len(e.versions) > 0 {
+		return e
 	}
 	return p
 }
 
-// placeUnder puts together what the owners of a set in a data centre report.
-// The reports of VMs that only ran parts for a while do not count.
-func (l *Locator) placeUnder(s *tier.ShardSet, dataCentre string) *place {
+// placementUnder returns the placement of a set in a data centre under one shard map. It
+// uses only the reports of candidates: other VMs with a report ran parts of the set only
+// for a while.
+func (l *Locator) placementUnder(s *tier.ShardSet, dataCentre string) *placement {
 	owners := OwnerCount(s, dataCentre)
-	p := &place{
-		owners:     owners,
-		candidates: l.candidates(s, dataCentre, owners),
-		reported:   map[string]bool{},
-		epoch:      s.Epoch(),
-		versions:   map[string][]tier.Version{},
+	p := &placement{
+		ownerCount:  owners,
+		candidates:  l.candidates(s, dataCentre, owners),
+		informedVMs: map[string]bool{},
+		epoch:       s.Epoch(),
+		versions:    map[string][]tier.Version{},
 	}
 	for _, vm := range p.candidates {
-		h, ok := l.reports[reportKey{s.Name(), vm.Name()}]
+		reports, ok := l.reports[reportKey{s.Name(), vm.Name()}]
 		if !ok {
 			continue
 		}
-		if r, ok := h.under(s.Epoch()); ok {
-			p.merge(s, r)
-			p.reported[vm.Name()] = r.Informed()
+		if r, ok := reports.atEpoch(s.Epoch()); ok {
+			p.addReport(s, r)
+			p.informedVMs[vm.Name()] = r.Informed()
 		}
 	}
 	return p
 }
 
-// merge adds what a report lists.
-func (p *place) merge(s *tier.ShardSet, r owner.Report) {
-	for i, h := range s.Shards() {
+// addReport adds the versions that a report lists.
+func (p *placement) addReport(s *tier.ShardSet, r owner.Report) {
+	for i, sh := range s.Shards() {
 		for _, v := range r.Versions(i) {
-			if !slices.Contains(p.versions[h.ID()], v) {
-				p.versions[h.ID()] = append(p.versions[h.ID()], v)
+			if !slices.Contains(p.versions[sh.ID()], v) {
+				p.versions[sh.ID()] = append(p.versions[sh.ID()], v)
 			}
 		}
 	}
--- a/cicadagraded/locator/locator_test.go
+++ b/cicadagraded/locator/locator_test.go
@@ -21,7 +21,7 @@
 	return s
 }
 
-// report is what an owner publishes under an epoch.
+// report returns an owner's report under an epoch. Holdings is in the JSON of a report.
 func report(t *testing.T, e tier.Epoch, holdings string) owner.Report {
 	r, err := owner.DecodeReport(fmt.Appendf(nil, `{"epoch":%d,"holdings":[%s]}`, e, holdings))
 	if err != nil {
@@ -30,9 +30,9 @@
 	return r
 }
 
-// TestFormerMapUntilTheNextIsHeld holds that a set stays searchable under its
-// former map until an owner tells that servers hold the next one.
-func TestFormerMapUntilTheNextIsHeld(t *testing.T) {
+// A set stays searchable under its earlier shard map until an owner reports that servers
+// hold the next map.
+func TestEarlierMapUntilNextIsHeld(t *testing.T) {
 	l := locator.New(tier.NewManualClock(0).Clock())
 	members := []tier.VM{tier.NewVM("caxias-1", "serra-caxias", "127.0.0.1:2", tier.WithVMState(tier.VMLive))}
 	reachable := func(string) bool { return true }
@@ -48,7 +48,7 @@
 	l.Update([]*tier.ShardSet{newSet(t, 2, "new")}, members, reachable)
 	check("before the owner's report", "old", 1, 1)
 	if s, ok := l.Earlier("portao"); !ok || s.Epoch() != 1 {
-		t.Errorf("the former map is not kept: %v", s)
+		t.Errorf("earlier map: %v, want epoch 1", s)
 	}
 	l.Reported("portao", "caxias-1", report(t, 2, ""), true)
 	check("before a server holds it", "old", 1, 1)
@@ -56,47 +56,47 @@
 	check("once it is held", "new", 2, 1)
 }
 
-// TestOwnersInOrder: a VM that leaves goes on until the next owner has
-// reported, and a VM that did not answer is asked last for a while.
-func TestOwnersInOrder(t *testing.T) {
+// A VM that is leaving is preferred until the next owner has reported its holdings, and a
+// VM that did not answer is tried last for a while.
+func TestOrderOfOwners(t *testing.T) {
 	clock := tier.NewManualClock(0)
 	l := locator.New(clock.Clock())
 	set := newSet(t, 1, "s0")
 	vm := func(name string, s tier.VMState) tier.VM {
 		return tier.NewVM(name, "serra-caxias", "127.0.0.1:1", tier.WithVMState(s))
 	}
-	informed := func(name string) { l.Reported("portao", name, report(t, 1, `{"versions":[7],"runs":[[0,1]]}`), true) }
+	reportHoldings := func(name string) { l.Reported("portao", name, report(t, 1, `{"versions":[7],"runs":[[0,1]]}`), true) }
 	first := func() string { return l.Owners("portao", "serra-caxias", 0)[0].Name() }
 	l.Update([]*tier.ShardSet{set}, []tier.VM{vm("old", tier.VMLeaving), vm("new", tier.VMLive)}, func(string) bool { return true })
-	informed("old")
+	reportHoldings("old")
 	if first() != "old" {
-		t.Errorf("asks %s before it has reported", first())
+		t.Errorf("%s is first before it has reported", first())
 	}
-	informed("new")
+	reportHoldings("new")
 	if first() != "new" {
-		t.Errorf("asks %s, want the owner", first())
+		t.Errorf("%s is first, want the owner", first())
 	}
 	l.Failed("new")
 	if first() != "old" {
-		t.Errorf("asks %s, which did not answer", first())
+		t.Errorf("%s is first, though it did not answer", first())
 	}
 	clock.Advance(locator.SuspectFor)
 	if first() != "new" {
-		t.Errorf("asks %s, want the owner again", first())
+		t.Errorf("%s is first, want the owner again", first())
 	}
 	l.Failed("new")
 	clock.Advance(locator.SuspectFor)
 	if first() != "old" {
-		t.Errorf("asks %s, which failed twice", first())
+		t.Errorf("%s is first, though it failed twice", first())
 	}
 	l.Answered("new")
 	if first() != "new" {
-		t.Errorf("asks %s, want the owner that answers", first())
+		t.Errorf("%s is first, want the owner that answers", first())
 	}
 }
 
-// TestThresholdsFromReplies: what an owner gives with a reply counts at once,
-// and ends at once when it lets everything in again.
+// A threshold that an owner sends with a reply applies at once, and ends at once when the
+// owner sends one that admits all.
 func TestThresholdsFromReplies(t *testing.T) {
 	l := locator.New(tier.NewManualClock(0).Clock())
 	vm := tier.NewVM("caxias-1", "serra-caxias", "127.0.0.1:2", tier.WithVMState(tier.VMLive))
@@ -114,13 +114,12 @@
 	}
 	l.Threshold("portao", "caxias-1", admitter.AdmitAll())
 	if _, ok := l.Admit("portao", tier.Reports); !ok {
-		t.Error("reports refused though the owner lets everything in")
+		t.Error("reports refused though the owner admits all")
 	}
 }
 
-// TestAnnouncedOwnerOfAnotherDataCentre: a front finds the owner in a data
-// centre of which it knows only other members, until that owner is known to be
-// dead.
+// An announced owner in another data centre is used even if only other members of that
+// data centre are known, until the owner is known to be dead or to have restarted.
 func TestAnnouncedOwnerOfAnotherDataCentre(t *testing.T) {
 	l := locator.New(tier.NewManualClock(0).Clock())
 	vm := func(name string, s tier.VMState) tier.VM {
@@ -131,20 +130,20 @@
 	l.Update(sets, []tier.VM{vm("caxias-9", tier.VMLive)}, reachable)
 	l.Announced("portao", 0, vm("caxias-200", tier.VMLive), report(t, 1, `{"versions":[7],"runs":[[0,1]]}`))
 	if _, v := l.Versions("portao", "serra-caxias", "s0"); len(v) != 1 {
-		t.Errorf("versions %v", v)
+		t.Errorf("versions %v, want one", v)
 	}
 	if got := l.Owners("portao", "serra-caxias", 0)[0].Name(); got != "caxias-200" {
-		t.Errorf("asks %s, want the announced owner", got)
+		t.Errorf("%s is first, want the announced owner", got)
 	}
 	l.Update(sets, []tier.VM{vm("caxias-9", tier.VMLive), vm("caxias-200", tier.VMDead)}, reachable)
 	if got := l.Owners("portao", "serra-caxias", 0)[0].Name(); got != "caxias-9" {
-		t.Errorf("asks %s, which is dead", got)
+		t.Errorf("%s is first, though it is dead", got)
 	}
 	replaced := vm("caxias-200", tier.VMLive).With(tier.WithIncarnation(9))
 	l.Update(sets, []tier.VM{vm("caxias-9", tier.VMLive), replaced}, reachable)
 	l.Reported("portao", "caxias-200", owner.Report{}, false)
 	l.Reported("portao", "caxias-9", report(t, 1, `{"versions":[7],"runs":[[0,1]]}`), true)
 	if got := l.Owners("portao", "serra-caxias", 0)[0].Name(); got != "caxias-9" {
-		t.Errorf("asks %s, which began another life and owns nothing yet", got)
+		t.Errorf("%s is first, though it has restarted and owns nothing yet", got)
 	}
 }
--- a/cicadagraded/owner/bench_test.go
+++ b/cicadagraded/owner/bench_test.go
@@ -17,9 +17,9 @@
 
 var benchShardCounts = []int{5, 10, 20, maxTestShards}
 
-// BenchmarkOwner measures a part of a search that an owner runs. BenchmarkDirectCalls makes
-// the same calls without an owner. Both figures include the processor time of the backend
-// servers, which run in this process.
+// BenchmarkOwner measures a part of a search that an owner runs. BenchmarkDirectCalls
+// makes the same calls without an owner. Both figures include the processor time of the
+// backend servers, which run in this process.
 func BenchmarkOwner(b *testing.B) {
 	for _, shards := range benchShardCounts {
 		b.Run(fmt.Sprintf("shards=%d", shards), func(b *testing.B) {
@@ -66,8 +66,8 @@
 	}
 }
 
-// measurePerCall reports the processor time of query for each leaf call, of which it makes
-// one a shard.
+// measurePerCall reports the processor time of query for each leaf call, of which it
+// makes one a shard.
 func measurePerCall(b *testing.B, shards int, query func()) {
 	b.ReportAllocs()
 	start, n := processorTime(), 0
@@ -116,8 +116,8 @@
 	}
 }
 
-// BenchmarkReport measures how long an owner takes to check whether its report has changed,
-// and the size of the encoded report.
+// BenchmarkReport measures how long an owner takes to check whether its report has
+// changed, and the size of the encoded report.
 func BenchmarkReport(b *testing.B) {
 	for _, n := range []int{20, 110, 330, 1000} {
 		b.Run(fmt.Sprintf("shards=%d", n), func(b *testing.B) {
--- a/cicadagraded/owner/cancel.go
+++ b/cicadagraded/owner/cancel.go
@@ -12,9 +12,9 @@
 	call *call
 }
 
-// cancelCall cancels a leaf call after a delay equal to the cost of a new connection. With
-// HTTP/1.1, cancelling a call closes its connection, and many calls that lost a hedge end
-// within the delay, so that their connection stays usable.
+// cancelCall cancels a leaf call after a delay equal to the cost of a new connection.
+// With HTTP/1.1, cancelling a call closes its connection, and many calls that lost a
+// hedge end within the delay, so that their connection stays usable.
 func (o *Owner) cancelCall(attempt uint64) {
 	c, ok := o.calls[attempt]
 	if !ok || c.ended {
--- a/cicadagraded/owner/owner.go
+++ b/cicadagraded/owner/owner.go
@@ -1,6 +1,6 @@
 // Package owner runs the parts of searches and the bookings of the shard sets that this
-// VM owns. Each owner has one event loop, which drives the dispatcher of its shard set and
-// the connections to the backend servers in its data centre.
+// VM owns. Each owner has one event loop, which drives the dispatcher of its shard set
+// and the connections to the backend servers in its data centre.
 package owner
 
 import (
@@ -26,7 +26,8 @@
 	firstProbeWait = 500 * tier.Millis(1)
 )
 
-// Identity identifies the VM that an owner runs on: its name, data centre and incarnation.
+// Identity identifies the VM that an owner runs on: its name, data centre and
+// incarnation.
 type Identity struct {
 	vm          string
 	dataCentre  string
@@ -48,7 +49,8 @@
 	// threshold is the current admission threshold.
 	threshold atomic.Pointer[admitter.Threshold]
 
-	// The fields below belong to the event loop. Other goroutines use only ctx and stopped.
+	// The fields below belong to the event loop. Other goroutines use only ctx and
+	// stopped.
 	set                    *tier.ShardSet
 	dispatcher             *dispatcher.Dispatcher
 	parts                  map[uint64]*part
--- a/cicadagraded/owner/pool.go
+++ b/cicadagraded/owner/pool.go
@@ -37,8 +37,8 @@
 	return correlator.NewExpectation(c.attemptID, c.set, c.shard, c.snapshot)
 }
 
-// workerPool makes the calls to one backend server. It has one worker for each slot of the
-// server, and one more for health probes.
+// workerPool makes the calls to one backend server. It has one worker for each slot of
+// the server, and one more for health probes.
 type workerPool struct {
 	client    *dialer.Link
 	calls     *ring.Ring[*call]
--- a/cicadagraded/owner/probing.go
+++ b/cicadagraded/owner/probing.go
@@ -143,8 +143,8 @@
 	return ok && p.State().TakesWork()
 }
 
-// runProbes probes a backend server whenever the event loop requests it, until the pool is
-// stopped.
+// runProbes probes a backend server whenever the event loop requests it, until the pool
+// is stopped.
 func (o *Owner) runProbes(w *workerPool) error {
 	for {
 		number, err := w.probes.Pop(w.ctx)
--- a/cicadagraded/owner/registry.go
+++ b/cicadagraded/owner/registry.go
@@ -41,8 +41,8 @@
 	stop       context.CancelFunc
 }
 
-// NewRegistry returns a registry without owners, which stop when ctx ends. Sets looks up a
-// shard set in the configuration in force.
+// NewRegistry returns a registry without owners, which stop when ctx ends. Sets looks up
+// a shard set in the configuration in force.
 func NewRegistry(ctx context.Context, id Identity, clock *tier.Clock, sets func(string) (*tier.ShardSet, bool), publisher Outlet) *Registry {
 	group, groupCtx := errgroup.WithContext(ctx)
 	return &Registry{
@@ -52,9 +52,9 @@
 }
 
 // Search runs a part of a search on this VM's owner of the set, and starts that owner if
-// there is none. The part runs even if this VM is not an owner of the set in its own view:
-// the views of two VMs may differ for a while, and an owner on standby uses only one slot
-// of each backend server.
+// there is none. The part runs even if this VM is not an owner of the set in its own
+// view: the views of two VMs may differ for a while, and an owner on standby uses only
+// one slot of each backend server.
 func (r *Registry) Search(ctx context.Context, set string, s Search) End {
 	o, ok := r.get(set)
 	if !ok {
@@ -116,8 +116,8 @@
 	return tier.NewAttemptID(r.id.vm, r.id.incarnation, r.lastCall.Add(1))
 }
 
-// Sync starts, updates and stops owners to match the sets in force and the members. OwnersOf
-// lists the VMs that own a set in this data centre.
+// Sync starts, updates and stops owners to match the sets in force and the members.
+// OwnersOf lists the VMs that own a set in this data centre.
 func (r *Registry) Sync(ctx context.Context, sets []*tier.ShardSet, ownersOf func(set *tier.ShardSet) []tier.VM) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -137,8 +137,8 @@
 	return nil
 }
 
-// syncSet updates the owner of a set, and starts one if this VM is among the owners of the
-// set. The caller holds mu.
+// syncSet updates the owner of a set, and starts one if this VM is among the owners of
+// the set. The caller holds mu.
 func (r *Registry) syncSet(ctx context.Context, set *tier.ShardSet, owners []tier.VM) error {
 	index := -1
 	for i, vm := range owners {
--- a/cicadagraded/owner/report.go
+++ b/cicadagraded/owner/report.go
@@ -12,12 +12,12 @@
 	"cicadagrade.example/tier/admitter"
 )
 
-// thresholdInterval is the shortest time between two publications of a threshold. Entry VMs
-// that send requests to this owner get the threshold with each reply.
+// thresholdInterval is the shortest time between two publications of a threshold. Entry
+// VMs that send requests to this owner get the threshold with each reply.
 const thresholdInterval = 1 * tier.Second
 
-// Report lists which index versions the backend servers of a set in one data centre hold of
-// each shard.
+// Report lists which index versions the backend servers of a set in one data centre hold
+// of each shard.
 type Report struct {
 	epoch    tier.Epoch
 	versions map[int][]tier.Version // by the shard's index in the map
@@ -33,8 +33,8 @@
 // Informed reports whether the report lists any versions.
 func (r Report) Informed() bool { return len(r.versions) > 0 }
 
-// holdingJSON lists the shards of which the same versions are held, as runs of consecutive
-// shards of the map: the index of the first one and the length.
+// holdingJSON lists the shards of which the same versions are held, as runs of
+// consecutive shards of the map: the index of the first one and the length.
 type holdingJSON struct {
 	Versions []tier.Version `json:"versions"`
 	Runs     [][2]int       `json:"runs"`
@@ -46,15 +46,16 @@
 	Holdings []holdingJSON `json:"holdings"`
 }
 
-// thresholdJSON is the encoding of a threshold between VMs. A threshold often changes under
-// load, so it is sent separately from the report, which is larger and rarely changes.
+// thresholdJSON is the encoding of a threshold between VMs. A threshold often changes
+// under load, so it is sent separately from the report, which is larger and rarely
+// changes.
 type thresholdJSON struct {
 	Fractions [len(tier.Ranks)]float64     `json:"fractions"`
 	After     [len(tier.Ranks)]tier.Millis `json:"after-ms"`
 }
 
-// EncodeThreshold encodes a threshold for other VMs. The encoding of one that admits all is
-// empty.
+// EncodeThreshold encodes a threshold for other VMs. The encoding of one that admits all
+// is empty.
 func EncodeThreshold(t admitter.Threshold) ([]byte, error) {
 	if t.AdmitsAll() {
 		return nil, nil
@@ -120,7 +121,8 @@
 	Report      json.RawMessage  `json:"report"`
 }
 
-// EncodeAnnouncement encodes the report of an owner on a VM for VMs of other data centres.
+// EncodeAnnouncement encodes the report of an owner on a VM for VMs of other data
+// centres.
 func EncodeAnnouncement(vm tier.VM, r Report) ([]byte, error) {
 	report, err := r.Encode()
 	if err != nil {
