--- a/cicadagraded/dialer/client.go
+++ b/cicadagraded/backendclient/client.go
@@ -1,6 +1,6 @@
-// Package dialer is a client of backend servers. It uses the Connect protocol over
+// Package backendclient is a client of backend servers. It uses the Connect protocol over
 // HTTP/1.1 with a bounded number of connections to each server.
-package dialer
+package backendclient
 
 import (
 	"context"
@@ -24,22 +24,22 @@
 	keepAliveInterval   = 30 * time.Second
 )
 
-// Link is the client of one backend server. It holds at most one connection for each call
+// Client is the client of one backend server. It holds at most one connection for each call
 // that this VM may have in flight on the server, and one more for health probes, which
 // therefore never wait for a call. It is safe for concurrent use.
-type Link struct {
+type Client struct {
 	server      tier.Backend
 	callClient  backendv1connect.LeafServiceClient
 	probeClient backendv1connect.LeafServiceClient
 	close       func()
 }
 
-// NewLink returns the client of a backend server. It opens connections on demand, at most
+// New returns the client of a backend server. It opens connections on demand, at most
 // maxConnections of them for calls.
-func NewLink(server tier.Backend, maxConnections int) *Link {
+func New(server tier.Backend, maxConnections int) *Client {
 	callTransport := newTransport(maxConnections)
 	probeTransport := newTransport(maxProbeConnections)
-	return &Link{
+	return &Client{
 		server:      server,
 		callClient:  newServiceClient(server.Address(), callTransport),
 		probeClient: newServiceClient(server.Address(), probeTransport),
@@ -70,14 +70,14 @@
 }
 
 // Server is the backend server that the client calls.
-func (c *Link) Server() tier.Backend { return c.server }
+func (c *Client) Server() tier.Backend { return c.server }
 
 // Close closes the idle connections.
-func (c *Link) Close() { c.close() }
+func (c *Client) Close() { c.close() }
 
 // Search makes one search call. Its error is a *NotRunError if the call was certainly not
 // run, and a *NoReplyError if it may have run.
-func (c *Link) Search(ctx context.Context, r *backendv1.SearchRequest) (*backendv1.SearchReply, error) {
+func (c *Client) Search(ctx context.Context, r *backendv1.SearchRequest) (*backendv1.SearchReply, error) {
 	reply, err := c.callClient.Search(ctx, connect.NewRequest(r))
 	if err != nil {
 		return nil, errors.Wrap(classify(err), "Client.Search")
@@ -86,7 +86,7 @@
 }
 
 // Book sends a booking, which is not idempotent, once. Its errors are those of Search.
-func (c *Link) Book(ctx context.Context, r *backendv1.BookRequest) (*backendv1.BookReply, error) {
+func (c *Client) Book(ctx context.Context, r *backendv1.BookRequest) (*backendv1.BookReply, error) {
 	reply, err := c.callClient.Book(ctx, connect.NewRequest(r))
 	if err != nil {
 		return nil, errors.Wrap(classify(err), "Client.Book")
@@ -96,7 +96,7 @@
 
 // Health requests the server's state on the connection for probes. Its errors are those
 // of Search.
-func (c *Link) Health(ctx context.Context) (*backendv1.HealthReply, error) {
+func (c *Client) Health(ctx context.Context) (*backendv1.HealthReply, error) {
 	reply, err := c.probeClient.Health(ctx, connect.NewRequest(&backendv1.HealthRequest{}))
 	if err != nil {
 		return nil, errors.Wrap(classify(err), "Client.Health")
--- a/cicadagraded/dialer/errors.go
+++ b/cicadagraded/backendclient/errors.go
@@ -1,4 +1,4 @@
-package dialer
+package backendclient
 
 import (
 	"net"
@@ -33,9 +33,9 @@
 // Reason is the reason why the call was not run.
 func (e *NotRunError) Reason() NotRunReason { return e.reason }
 
-// Refused reports whether the server's machine refused the connection, which shows that
+// ConnectionRefused reports whether the server's machine refused the connection, which shows that
 // no process listens there.
-func (e *NotRunError) Refused() bool { return errors.Is(e.cause, syscall.ECONNREFUSED) }
+func (e *NotRunError) ConnectionRefused() bool { return errors.Is(e.cause, syscall.ECONNREFUSED) }
 
 // Unwrap is the cause.
 func (e *NotRunError) Unwrap() error { return e.cause }
@@ -43,14 +43,14 @@
 // Error gives the reason and the cause.
 func (e *NotRunError) Error() string { return "not run: " + e.reason.String() + ": " + e.cause.Error() }
 
-// LostError reports that no usable reply was received. The call may have run.
-type LostError struct{ cause error }
+// NoReplyError reports that no usable reply was received. The call may have run.
+type NoReplyError struct{ cause error }
 
 // Unwrap is the cause.
-func (e *LostError) Unwrap() error { return e.cause }
+func (e *NoReplyError) Unwrap() error { return e.cause }
 
 // Error gives the cause.
-func (e *LostError) Error() string { return "no reply: " + e.cause.Error() }
+func (e *NoReplyError) Error() string { return "no reply: " + e.cause.Error() }
 
 // classify returns a *NotRunError if the call was certainly not run, and a *NoReplyError
 // otherwise. Only a connection that was not established, or one of three error codes sent
@@ -60,7 +60,7 @@
 		return &NotRunError{reason: NotRunNoConnection, cause: err}
 	}
 	if !connect.IsWireError(err) {
-		return &LostError{cause: err}
+		return &NoReplyError{cause: err}
 	}
 	switch connect.CodeOf(err) {
 	case connect.CodeResourceExhausted:
@@ -70,7 +70,7 @@
 	case connect.CodeFailedPrecondition:
 		return &NotRunError{reason: NotRunWrongSnapshot, cause: err}
 	default:
-		return &LostError{cause: err}
+		return &NoReplyError{cause: err}
 	}
 }
 
--- a/cicadagraded/booker/book.go
+++ b/cicadagraded/booker/book.go
@@ -39,10 +39,10 @@
 	return r
 }
 
-// Send sends a booking to be run. It returns *tier.Refused only if the booking was not
+// SendFunc sends a booking to be run. It returns *tier.Refused only if the booking was not
 // run and will not be run because of this call, and *tier.Booked or *tier.Unknown
 // otherwise.
-type Send func(ctx context.Context) tier.Outcome
+type SendFunc func(ctx context.Context) tier.Outcome
 
 // Mint returns a key that only this incarnation of the VM can run, or an empty one if the
 // Booker has stopped or ctx ended.
@@ -65,7 +65,7 @@
 // *claimer.KeyReusedError and *tier.InvalidError. If ctx ends before send is called,
 // nothing is sent. A call of send that has started continues until its deadline, so that
 // its outcome can be recorded.
-func (b *Booker) Book(ctx context.Context, r Request, send Send) (tier.Outcome, error) {
+func (b *Booker) Book(ctx context.Context, r Request, send SendFunc) (tier.Outcome, error) {
 	key, err := claimer.ParseKey(r.key)
 	if err != nil {
 		return nil, errors.Wrap(err, "Booker.Book")
@@ -82,7 +82,7 @@
 }
 
 // awaitOutcome performs the actions of a submitted booking until it ends.
-func (b *Booker) awaitOutcome(ctx context.Context, submissionID uint64, actions *ring.Ring[claimer.Action], send Send) (tier.Outcome, error) {
+func (b *Booker) awaitOutcome(ctx context.Context, submissionID uint64, actions *ring.Ring[claimer.Action], send SendFunc) (tier.Outcome, error) {
 	callerGone := ctx.Done()
 	for {
 		select {
@@ -105,7 +105,7 @@
 
 // sendOnce calls send unless the caller has gone or the deadline has passed, which it may
 // have if the VM was paused.
-func (b *Booker) sendOnce(ctx context.Context, a *claimer.Run, send Send) tier.Outcome {
+func (b *Booker) sendOnce(ctx context.Context, a *claimer.Run, send SendFunc) tier.Outcome {
 	if ctx.Err() != nil {
 		return tier.NewRefused(tier.RefuseCallerGone, 0)
 	}
@@ -173,7 +173,7 @@
 // Error describes the error.
 func (*StoppedError) Error() string { return "the booker has stopped" }
 
-// Today returns the current UTC date in the form with which a caller's own key starts.
-func Today(clock *tier.Clock) string {
+// KeyDate returns the current UTC date in the form with which a caller's own key starts.
+func KeyDate(clock *tier.Clock) string {
 	return time.UnixMilli(int64(clock.Wall())).UTC().Format(time.DateOnly)
 }
--- a/cicadagraded/booker/booker_test.go
+++ b/cicadagraded/booker/booker_test.go
@@ -32,7 +32,7 @@
 
 // callerKey returns a caller's own idempotency key for the current date.
 func callerKey(clock *tier.Clock, name string) string {
-	return fmt.Sprint(booker.Today(clock), "-", name)
+	return fmt.Sprint(booker.KeyDate(clock), "-", name)
 }
 
 // One key is sent to two VMs many times at once, while the store loses some replies. The
--- a/cicadagraded/asker/book.go
+++ b/cicadagraded/coordinator/book.go
@@ -1,4 +1,4 @@
-package asker
+package coordinator
 
 import (
 	"context"
@@ -11,14 +11,14 @@
 
 // Book runs a booking at most once. Its errors are *KeyReusedError and
 // *tier.InvalidError; after these nothing was run.
-func (c *Front) Book(ctx context.Context, b Booking) (Receipt, error) {
+func (c *Coordinator) Book(ctx context.Context, b Booking) (BookingResult, error) {
 	set, ok := c.directory.Set(b.set)
 	if !ok {
 		return notRunResult(b, tier.RefuseNoConfig, 0), nil
 	}
 	minted, err := c.resolveKey(ctx, &b)
 	if err != nil {
-		return Receipt{}, errors.Wrap(err, "Coordinator.Book")
+		return BookingResult{}, errors.Wrap(err, "Coordinator.Book")
 	}
 	if b.idempotencyKey == "" {
 		return notRunResult(b, tier.RefuseLeaving, noOwnerRetryAfter), nil
@@ -29,14 +29,14 @@
 	shard := set.ShardOf(b.recordKey)
 	o, err := c.runClaimed(ctx, b, set, shard, minted)
 	if err != nil {
-		return Receipt{}, errors.Wrap(err, "Coordinator.Book")
+		return BookingResult{}, errors.Wrap(err, "Coordinator.Book")
 	}
-	return NewReceipt(o, b.idempotencyKey).withLocation(set, shard), nil
+	return NewBookingResult(o, b.idempotencyKey).withLocation(set, shard), nil
 }
 
 // resolveKey validates the booking's idempotency key, or mints one if there is none. It
 // reports whether the key is a minted one, of this VM or another.
-func (c *Front) resolveKey(ctx context.Context, b *Booking) (minted bool, err error) {
+func (c *Coordinator) resolveKey(ctx context.Context, b *Booking) (minted bool, err error) {
 	if b.idempotencyKey == "" {
 		b.idempotencyKey, b.firstSending = c.claimer.Mint(ctx), true
 		return true, nil
@@ -48,7 +48,7 @@
 // runClaimed claims the booking's key and runs the booking. A minted key is claimed on
 // this VM, which minted it; a caller's own key is claimed in the store by the VM that the
 // booking is forwarded to.
-func (c *Front) runClaimed(ctx context.Context, b Booking, set *tier.ShardSet, shard tier.Shard, minted bool) (tier.Outcome, error) {
+func (c *Coordinator) runClaimed(ctx context.Context, b Booking, set *tier.ShardSet, shard tier.Shard, minted bool) (tier.Outcome, error) {
 	if !minted {
 		o, err := c.forward(ctx, b, set, shard, false)
 		if o == nil && err == nil {
@@ -74,21 +74,21 @@
 
 // forward sends a booking to its owners in turn until it has reached one of them, so that
 // at most one owner runs it. It returns nil if it reached none.
-func (c *Front) forward(ctx context.Context, b Booking, set *tier.ShardSet, shard tier.Shard, minted bool) (tier.Outcome, error) {
+func (c *Coordinator) forward(ctx context.Context, b Booking, set *tier.ShardSet, shard tier.Shard, minted bool) (tier.Outcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, (b.deadline - c.clock.Now()).Duration())
 	defer cancel()
 	b.deadline -= min(bookingReplyReserve, (b.deadline-c.clock.Now())/4)
 	for _, vm := range c.bookingOwners(set, shard) {
-		o, err := c.messenger.Book(ctx, vm, NewForwarded(b, shard.ID(), minted))
+		o, err := c.messenger.Book(ctx, vm, NewForwardedBooking(b, shard.ID(), minted))
 		if err == nil {
-			c.directory.Answered(vm.Name())
+			c.directory.MarkAnswered(vm.Name())
 			return o, nil
 		}
 		var reused *KeyReusedError
 		if errors.As(err, &reused) {
 			return nil, errors.Wrap(err, "Coordinator.forward")
 		}
-		c.directory.Failed(vm.Name())
+		c.directory.MarkFailed(vm.Name())
 		if !wasNotSent(err) {
 			return tier.NewUnknown(tier.UnknownLostReply), nil
 		}
@@ -104,7 +104,7 @@
 
 // bookingOwners lists the VMs that may run a booking on a shard: first those in the data
 // centre of the first replica, then those in the data centres of the other replicas.
-func (c *Front) bookingOwners(set *tier.ShardSet, shard tier.Shard) []tier.VM {
+func (c *Coordinator) bookingOwners(set *tier.ShardSet, shard tier.Shard) []tier.VM {
 	var vms []tier.VM
 	seen := map[string]bool{}
 	for _, r := range shard.Replicas() {
@@ -121,10 +121,10 @@
 
 // notRunResult is the result of a booking that this VM did not send. The outcome is
 // unknown if the caller may have sent the key before, because that request may have run.
-func notRunResult(b Booking, r tier.RefuseReason, retryAfter tier.Millis) Receipt {
+func notRunResult(b Booking, r tier.RefuseReason, retryAfter tier.Millis) BookingResult {
 	refused := tier.NewRefused(r, retryAfter)
 	if b.firstSending || b.idempotencyKey == "" {
-		return NewReceipt(refused, b.idempotencyKey)
+		return NewBookingResult(refused, b.idempotencyKey)
 	}
-	return NewReceipt(tier.NewUnknownEarlier(refused), b.idempotencyKey)
+	return NewBookingResult(tier.NewUnknownEarlier(refused), b.idempotencyKey)
 }
--- a/cicadagraded/asker/coordinator.go
+++ b/cicadagraded/coordinator/coordinator.go
@@ -1,4 +1,4 @@
-package asker
+package coordinator
 
 import (
 	"context"
@@ -15,10 +15,10 @@
 	// Owners lists the VMs that may run requests to a set in a data centre, in order of
 	// preference. If several VMs share the set, turn selects which of them is first.
 	Owners(set, dataCentre string, turn uint64) []tier.VM
-	// Failed records that a VM did not answer a request.
-	Failed(vm string)
-	// Answered records that a VM answered a request.
-	Answered(vm string)
+	// MarkFailed records that a VM did not answer a request.
+	MarkFailed(vm string)
+	// MarkAnswered records that a VM answered a request.
+	MarkAnswered(vm string)
 	// Admit reports whether the owners' admission thresholds admit a request of this
 	// rank, and if not, after what time the caller may retry.
 	Admit(set string, rank tier.Rank) (retryAfter tier.Millis, ok bool)
@@ -29,14 +29,14 @@
 // run.
 type Messenger interface {
 	// Ask has the owner of a set on a VM run a part of a search.
-	Ask(ctx context.Context, vm tier.VM, set string, s owner.Search) (owner.End, error)
+	Ask(ctx context.Context, vm tier.VM, set string, s owner.Search) (owner.PartResult, error)
 	// Book has the owner on a VM run a booking. It returns a *KeyReusedError if the key
 	// was used for another request.
-	Book(ctx context.Context, vm tier.VM, b Forwarded) (tier.Outcome, error)
+	Book(ctx context.Context, vm tier.VM, b ForwardedBooking) (tier.Outcome, error)
 }
 
-// Claims mints idempotency keys and runs bookings at most once per key.
-type Claims interface {
+// Claimer mints idempotency keys and runs bookings at most once per key.
+type Claimer interface {
 	// Mint returns a key that only this incarnation of this VM may run, or an empty one
 	// if the VM is shutting down.
 	Mint(ctx context.Context) string
@@ -45,24 +45,24 @@
 	Book(ctx context.Context, b Booking, send func(context.Context) tier.Outcome) (tier.Outcome, error)
 }
 
-// Forwarded is a booking that is sent to the owner of its shard.
-type Forwarded struct {
+// ForwardedBooking is a booking that is sent to the owner of its shard.
+type ForwardedBooking struct {
 	Booking
 	shard  string
 	minted bool
 }
 
-// NewForwarded returns a booking for the owner of a shard. Minted reports whether the
+// NewForwardedBooking returns a booking for the owner of a shard. Minted reports whether the
 // entry VM minted its idempotency key.
-func NewForwarded(b Booking, shard string, minted bool) Forwarded {
-	return Forwarded{Booking: b, shard: shard, minted: minted}
+func NewForwardedBooking(b Booking, shard string, minted bool) ForwardedBooking {
+	return ForwardedBooking{Booking: b, shard: shard, minted: minted}
 }
 
 // Shard is the id of the shard that the booking runs on.
-func (f Forwarded) Shard() string { return f.shard }
+func (f ForwardedBooking) Shard() string { return f.shard }
 
 // Minted reports whether the entry VM minted the idempotency key.
-func (f Forwarded) Minted() bool { return f.minted }
+func (f ForwardedBooking) Minted() bool { return f.minted }
 
 // NotSentError reports that a request did not reach the VM it was sent to.
 type NotSentError struct{ cause error }
@@ -76,26 +76,26 @@
 // Error gives the cause.
 func (e *NotSentError) Error() string { return "not sent: " + e.cause.Error() }
 
-// Front runs callers' searches and bookings on the owners of the shard sets. It is safe
+// Coordinator runs callers' searches and bookings on the owners of the shard sets. It is safe
 // for concurrent use.
-type Front struct {
+type Coordinator struct {
 	dataCentre   string
 	clock        *tier.Clock
 	directory    Directory
 	messenger    Messenger
-	claimer      Claims
+	claimer      Claimer
 	rerunBudgets rerunBudgets
 	turn         atomic.Uint64 // a request counter, for Directory.Owners
 }
 
 // New returns the coordinator of a VM in a data centre.
-func New(dataCentre string, clock *tier.Clock, d Directory, m Messenger, c Claims) *Front {
-	return &Front{dataCentre: dataCentre, clock: clock, directory: d, messenger: m, claimer: c}
+func New(dataCentre string, clock *tier.Clock, d Directory, m Messenger, c Claimer) *Coordinator {
+	return &Coordinator{dataCentre: dataCentre, clock: clock, directory: d, messenger: m, claimer: c}
 }
 
 // noOwnerRetryAfter is the retry-after of requests that no owner could be found for.
 const noOwnerRetryAfter = 1 * tier.Second
 
-func refusedResult(r tier.RefuseReason, retryAfter tier.Millis) Answer {
-	return Answer{outcome: tier.NewRefused(r, retryAfter)}
+func refusedResult(r tier.RefuseReason, retryAfter tier.Millis) SearchResult {
+	return SearchResult{outcome: tier.NewRefused(r, retryAfter)}
 }
--- a/cicadagraded/asker/coordinator_test.go
+++ b/cicadagraded/coordinator/coordinator_test.go
@@ -1,4 +1,4 @@
-package asker_test
+package coordinator_test
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"math"
 	"testing"
 
-	"cicadagrade.example/cicadagraded/asker"
+	"cicadagrade.example/cicadagraded/coordinator"
 	"cicadagrade.example/cicadagraded/owner"
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/merger"
@@ -28,13 +28,13 @@
 	return []tier.VM{tier.NewVM("vm-1", dataCentre, "127.0.0.1:1")}
 }
 
-func (f *fakeTier) Failed(string) {}
+func (f *fakeTier) MarkFailed(string) {}
 
-func (f *fakeTier) Answered(string) {}
+func (f *fakeTier) MarkAnswered(string) {}
 
 func (f *fakeTier) Admit(string, tier.Rank) (tier.Millis, bool) { return 0, true }
 
-func (f *fakeTier) Ask(_ context.Context, _ tier.VM, _ string, s owner.Search) (owner.End, error) {
+func (f *fakeTier) Ask(_ context.Context, _ tier.VM, _ string, s owner.Search) (owner.PartResult, error) {
 	results := make([]merger.ShardResult, 0, len(s.Shards()))
 	for _, id := range s.Shards() {
 		results = append(results, merger.NewShardResult(id, []tier.Record{tier.NewRecord(id, "value")}))
@@ -42,7 +42,7 @@
 	return owner.NewDone(results, nil, len(results), 0), nil
 }
 
-func (f *fakeTier) Book(context.Context, tier.VM, asker.Forwarded) (tier.Outcome, error) {
+func (f *fakeTier) Book(context.Context, tier.VM, coordinator.ForwardedBooking) (tier.Outcome, error) {
 	return nil, nil
 }
 
@@ -73,14 +73,14 @@
 		b.Run(fmt.Sprintf("shards=%d", shards), func(b *testing.B) {
 			f := newFakeTier(b, shards)
 			clock := tier.NewClock()
-			c := asker.New("here", clock, f, f, nil)
+			c := coordinator.New("here", clock, f, f, nil)
 			p, err := tier.NewProfile("gate", tier.WithRank(tier.Urgent))
 			if err != nil {
 				b.Fatal(err)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				a := c.Search(context.Background(), asker.NewSearch("r", p, "set", "term", clock.Now()+tier.Second))
+				a := c.Search(context.Background(), coordinator.NewSearch("r", p, "set", "term", clock.Now()+tier.Second))
 				if o, ok := a.Outcome().(*tier.Answered); !ok || len(o.Records()) != shards {
 					b.Fatalf("outcome %v", a.Outcome())
 				}
--- a/cicadagraded/asker/request.go
+++ b/cicadagraded/coordinator/request.go
@@ -1,7 +1,7 @@
-// Package asker coordinates callers' requests on their entry VM: it plans each search,
+// Package coordinator coordinates callers' requests on their entry VM: it plans each search,
 // has the owners of the shard set run its parts and merges the results, and it forwards
 // each booking to the owner of its shard.
-package asker
+package coordinator
 
 import "cicadagrade.example/tier"
 
@@ -19,21 +19,21 @@
 	return Search{id: id, profile: profile, set: set, term: term, deadline: deadline}
 }
 
-// Answer is the result of a search.
-type Answer struct {
+// SearchResult is the result of a search.
+type SearchResult struct {
 	outcome    tier.Outcome
 	leafCalls  int
 	extraCalls int
 }
 
 // Outcome is the outcome of the search.
-func (r Answer) Outcome() tier.Outcome { return r.outcome }
+func (r SearchResult) Outcome() tier.Outcome { return r.outcome }
 
 // LeafCalls is the number of calls to backend servers that were made.
-func (r Answer) LeafCalls() int { return r.leafCalls }
+func (r SearchResult) LeafCalls() int { return r.leafCalls }
 
 // ExtraCalls is the number of these calls that were hedges or retries.
-func (r Answer) ExtraCalls() int { return r.extraCalls }
+func (r SearchResult) ExtraCalls() int { return r.extraCalls }
 
 // Booking is a caller's non-idempotent request: it must run at most once.
 type Booking struct {
@@ -83,15 +83,15 @@
 // IdempotencyKey is the idempotency key, under which the booking runs at most once.
 func (b Booking) IdempotencyKey() string { return b.idempotencyKey }
 
-// First reports whether the caller guarantees never to have sent the key before.
-func (b Booking) First() bool { return b.firstSending }
+// FirstSending reports whether the caller guarantees never to have sent the key before.
+func (b Booking) FirstSending() bool { return b.firstSending }
 
 // Deadline is the time on the VM's clock by which the booking has to end.
 func (b Booking) Deadline() tier.Millis { return b.deadline }
 
-// Receipt is the result of a booking. Its outcome is *tier.Booked, *tier.Refused or
+// BookingResult is the result of a booking. Its outcome is *tier.Booked, *tier.Refused or
 // *tier.Unknown.
-type Receipt struct {
+type BookingResult struct {
 	outcome        tier.Outcome
 	idempotencyKey string
 	executed       bool
@@ -99,23 +99,25 @@
 	shard          string
 }
 
-// NewReceipt returns the result of a booking with an idempotency key.
-func NewReceipt(o tier.Outcome, idempotencyKey string) Receipt {
-	return Receipt{outcome: o, idempotencyKey: idempotencyKey}
+// NewBookingResult returns the result of a booking with an idempotency key.
+func NewBookingResult(o tier.Outcome, idempotencyKey string) BookingResult {
+	return BookingResult{outcome: o, idempotencyKey: idempotencyKey}
 }
 
 // Outcome is the outcome of the booking.
-func (r Receipt) Outcome() tier.Outcome { return r.outcome }
+func (r BookingResult) Outcome() tier.Outcome { return r.outcome }
 
 // IdempotencyKey is the caller's idempotency key or the one that was minted.
-func (r Receipt) IdempotencyKey() string { return r.idempotencyKey }
+func (r BookingResult) IdempotencyKey() string { return r.idempotencyKey }
 
-// Where returns the epoch of the shard map and the id of the shard on which the booking
+// ExecutedOn returns the epoch of the shard map and the id of the shard on which the booking
 // ran. Ok is false if it did not run, or ran for an earlier request with the same key.
-func (r Receipt) Where() (e tier.Epoch, shard string, ok bool) { return r.epoch, r.shard, r.executed }
+func (r BookingResult) ExecutedOn() (e tier.Epoch, shard string, ok bool) {
+	return r.epoch, r.shard, r.executed
+}
 
 // withLocation adds the shard map and the shard of the booking.
-func (r Receipt) withLocation(set *tier.ShardSet, shard tier.Shard) Receipt {
+func (r BookingResult) withLocation(set *tier.ShardSet, shard tier.Shard) BookingResult {
 	b, ok := r.outcome.(*tier.Booked)
 	r.executed = ok && !b.Repeated()
 	r.epoch = set.Epoch()
--- a/cicadagraded/asker/search.go
+++ b/cicadagraded/coordinator/search.go
@@ -1,4 +1,4 @@
-package asker
+package coordinator
 
 import (
 	"context"
@@ -18,7 +18,7 @@
 
 // searchRun is a running search.
 type searchRun struct {
-	coordinator *Front
+	coordinator *Coordinator
 	search      Search
 	set         *tier.ShardSet
 	plan        *planner.Plan
@@ -26,14 +26,14 @@
 	group       *errgroup.Group
 	ctx         context.Context
 	cancels     map[uint64]context.CancelFunc
-	result      Answer
+	result      SearchResult
 	leafCalls   atomic.Int64
 	extraCalls  atomic.Int64
 }
 
 // Search runs a search and returns as soon as its outcome is known. Parts that still run
 // are cancelled.
-func (c *Front) Search(ctx context.Context, s Search) Answer {
+func (c *Coordinator) Search(ctx context.Context, s Search) SearchResult {
 	set, ok := c.directory.Set(s.set)
 	if !ok {
 		return refusedResult(tier.RefuseNoConfig, 0)
@@ -134,11 +134,11 @@
 	for _, vm := range vms[:min(len(vms), maxOwnersTried)] {
 		result, err := r.coordinator.messenger.Ask(ctx, vm, r.set.Name(), s)
 		if err == nil {
-			r.coordinator.directory.Answered(vm.Name())
+			r.coordinator.directory.MarkAnswered(vm.Name())
 			return r.partEvent(a, result, sent)
 		}
 		if r.ctx.Err() == nil {
-			r.coordinator.directory.Failed(vm.Name())
+			r.coordinator.directory.MarkFailed(vm.Name())
 		}
 		if ctx.Err() != nil {
 			return planner.NewPartFailed(a.Part(), tier.MissDeadline)
@@ -156,17 +156,17 @@
 
 // partEvent converts an owner's result of a part to an event of the plan. Lost says that
 // another owner got the part before, did not answer and may have made leaf calls.
-func (r *searchRun) partEvent(a *planner.SendPart, e owner.End, lost bool) planner.Event {
+func (r *searchRun) partEvent(a *planner.SendPart, e owner.PartResult, lost bool) planner.Event {
 	switch e := e.(type) {
 	case *owner.Done:
-		calls := e.Calls()
+		calls := e.LeafCalls()
 		if lost {
 			calls = max(calls, 1)
 		}
-		r.leafCalls.Add(int64(e.Calls()))
+		r.leafCalls.Add(int64(e.LeafCalls()))
 		r.extraCalls.Add(int64(e.ExtraCalls()))
-		held := make([]planner.HeldVersions, 0, len(e.Held()))
-		for _, h := range e.Held() {
+		held := make([]planner.HeldVersions, 0, len(e.Holdings()))
+		for _, h := range e.Holdings() {
 			held = append(held, planner.NewHeldVersions(h.Shard(), h.Epoch(), h.Versions()))
 		}
 		return planner.NewPartReplied(a.Part(), a.Snapshot(), e.Results(), held, calls)
--- a/cicadagraded/locator/bench_test.go
+++ b/cicadagraded/locator/bench_test.go
@@ -45,7 +45,7 @@
 	l.Update(sets, members, allReachable)
 	for _, s := range sets {
 		o := l.Owners(s.Name(), "here", 0)[0]
-		l.Reported(s.Name(), o.Name(), r, true)
+		l.UpdateReport(s.Name(), o.Name(), r, true)
 	}
 	return l, sets, members, r
 }
@@ -60,7 +60,7 @@
 			l, sets, _, r := newLocator(b, setCount)
 			vm := l.Owners(sets[0].Name(), "here", 0)[0].Name()
 			for b.Loop() {
-				l.Reported(sets[0].Name(), vm, r, true)
+				l.UpdateReport(sets[0].Name(), vm, r, true)
 			}
 		})
 	}
--- a/cicadagraded/locator/candidates.go
+++ b/cicadagraded/locator/candidates.go
@@ -8,13 +8,13 @@
 	"cicadagrade.example/tier/picker"
 )
 
-// Announced records the VM that owns a set in another data centre, as one of its owners
+// UpdateRemoteOwner records the VM that owns a set in another data centre, as one of its owners
 // by index, and its report. This VM may know only a few members of that data centre.
-func (l *Locator) Announced(set string, index int, vm tier.VM, r owner.Report) {
+func (l *Locator) UpdateRemoteOwner(set string, index int, vm tier.VM, r owner.Report) {
 	l.mu.Lock()
 	l.remoteOwners[remoteOwnerKey{set, vm.DataCentre(), index}] = vm
 	l.mu.Unlock()
-	l.Reported(set, vm.Name(), r, true)
+	l.UpdateReport(set, vm.Name(), r, true)
 }
 
 // candidates lists the VMs that may run requests to a set in a data centre: first the
--- a/cicadagraded/locator/locator.go
+++ b/cicadagraded/locator/locator.go
@@ -127,8 +127,8 @@
 	l.rebuild()
 }
 
-// Reported records the report of an owner, or forgets its reports if ok is false.
-func (l *Locator) Reported(set, vm string, r owner.Report, ok bool) {
+// UpdateReport records the report of an owner, or forgets its reports if ok is false.
+func (l *Locator) UpdateReport(set, vm string, r owner.Report, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := reportKey{set: set, vm: vm}
@@ -203,7 +203,7 @@
 		}
 		if r, ok := reports.atEpoch(s.Epoch()); ok {
 			p.addReport(s, r)
-			p.informedVMs[vm.Name()] = r.Informed()
+			p.informedVMs[vm.Name()] = r.HasHoldings()
 		}
 	}
 	return p
--- a/cicadagraded/locator/queries.go
+++ b/cicadagraded/locator/queries.go
@@ -28,9 +28,9 @@
 	return p.epoch, p.versions[shard]
 }
 
-// Informed reports whether the holdings of each set are known for every data centre that
+// HoldingsKnown reports whether the holdings of each set are known for every data centre that
 // is reachable and has candidates for the set.
-func (l *Locator) Informed() bool {
+func (l *Locator) HoldingsKnown() bool {
 	v := l.view.Load()
 	for k, p := range v.placements {
 		if v.reachable[k.dataCentre] && len(p.candidates) > 0 && len(p.versions) == 0 {
@@ -63,8 +63,8 @@
 	return l.sortByPenalty(p, append(out, p.candidates[n:]...))
 }
 
-// Threshold records the admission threshold that an owner sent with a reply or published.
-func (l *Locator) Threshold(set, vm string, t admitter.Threshold) {
+// UpdateThreshold records the admission threshold that an owner sent with a reply or published.
+func (l *Locator) UpdateThreshold(set, vm string, t admitter.Threshold) {
 	l.admissionMu.Lock()
 	defer l.admissionMu.Unlock()
 	k := reportKey{set: set, vm: vm}
--- a/cicadagraded/locator/suspicion.go
+++ b/cicadagraded/locator/suspicion.go
@@ -10,8 +10,8 @@
 // with each further failure, up to MaxSuspicion: gossip takes some seconds to detect that
 // the VM is lost.
 const (
-	SuspectFor     = 2 * tier.Second
-	MaxSuspectSpan = 16 * tier.Second
+	InitialSuspicion = 2 * tier.Second
+	MaxSuspicion     = 16 * tier.Second
 )
 
 // suspicion records when a VM did not answer and for how long it is tried last.
@@ -20,22 +20,22 @@
 	duration tier.Millis
 }
 
-// Failed records that a VM did not answer a request. Further failures during a suspicion
+// MarkFailed records that a VM did not answer a request. Further failures during a suspicion
 // do not count.
-func (l *Locator) Failed(vm string) {
+func (l *Locator) MarkFailed(vm string) {
 	now := l.clock.Now()
-	next := suspicion{since: now, duration: SuspectFor}
+	next := suspicion{since: now, duration: InitialSuspicion}
 	if last, ok := l.suspicionOf(vm); ok {
 		if now-last.since < last.duration {
 			return
 		}
-		next.duration = min(2*last.duration, MaxSuspectSpan)
+		next.duration = min(2*last.duration, MaxSuspicion)
 	}
 	l.suspicions.Store(vm, next)
 }
 
-// Answered records that a VM answered a request, and ends its suspicion.
-func (l *Locator) Answered(vm string) {
+// MarkAnswered records that a VM answered a request, and ends its suspicion.
+func (l *Locator) MarkAnswered(vm string) {
 	if _, ok := l.suspicions.Load(vm); ok {
 		l.suspicions.Delete(vm)
 	}
--- a/cicadagraded/owner/bench_test.go
+++ b/cicadagraded/owner/bench_test.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sync/errgroup"
 
 	backendv1 "cicadagrade.example/api/backend/v1"
-	"cicadagrade.example/cicadagraded/dialer"
+	"cicadagrade.example/cicadagraded/backendclient"
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/prober"
 )
@@ -41,9 +41,9 @@
 	for _, shards := range benchShardCounts {
 		b.Run(fmt.Sprintf("shards=%d", shards), func(b *testing.B) {
 			set := newLeafSet(b, &leafServer{}, shards, 2)
-			var clients []*dialer.Link
+			var clients []*backendclient.Client
 			for _, s := range set.Servers() {
-				clients = append(clients, dialer.NewLink(s, s.Slots()))
+				clients = append(clients, backendclient.New(s, s.Slots()))
 			}
 			measurePerCall(b, shards, func() { searchDirectly(b, clients) })
 		})
@@ -51,7 +51,7 @@
 }
 
 // searchDirectly makes one search call with each client, all at once.
-func searchDirectly(b *testing.B, clients []*dialer.Link) {
+func searchDirectly(b *testing.B, clients []*backendclient.Client) {
 	g, ctx := errgroup.WithContext(context.Background())
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -88,7 +88,7 @@
 // server of each shard is live and holds version 1.
 func idleOwner(b *testing.B, shards int) *Owner {
 	set := newLeafSet(b, &leafServer{}, shards, 2)
-	o := New(NewIdentity("vm-1", "here", 1), tier.NewClock(), set, nil, testOutlet(nil))
+	o := New(NewIdentity("vm-1", "here", 1), tier.NewClock(), set, nil, testPublisher(nil))
 	for _, s := range set.Servers() {
 		p, err := prober.New(s.Name())
 		if err != nil {
@@ -98,7 +98,7 @@
 		o.probers[s.Name()] = p
 	}
 	for _, s := range set.Shards() {
-		o.updateHolding(s.Replicas()[0], Held{shard: s.ID(), epoch: 1, versions: []tier.Version{1}})
+		o.updateHolding(s.Replicas()[0], HeldVersions{shard: s.ID(), epoch: 1, versions: []tier.Version{1}})
 	}
 	return o
 }
--- a/cicadagraded/owner/convert.go
+++ b/cicadagraded/owner/convert.go
@@ -5,27 +5,27 @@
 	"cicadagrade.example/tier"
 )
 
-// Held lists the index versions of a shard that backend servers hold, and the epoch of
+// HeldVersions lists the index versions of a shard that backend servers hold, and the epoch of
 // the shard map under which they hold them.
-type Held struct {
+type HeldVersions struct {
 	shard    string
 	epoch    tier.Epoch
 	versions []tier.Version
 }
 
-// NewHeld returns the versions of a shard that are held under an epoch.
-func NewHeld(shard string, e tier.Epoch, versions []tier.Version) Held {
-	return Held{shard: shard, epoch: e, versions: versions}
+// NewHeldVersions returns the versions of a shard that are held under an epoch.
+func NewHeldVersions(shard string, e tier.Epoch, versions []tier.Version) HeldVersions {
+	return HeldVersions{shard: shard, epoch: e, versions: versions}
 }
 
 // Shard is the id of the shard.
-func (h Held) Shard() string { return h.shard }
+func (h HeldVersions) Shard() string { return h.shard }
 
 // Epoch is the epoch of the shard map.
-func (h Held) Epoch() tier.Epoch { return h.epoch }
+func (h HeldVersions) Epoch() tier.Epoch { return h.epoch }
 
 // Versions are the index versions.
-func (h Held) Versions() []tier.Version { return h.versions }
+func (h HeldVersions) Versions() []tier.Version { return h.versions }
 
 func toRecords(list []*backendv1.Record) []tier.Record {
 	records := make([]tier.Record, 0, len(list))
@@ -39,7 +39,7 @@
 	return tier.NewSnapshot(tier.Epoch(s.GetEpoch()), tier.Version(s.GetVersion()))
 }
 
-func toHeldVersions(h *backendv1.Holding) *Held {
+func toHeldVersions(h *backendv1.Holding) *HeldVersions {
 	if h == nil {
 		return nil
 	}
@@ -47,7 +47,7 @@
 	for _, v := range h.GetVersions() {
 		versions = append(versions, tier.Version(v))
 	}
-	return &Held{shard: h.GetShard(), epoch: tier.Epoch(h.GetEpoch()), versions: versions}
+	return &HeldVersions{shard: h.GetShard(), epoch: tier.Epoch(h.GetEpoch()), versions: versions}
 }
 
 func toState(s backendv1.ServerState) tier.BackendState {
--- a/cicadagraded/owner/loop.go
+++ b/cicadagraded/owner/loop.go
@@ -165,7 +165,7 @@
 	o.stepDispatcher(dispatcher.NewSubmit(p.number, s.profile, s.deadline, s.shards, dispatcher.WithSnapshot(s.snapshot)))
 }
 
-func (o *Owner) cancelPart(end chan End) {
+func (o *Owner) cancelPart(end chan PartResult) {
 	if n, ok := o.partByResult[end]; ok {
 		o.stepDispatcher(dispatcher.NewCancelled(n))
 		return
@@ -206,7 +206,7 @@
 
 // updateHolding tells the dispatcher which versions a backend server holds, if they have
 // changed.
-func (o *Owner) updateHolding(server string, h Held) {
+func (o *Owner) updateHolding(server string, h HeldVersions) {
 	k := holdingKey{server: server, shard: h.shard, epoch: h.epoch}
 	if slices.Equal(o.holdings[k], h.versions) {
 		return
@@ -234,7 +234,7 @@
 	case *dispatcher.PartRefused:
 		o.finishPart(a.Part(), &NotRun{reason: a.Reason(), retryAfter: a.RetryAfter()})
 	case *dispatcher.PartUnknown:
-		o.finishPart(a.Part(), &Unsure{reason: a.Reason()})
+		o.finishPart(a.Part(), &Unknown{reason: a.Reason()})
 	}
 }
 
@@ -295,7 +295,7 @@
 
 // finishPart returns the result of a part and forgets its ended calls. Calls that still
 // run are forgotten when they end.
-func (o *Owner) finishPart(number uint64, e End) {
+func (o *Owner) finishPart(number uint64, e PartResult) {
 	p, ok := o.parts[number]
 	if !ok {
 		return
--- a/cicadagraded/owner/message.go
+++ b/cicadagraded/owner/message.go
@@ -12,11 +12,11 @@
 type submitMessage struct {
 	search  *Search
 	booking *Booking
-	result  chan End
+	result  chan PartResult
 }
 
 // cancelMessage cancels the part whose result nobody waits for any more.
-type cancelMessage struct{ result chan End }
+type cancelMessage struct{ result chan PartResult }
 
 // callEndedMessage reports the result of a leaf call.
 type callEndedMessage struct {
@@ -25,7 +25,7 @@
 	records      []tier.Record
 	receipt      string
 	state        tier.BackendState
-	heldVersions *Held
+	heldVersions *HeldVersions
 	rejected     bool
 	// connectionRefused reports that the backend server's machine refused the
 	// connection.
@@ -44,7 +44,7 @@
 	// connection.
 	connectionRefused bool
 	state             tier.BackendState
-	holdings          []Held
+	holdings          []HeldVersions
 }
 
 // setMessage replaces the shard set's configuration.
--- a/cicadagraded/owner/owner.go
+++ b/cicadagraded/owner/owner.go
@@ -54,7 +54,7 @@
 	set                    *tier.ShardSet
 	dispatcher             *dispatcher.Dispatcher
 	parts                  map[uint64]*part
-	partByResult           map[chan End]uint64
+	partByResult           map[chan PartResult]uint64
 	calls                  map[uint64]*call
 	pools                  map[string]*workerPool
 	probers                map[string]*prober.Prober
@@ -70,7 +70,7 @@
 	group                  *errgroup.Group
 	ctx                    context.Context
 	stopped                chan struct{} // closed when the event loop has ended
-	publisher              Outlet
+	publisher              Publisher
 	ownerIndex             int // among the VMs that share the slots; negative while on standby
 	lastReport             Report
 	lastThresholdRestricts bool        // the threshold published last does not admit all
@@ -92,28 +92,28 @@
 	term     string
 	booking  *Booking
 	calls    []uint64
-	result   chan End
+	result   chan PartResult
 }
 
-// Outlet publishes what owners learn about their shard sets. Its methods are called from
+// Publisher publishes what owners learn about their shard sets. Its methods are called from
 // the owners' event loops and must not block.
-type Outlet interface {
-	// Report publishes which index versions the backend servers of a set hold. Index is
+type Publisher interface {
+	// PublishReport publishes which index versions the backend servers of a set hold. Index is
 	// that of the owner among the VMs that share the slots of the set, or negative if
 	// the owner is on standby.
-	Report(set string, r Report, index int)
-	// Threshold publishes the admission threshold of a set.
-	Threshold(set string, t admitter.Threshold)
-	// Withdraw withdraws the report and the threshold of a set whose owner has ended.
-	Withdraw(set string)
-	// Backend reports a new state of a backend server. Reason names the observation
+	PublishReport(set string, r Report, index int)
+	// PublishThreshold publishes the admission threshold of a set.
+	PublishThreshold(set string, t admitter.Threshold)
+	// WithdrawReport withdraws the report and the threshold of a set whose owner has ended.
+	WithdrawReport(set string)
+	// BackendChanged reports a new state of a backend server. Reason names the observation
 	// behind the change.
-	Backend(set, server string, s tier.BackendState, reason string)
+	BackendChanged(set, server string, s tier.BackendState, reason string)
 }
 
 // New returns an owner of a shard set, on standby. NewAttemptID returns a new id for each
 // leaf call.
-func New(id Identity, clock *tier.Clock, set *tier.ShardSet, newAttemptID func() tier.AttemptID, publisher Outlet) *Owner {
+func New(id Identity, clock *tier.Clock, set *tier.ShardSet, newAttemptID func() tier.AttemptID, publisher Publisher) *Owner {
 	return &Owner{
 		id:                 id,
 		name:               set.Name(),
@@ -122,7 +122,7 @@
 		set:                set,
 		dispatcher:         dispatcher.New(set, id.dataCentre, dispatcher.WithSeed(uint64(id.incarnation))),
 		parts:              map[uint64]*part{},
-		partByResult:       map[chan End]uint64{},
+		partByResult:       map[chan PartResult]uint64{},
 		newAttemptID:       newAttemptID,
 		stopped:            make(chan struct{}),
 		calls:              map[uint64]*call{},
@@ -187,13 +187,13 @@
 	return Booking{profile: p, shard: shard, recordKey: recordKey, body: body, deadline: deadline}
 }
 
-// End is the result of a part: *Done, *NotRun or *Unknown.
-type End interface{ partResult() }
+// PartResult is the result of a part: *Done, *NotRun or *Unknown.
+type PartResult interface{ partResult() }
 
 // Done is the result of a part that ran.
 type Done struct {
 	results    []merger.ShardResult
-	holdings   []Held
+	holdings   []HeldVersions
 	receipt    string
 	leafCalls  int
 	extraCalls int
@@ -202,21 +202,21 @@
 // Results are the results of the shards of a search.
 func (d *Done) Results() []merger.ShardResult { return d.results }
 
-// Held lists the index versions that the backend servers hold of the shards without
+// Holdings lists the index versions that the backend servers hold of the shards without
 // records.
-func (d *Done) Held() []Held { return d.holdings }
+func (d *Done) Holdings() []HeldVersions { return d.holdings }
 
 // Receipt is the receipt of a booking.
 func (d *Done) Receipt() string { return d.receipt }
 
-// Calls is the number of leaf calls that were made.
-func (d *Done) Calls() int { return d.leafCalls }
+// LeafCalls is the number of leaf calls that were made.
+func (d *Done) LeafCalls() int { return d.leafCalls }
 
 // ExtraCalls is the number of leaf calls that were hedges or retries.
 func (d *Done) ExtraCalls() int { return d.extraCalls }
 
 // NewDone returns the result of a part of a search that ran.
-func NewDone(results []merger.ShardResult, holdings []Held, leafCalls, extraCalls int) *Done {
+func NewDone(results []merger.ShardResult, holdings []HeldVersions, leafCalls, extraCalls int) *Done {
 	return &Done{results: results, holdings: holdings, leafCalls: leafCalls, extraCalls: extraCalls}
 }
 
@@ -237,20 +237,20 @@
 // RetryAfter is the time after which a retry may succeed, or 0 if it is not known.
 func (n *NotRun) RetryAfter() tier.Millis { return n.retryAfter }
 
-// Unsure is the result of a part that may have run, in full or in part.
-type Unsure struct{ reason tier.UnknownReason }
+// Unknown is the result of a part that may have run, in full or in part.
+type Unknown struct{ reason tier.UnknownReason }
 
 // Reason is the reason why the result is unknown.
-func (u *Unsure) Reason() tier.UnknownReason { return u.reason }
+func (u *Unknown) Reason() tier.UnknownReason { return u.reason }
 
-func (*Done) partResult()   {}
-func (*NotRun) partResult() {}
-func (*Unsure) partResult() {}
+func (*Done) partResult()    {}
+func (*NotRun) partResult()  {}
+func (*Unknown) partResult() {}
 
 // Search runs a part of a search and returns its result. If ctx ends first, the part is
 // cancelled.
-func (o *Owner) Search(ctx context.Context, s Search) End {
-	m := &submitMessage{search: &s, result: make(chan End, 1)}
+func (o *Owner) Search(ctx context.Context, s Search) PartResult {
+	m := &submitMessage{search: &s, result: make(chan PartResult, 1)}
 	if err := o.inbox.Push(ctx, m); err != nil {
 		return &NotRun{reason: tier.RefuseOverload}
 	}
@@ -261,14 +261,14 @@
 		o.inbox.TryPush(&cancelMessage{result: m.result})
 	case <-o.stopped:
 	}
-	return &Unsure{reason: tier.UnknownDeadline}
+	return &Unknown{reason: tier.UnknownDeadline}
 }
 
 // Book runs a booking at most once and returns its result. If ctx ends before the booking
 // was sent to a backend server, it is not sent. If it was sent, it ends with the reply or
 // at its deadline.
-func (o *Owner) Book(ctx context.Context, b Booking) End {
-	m := &submitMessage{booking: &b, result: make(chan End, 1)}
+func (o *Owner) Book(ctx context.Context, b Booking) PartResult {
+	m := &submitMessage{booking: &b, result: make(chan PartResult, 1)}
 	if err := o.inbox.Push(ctx, m); err != nil {
 		return &NotRun{reason: tier.RefuseOverload}
 	}
@@ -283,7 +283,7 @@
 	case e := <-m.result:
 		return e
 	case <-o.stopped:
-		return &Unsure{reason: tier.UnknownLostReply}
+		return &Unknown{reason: tier.UnknownLostReply}
 	}
 }
 
--- a/cicadagraded/owner/pool.go
+++ b/cicadagraded/owner/pool.go
@@ -6,7 +6,7 @@
 	"github.com/pkg/errors"
 
 	backendv1 "cicadagrade.example/api/backend/v1"
-	"cicadagrade.example/cicadagraded/dialer"
+	"cicadagrade.example/cicadagraded/backendclient"
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/correlator"
 	"cicadagrade.example/tier/dispatcher"
@@ -40,7 +40,7 @@
 // workerPool makes the calls to one backend server. It has one worker for each slot of
 // the server, and one more for health probes.
 type workerPool struct {
-	client    *dialer.Link
+	client    *backendclient.Client
 	calls     *ring.Ring[*call]
 	probes    *ring.Ring[uint64]
 	ctx       context.Context
@@ -53,7 +53,7 @@
 func (o *Owner) startPool(server tier.Backend) *workerPool {
 	ctx, cancel := context.WithCancel(o.ctx)
 	w := &workerPool{
-		client: dialer.NewLink(server, server.Slots()),
+		client: backendclient.New(server, server.Slots()),
 		calls:  ring.New[*call](server.Slots()),
 		probes: ring.New[uint64](1),
 		ctx:    ctx,
@@ -158,22 +158,22 @@
 // state of the backend server if the error shows one.
 func failureMessage(c *call, err error) *callEndedMessage {
 	m := &callEndedMessage{attempt: c.attempt, result: &dispatcher.ReplyFailed{}, cancelled: errors.Is(c.ctx.Err(), context.Canceled)}
-	var notRun *dialer.NotRunError
+	var notRun *backendclient.NotRunError
 	if !errors.As(err, &notRun) {
 		return m
 	}
 	switch notRun.Reason() {
-	case dialer.NotRunShed:
+	case backendclient.NotRunShed:
 		m.state = tier.BackendShedding
 		m.result = dispatcher.NewReplyNotRun(dispatcher.NotRunShed)
-	case dialer.NotRunLeaving:
+	case backendclient.NotRunLeaving:
 		m.state = tier.BackendLeaving
 		m.result = dispatcher.NewReplyNotRun(dispatcher.NotRunLeaving)
-	case dialer.NotRunWrongSnapshot:
+	case backendclient.NotRunWrongSnapshot:
 		m.result = dispatcher.NewReplyNotRun(dispatcher.NotRunWrongSnapshot)
-	case dialer.NotRunNoConnection:
+	case backendclient.NotRunNoConnection:
 		m.state = tier.BackendLost
-		m.connectionRefused = notRun.Refused()
+		m.connectionRefused = notRun.ConnectionRefused()
 		m.result = dispatcher.NewReplyNotRun(dispatcher.NotRunShed)
 	}
 	return m
--- a/cicadagraded/owner/probing.go
+++ b/cicadagraded/owner/probing.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 
 	backendv1 "cicadagrade.example/api/backend/v1"
-	"cicadagrade.example/cicadagraded/dialer"
+	"cicadagrade.example/cicadagraded/backendclient"
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/dispatcher"
 	"cicadagrade.example/tier/prober"
@@ -92,7 +92,7 @@
 }
 
 func (o *Owner) stateChanged(a *prober.StateChanged) {
-	o.publisher.Backend(o.name, a.Server(), a.State(), a.Reason())
+	o.publisher.BackendChanged(o.name, a.Server(), a.State(), a.Reason())
 	o.stepDispatcher(dispatcher.NewBackendChanged(a.Server(), a.State()))
 	o.reportAt = 0
 }
@@ -164,9 +164,9 @@
 	m := &probeEndedMessage{server: w.client.Server().Name(), number: number}
 	reply, err := w.client.Health(ctx)
 	if err != nil {
-		var notRun *dialer.NotRunError
+		var notRun *backendclient.NotRunError
 		m.failed = true
-		m.connectionRefused = errors.As(err, &notRun) && notRun.Refused()
+		m.connectionRefused = errors.As(err, &notRun) && notRun.ConnectionRefused()
 		return m
 	}
 	m.state = toState(reply.GetState())
@@ -175,8 +175,8 @@
 }
 
 // holdingsOfSet converts the holdings of a backend server that belong to the owner's set.
-func (o *Owner) holdingsOfSet(list []*backendv1.Holding) []Held {
-	holdings := make([]Held, 0, len(list))
+func (o *Owner) holdingsOfSet(list []*backendv1.Holding) []HeldVersions {
+	holdings := make([]HeldVersions, 0, len(list))
 	for _, h := range list {
 		if h.GetSet() == o.name {
 			holdings = append(holdings, *toHeldVersions(h))
--- a/cicadagraded/owner/registry.go
+++ b/cicadagraded/owner/registry.go
@@ -22,7 +22,7 @@
 	id        Identity
 	clock     *tier.Clock
 	sets      func(name string) (*tier.ShardSet, bool)
-	publisher Outlet
+	publisher Publisher
 	mu        sync.Mutex
 	owners    map[string]*registryEntry
 	group     *errgroup.Group
@@ -43,7 +43,7 @@
 
 // NewRegistry returns a registry without owners, which stop when ctx ends. Sets looks up
 // a shard set in the configuration in force.
-func NewRegistry(ctx context.Context, id Identity, clock *tier.Clock, sets func(string) (*tier.ShardSet, bool), publisher Outlet) *Registry {
+func NewRegistry(ctx context.Context, id Identity, clock *tier.Clock, sets func(string) (*tier.ShardSet, bool), publisher Publisher) *Registry {
 	group, groupCtx := errgroup.WithContext(ctx)
 	return &Registry{
 		id: id, clock: clock, sets: sets, publisher: publisher,
@@ -55,7 +55,7 @@
 // there is none. The part runs even if this VM is not an owner of the set in its own
 // view: the views of two VMs may differ for a while, and an owner on standby uses only
 // one slot of each backend server.
-func (r *Registry) Search(ctx context.Context, set string, s Search) End {
+func (r *Registry) Search(ctx context.Context, set string, s Search) PartResult {
 	o, ok := r.get(set)
 	if !ok {
 		return &NotRun{reason: tier.RefuseNoConfig}
@@ -75,7 +75,7 @@
 }
 
 // Book runs a booking on this VM's owner of the set, as Search does.
-func (r *Registry) Book(ctx context.Context, set string, b Booking) End {
+func (r *Registry) Book(ctx context.Context, set string, b Booking) PartResult {
 	o, ok := r.get(set)
 	if !ok {
 		return &NotRun{reason: tier.RefuseNoConfig}
@@ -182,7 +182,7 @@
 	if r.clock.Now()-e.lastUsed > idleTimeout {
 		e.stop()
 		delete(r.owners, name)
-		r.publisher.Withdraw(name)
+		r.publisher.WithdrawReport(name)
 	}
 }
 
--- a/cicadagraded/owner/report.go
+++ b/cicadagraded/owner/report.go
@@ -30,8 +30,8 @@
 // the epoch's map.
 func (r Report) Versions(i int) []tier.Version { return r.versions[i] }
 
-// Informed reports whether the report lists any versions.
-func (r Report) Informed() bool { return len(r.versions) > 0 }
+// HasHoldings reports whether the report lists any versions.
+func (r Report) HasHoldings() bool { return len(r.versions) > 0 }
 
 // holdingJSON lists the shards of which the same versions are held, as runs of
 // consecutive shards of the map: the index of the first one and the length.
@@ -188,7 +188,7 @@
 	r := Report{epoch: o.set.Epoch(), versions: o.heldVersions()}
 	if !r.sameHoldings(o.lastReport) {
 		o.lastReport = r
-		o.publisher.Report(o.name, r, o.ownerIndex)
+		o.publisher.PublishReport(o.name, r, o.ownerIndex)
 	}
 }
 
@@ -202,7 +202,7 @@
 	}
 	o.lastThresholdAt = now
 	o.lastThresholdRestricts = !t.AdmitsAll()
-	o.publisher.Threshold(o.name, t)
+	o.publisher.PublishThreshold(o.name, t)
 }
 
 // heldVersions lists, by the shard's index in the map, the index versions held by the
@@ -230,11 +230,11 @@
 
 // heldVersionsOf lists the index versions that the owner's backend servers hold of the
 // missed shards.
-func (o *Owner) heldVersionsOf(missed map[string]bool) []Held {
-	var held []Held
+func (o *Owner) heldVersionsOf(missed map[string]bool) []HeldVersions {
+	var held []HeldVersions
 	for _, s := range o.set.Shards() {
 		if missed[s.ID()] {
-			held = append(held, Held{shard: s.ID(), epoch: o.set.Epoch(), versions: o.versionsOfShard(s)})
+			held = append(held, HeldVersions{shard: s.ID(), epoch: o.set.Epoch(), versions: o.versionsOfShard(s)})
 		}
 	}
 	return held
--- a/cicadagraded/owner/status.go
+++ b/cicadagraded/owner/status.go
@@ -25,11 +25,11 @@
 // Epoch is the epoch of its shard map.
 func (s Status) Epoch() tier.Epoch { return s.epoch }
 
-// Core is the status of the owner's dispatcher.
-func (s Status) Core() dispatcher.Status { return s.dispatcher }
+// Dispatcher is the status of the owner's dispatcher.
+func (s Status) Dispatcher() dispatcher.Status { return s.dispatcher }
 
-// Rejected is the number of replies that did not match their call.
-func (s Status) Rejected() uint64 { return s.rejectedReplies }
+// RejectedReplies is the number of replies that did not match their call.
+func (s Status) RejectedReplies() uint64 { return s.rejectedReplies }
 
 // Parts is the number of parts that are queued or running.
 func (s Status) Parts() int { return s.parts }
