--- a/standin/soaker/caller.go
+++ b/standin/soaker/caller.go
@@ -19,25 +19,26 @@
 
 const (
 	host = "search.example"
-	// callerPatience is how long callers wait, in milliseconds.
-	callerPatience = 3000
-	// leaverShare is the part of callers' requests that are given up early.
-	leaverShare = 0.05
-	// readinessPoll is how often the balancer looks at each VM; as many misses in
-	// a row as readinessMisses take one out, as on the platform.
-	readinessPoll   = 500 * tier.Millisecond
-	readinessMisses = 2
-	// dialPatience is how long a caller waits for a connection.
-	dialPatience = tier.Second
-	// maxRequests is how many requests a connection is used for. Callers keep it
-	// through a stop, until the VM closes it.
-	maxRequests = 200
+	// callerTimeoutMs is how long callers wait for a reply, in milliseconds.
+	callerTimeoutMs = 3000
+	// abandonShare is the fraction of requests whose caller closes the connection early.
+	abandonShare = 0.05
+	// readinessInterval is how often each VM's readiness is checked. As on the platform's
+	// load balancer, readinessMisses failures in a row take a VM out.
+	readinessInterval = 500 * tier.Millisecond
+	readinessMisses   = 2
+	// dialTimeout is how long a caller waits for a connection.
+	dialTimeout = tier.Second
+	// maxRequestsPerConnection is how many requests a caller sends on a connection. Callers
+	// go on using connections to a VM that is stopping, until the VM closes them.
+	maxRequestsPerConnection = 200
 )
 
-// balance keeps the list of VMs that answer their readiness check.
-func (s *Soak) balance(ctx context.Context) error {
+// pollReadiness keeps the list of ready VMs up to date. It plays the platform's load
+// balancer.
+func (s *Soak) pollReadiness(ctx context.Context) error {
 	misses := map[string]int{}
-	client := &http.Client{Timeout: readinessPoll.Duration(), Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: readinessInterval.Duration(), Transport: &http.Transport{DisableKeepAlives: true}}
 	for ctx.Err() == nil {
 		var ready []*vm
 		for _, v := range s.vms {
@@ -49,14 +50,14 @@
 				ready = append(ready, v)
 			}
 		}
-		s.ready.Store(&ready)
-		sleep(ctx, readinessPoll)
+		s.readyVMs.Store(&ready)
+		sleep(ctx, readinessInterval)
 	}
 	return nil
 }
 
 func isReady(ctx context.Context, client *http.Client, v *vm) bool {
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+v.at(readinessPort)+"/readiness", nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+v.endpoint(readinessPort)+"/readiness", nil)
 	if err != nil {
 		return false
 	}
@@ -68,30 +69,30 @@
 	return reply.StatusCode == http.StatusOK
 }
 
-// connection is a caller's to one VM.
+// connection is a caller's connection to one VM.
 type connection struct {
-	vm     *vm
-	conn   net.Conn
-	reader *bufio.Reader
-	count  int
+	vm       *vm
+	conn     net.Conn
+	reader   *bufio.Reader
+	requests int
 }
 
-// call sends requests one after another until ctx ends.
-func (s *Soak) call(ctx context.Context, number int) error {
-	r := rand.New(rand.NewPCG(s.seed, uint64(number)))
+// runCaller sends requests one after another until ctx ends.
+func (s *Soak) runCaller(ctx context.Context, caller int) error {
+	r := rand.New(rand.NewPCG(s.seed, uint64(caller)))
 	var c *connection
 	for n := 0; ctx.Err() == nil; n++ {
 		if c == nil {
 			if c = s.dial(r); c == nil {
-				sleep(ctx, readinessPoll/4)
+				sleep(ctx, readinessInterval/4)
 				continue
 			}
 		}
-		if !s.ask(ctx, r, c, fmt.Sprintf("%d-%d-%d", s.seed, number, n)) {
+		if !s.sendRequest(ctx, r, c, fmt.Sprintf("%d-%d-%d", s.seed, caller, n)) {
 			_ = c.conn.Close()
 			c = nil
 		}
-		sleep(ctx, tier.Millis(r.Int64N(int64(2*s.pause))))
+		sleep(ctx, tier.Millis(r.Int64N(int64(2*s.meanPause))))
 	}
 	if c != nil {
 		_ = c.conn.Close()
@@ -99,60 +100,61 @@
 	return nil
 }
 
+// dial connects to a ready VM drawn at random, or returns nil.
 func (s *Soak) dial(r *rand.Rand) *connection {
-	ready := *s.ready.Load()
+	ready := *s.readyVMs.Load()
 	if len(ready) == 0 {
 		return nil
 	}
 	v := ready[r.IntN(len(ready))]
-	conn, err := net.DialTimeout("tcp", v.at(callersPort), dialPatience.Duration())
+	conn, err := net.DialTimeout("tcp", v.endpoint(callerPort), dialTimeout.Duration())
 	if err != nil {
 		return nil
 	}
 	return &connection{vm: v, conn: conn, reader: bufio.NewReader(conn)}
 }
 
-// ask sends one request and reports whether the connection may be used again.
-func (s *Soak) ask(ctx context.Context, r *rand.Rand, c *connection, attempt string) bool {
-	q := s.compose(r, attempt)
+// sendRequest sends one request and reports whether the connection may be used again.
+func (s *Soak) sendRequest(ctx context.Context, r *rand.Rand, c *connection, attempt string) bool {
+	q := s.drawRequest(r, attempt)
 	q.vm = c.vm.name
-	c.count++
-	head := http.Header{}
-	responder.Address(head, attempt, callerPatience)
-	q.sent = time.Now()
-	s.ledger.sending(q)
-	text := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\n", q.method, q.path, host)
-	for k, v := range head {
-		text += k + ": " + v[0] + "\r\n"
+	c.requests++
+	headers := http.Header{}
+	responder.Address(headers, attempt, callerTimeoutMs)
+	q.sentAt = time.Now()
+	s.history.addRequest(q)
+	message := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\n", q.method, q.path, host)
+	for k, v := range headers {
+		message += k + ": " + v[0] + "\r\n"
 	}
 	if q.method == http.MethodPost {
-		text += "Content-Length: 0\r\n"
+		message += "Content-Length: 0\r\n"
 	}
-	_, err := io.WriteString(c.conn, text+"\r\n")
+	_, err := io.WriteString(c.conn, message+"\r\n")
 	if err != nil {
-		s.ledger.update(func() { q.ended = time.Now() })
+		s.history.update(func() { q.endedAt = time.Now() })
 		return false
 	}
-	s.ledger.update(func() { q.readByVM = c.count == 1 })
-	if r.Float64() < leaverShare {
-		sleep(ctx, tier.Millis(r.Int64N(int64(3*leafWork))))
+	s.history.update(func() { q.firstOnConnection = c.requests == 1 })
+	if r.Float64() < abandonShare {
+		sleep(ctx, tier.Millis(r.Int64N(int64(3*leafServiceTime))))
 		_ = c.conn.Close()
-		s.ledger.update(func() { q.left, q.ended = time.Now(), time.Now() })
+		s.history.update(func() { q.leftAt, q.endedAt = time.Now(), time.Now() })
 		return false
 	}
 	reply, body, err := c.read(ctx, q)
-	s.ledger.update(func() {
-		q.ended = time.Now()
+	s.history.update(func() {
+		q.endedAt = time.Now()
 		if err == nil {
 			q.status, q.header, q.body = reply.StatusCode, reply.Header, body
 		}
 	})
-	return err == nil && !reply.Close && c.count < maxRequests
+	return err == nil && !reply.Close && c.requests < maxRequestsPerConnection
 }
 
-// read takes the answer, whole.
+// read reads a complete reply.
 func (c *connection) read(ctx context.Context, q *request) (*http.Response, []byte, error) {
-	if err := c.conn.SetReadDeadline(time.Now().Add(q.limit.Duration())); err != nil {
+	if err := c.conn.SetReadDeadline(time.Now().Add(q.timeout.Duration())); err != nil {
 		return nil, nil, errors.Wrap(err, "connection.read")
 	}
 	stop := context.AfterFunc(ctx, func() { _ = c.conn.Close() })
@@ -165,22 +167,22 @@
 	return reply, body, errors.Wrap(err, "connection.read")
 }
 
-// compose draws a request.
-func (s *Soak) compose(r *rand.Rand, attempt string) *request {
-	q := &request{attempt: attempt, method: http.MethodGet, limit: callerPatience, proper: true}
+// drawRequest draws the route of a request.
+func (s *Soak) drawRequest(r *rand.Rand, attempt string) *request {
+	q := &request{attempt: attempt, method: http.MethodGet, timeout: callerTimeoutMs, alwaysRouted: true}
 	switch k := r.IntN(20); {
 	case k < 9:
-		q.route = sweep
+		q.route = routeSweep
 	case k < 12:
-		q.route = line
+		q.route = routeLine
 	case k < 14:
-		q.route = split
+		q.route = routeSplit
 	case k < 18:
-		q.route, q.method, q.once = book, http.MethodPost, true
+		q.route, q.method, q.atMostOnce = routeBook, http.MethodPost, true
 	default:
-		// A route that is new shows which version is in force.
-		s.ledger.update(func() { q.route = marker(s.ledger.versions[len(s.ledger.versions)-1].number) })
-		q.proper = false
+		// Whether the newest version's own route exists shows if the VM uses that version.
+		s.history.update(func() { q.route = markerRoute(s.history.versions[len(s.history.versions)-1].number) })
+		q.alwaysRouted = false
 	}
 	q.path = "/" + q.route + "/" + strings.ReplaceAll(attempt, "-", "/")
 	return q
--- a/standin/soaker/checks.go
+++ b/standin/soaker/checks.go
@@ -11,95 +11,101 @@
 	"cicadagrade.example/tier"
 )
 
-// Promises of the deployment that the soak plays; the settings of its VMs bear
-// the same figures.
+// Guarantees of the deployment under test. The settings of its VMs and its configuration
+// have the same values.
 const (
+	// stableWindow is how long a VM must have been undisturbed before timed checks judge it.
 	stableWindow = 5 * tier.Second
-	configBound  = 4 * tier.Second
-	drainBound   = 4 * tier.Second
-	gracePeriod  = 6 * tier.Second
-	recoverBound = 12 * tier.Second
-	budgetWindow = 10 * tier.Second
-	budgetRatio  = 0.2
-	budgetSlack  = 54
-	memoryLimit  = 284 // MB
-	leastShare   = 0.75
-	topRecords   = 5
-	maxAttempts  = 2
-	// leaveBound is how long a leaf may go on after the caller has left.
-	leaveBound = 500 * tier.Millisecond
-	// lossSlack is how long after its last byte a request may be cut that no
-	// leaf has got.
-	lossSlack = 200 * tier.Millisecond
-	// few is how many breaches of a promise that allows some are borne.
-	few = 3
-	// manyHanded is how many requests may be handed too much time.
-	manyHanded = 20
-	// deniedBase and deniedShare bound refusals of proper requests.
-	deniedBase, deniedShare = 5, 500
-	// leastServed is the part of requests that must be served after a recovery.
-	leastServed = 0.25
+	// configurationBound is how long a confirmed version may take to reach every VM.
+	configurationBound = 4 * tier.Second
+	// drainBound is how long VMs may go on calling a leaf after it registered as draining.
+	drainBound    = 4 * tier.Second
+	gracePeriod   = 6 * tier.Second
+	recoveryBound = 12 * tier.Second
+	budgetWindow  = 10 * tier.Second
+	budgetRatio   = 0.2
+	budgetSlack   = 54
+	memoryLimitMB = 284
+	minShardShare = 0.75
+	topRecords    = 5
+	maxAttempts   = 2
+	// cancelTolerance is how long leafs may still get calls after the caller has left, and
+	// how far the time left that they are told may exceed the caller's.
+	cancelTolerance = 500 * tier.Millisecond
+	// unreadTolerance is how long after it was sent a stopping VM may still cut a request
+	// that has reached no leaf: the VM may not have read it.
+	unreadTolerance = 200 * tier.Millisecond
+	// maxBreaches is how many breaches pass in checks that allow a few.
+	maxBreaches = 3
+	// toleratedOverruns is how many runs may be told too much time left, if that is more
+	// than a fifth of them.
+	toleratedOverruns = 20
+	// toleratedDenials requests, and one more in requestsPerDenial, may end with a 3xx or
+	// 4xx although every configuration has their route.
+	toleratedDenials, requestsPerDenial = 5, 500
+	// minServedShare is the fraction of requests that must be served after recoveryBound.
+	minServedShare = 0.25
 )
 
-// Violation is a promise that was broken.
+// Violation is a guarantee that was broken.
 type Violation struct {
 	check, detail string
 }
 
-// Check names the promise.
+// Check is the name of the check that found the violation.
 func (v Violation) Check() string { return v.check }
 
 func (v Violation) String() string { return v.check + ": " + v.detail }
 
-// check judges a ledger by one promise.
+// check verifies one guarantee over a history.
 type check struct {
-	name  string
-	timed bool // its verdict depends on how fast the machine is
-	judge func(l *ledger) []string
+	name   string
+	timed  bool                      // the result depends on the machine's speed
+	verify func(h *history) []string // lists the breaches
 }
 
-// checks are all promises that are judged.
+// checks lists all checks.
 func checks() []check {
 	return []check{
-		{"answers-whole", false, wholeAnswers},
-		{"run-as-asked", false, askedRuns},
-		{"run-once", false, onceRuns},
-		{"refusals-true", false, trueRefusals},
-		{"routes-kept", false, keptRoutes},
+		{"answers-whole", false, completeReplies},
+		{"run-as-asked", false, requestedRuns},
+		{"run-once", false, singleRuns},
+		{"refusals-true", false, refusedNotRun},
+		{"routes-kept", false, routedServices},
 		{"attempts", false, boundedAttempts},
 		{"retry-budget", false, boundedRetries},
-		{"no-exit", false, noExits},
+		{"no-exit", false, noUnexpectedExits},
 		{"memory", false, boundedMemory},
-		{"time-left", true, timeLeft},
-		{"caller-left", true, leftAlone},
-		{"configuration", true, configurations},
+		{"time-left", true, remainingTime},
+		{"caller-left", true, noCallsAfterCallerLeft},
+		{"configuration", true, configurationPropagation},
 		{"denied", true, denials},
 		{"drain", true, drains},
-		{"stop", true, stops},
+		{"stop", true, plannedStops},
 		{"recovery", true, recovery},
 	}
 }
 
-// judge runs all checks, or only those whose verdict needs no time.
-func (l *ledger) judge(timed bool) []Violation {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// runChecks runs all checks, or only those that are not timed.
+func (h *history) runChecks(timed bool) []Violation {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	var list []Violation
 	for _, c := range checks() {
 		if c.timed && !timed {
 			continue
 		}
-		for _, d := range c.judge(l) {
+		for _, d := range c.verify(h) {
 			list = append(list, Violation{c.name, d})
 		}
 	}
 	return list
 }
 
-// allowed are the services that some configuration lets a route use.
-func (l *ledger) allowed(route string) [][]string {
+// allowedServices lists the services of a route, one list for each version that has it.
+func (h *history) allowedServices(route string) [][]string {
 	var sets [][]string
-	for _, v := range l.versions {
+	for _, v := range h.versions {
 		if s, ok := v.routes[route]; ok {
 			sets = append(sets, s)
 		}
@@ -107,34 +113,35 @@
 	return sets
 }
 
-// wholeAnswers: a success bears good proofs of one configuration's services, all
-// of their greatest records, and the number that is missing.
-func wholeAnswers(l *ledger) []string {
+// completeReplies checks that each successful reply has valid signatures of the services of
+// one version, the greatest records of these, and the number of missing parts.
+func completeReplies(h *history) []string {
 	var bad []string
-	for _, q := range l.order {
-		if q.ended.IsZero() || !q.served() {
+	for _, q := range h.sent {
+		if q.endedAt.IsZero() || !q.served() {
 			continue
 		}
-		if why := wholeAnswer(l, q); why != "" {
-			bad = append(bad, fmt.Sprintf("%s %s from %s: %s", q.attempt, q.path, q.vm, why))
+		if defect := replyDefect(h, q); defect != "" {
+			bad = append(bad, fmt.Sprintf("%s %s from %s: %s", q.attempt, q.path, q.vm, defect))
 		}
 	}
 	return bad
 }
 
-func wholeAnswer(l *ledger, q *request) string {
+// replyDefect says what is wrong with a successful reply, or returns "".
+func replyDefect(h *history, q *request) string {
 	var services []string
 	for _, p := range responder.Proofs(q.header) {
 		s, ok := responder.ServiceOf(p, q.attempt)
 		if !ok || slices.Contains(services, s) {
-			return "the proof " + p + " is not for this request, or comes twice"
+			return "the signature " + p + " is not for this request, or comes twice"
 		}
 		services = append(services, s)
 	}
 	if len(services) == 0 {
-		return "there is no proof"
+		return "the reply has no signature"
 	}
-	if q.route != sweep {
+	if q.route != routeSweep {
 		if len(services) != 1 || !bytes.Equal(q.body, responder.Records(services[0], q.path)) {
 			return "the body is not the leaf's"
 		}
@@ -144,12 +151,12 @@
 	if err != nil {
 		return err.Error()
 	}
-	whole := slices.ContainsFunc(l.allowed(q.route), func(set []string) bool {
-		in := !slices.ContainsFunc(services, func(s string) bool { return !slices.Contains(set, s) })
-		return in && len(services)+missing == len(set) && float64(len(services)) >= leastShare*float64(len(set))
+	complete := slices.ContainsFunc(h.allowedServices(q.route), func(set []string) bool {
+		subset := !slices.ContainsFunc(services, func(s string) bool { return !slices.Contains(set, s) })
+		return subset && len(services)+missing == len(set) && float64(len(services)) >= minShardShare*float64(len(set))
 	})
-	if !whole {
-		return fmt.Sprintf("%d parts and %d missing are no configuration's", len(services), missing)
+	if !complete {
+		return fmt.Sprintf("%d parts and %d missing match no version of the configuration", len(services), missing)
 	}
 	if !bytes.Equal(q.body, responder.Greatest(topRecords, q.path, services...)) {
 		return "the records are not the greatest"
@@ -157,11 +164,11 @@
 	return ""
 }
 
-// askedRuns: leafs run only what callers have sent, unchanged.
-func askedRuns(l *ledger) []string {
+// requestedRuns checks that leafs run only requests that callers have sent, unchanged.
+func requestedRuns(h *history) []string {
 	var bad []string
-	for _, r := range l.runs {
-		q := l.requests[r.Attempt]
+	for _, r := range h.runs {
+		q := h.byAttempt[r.Attempt]
 		if q == nil || q.method != r.Method || q.path != r.Path {
 			bad = append(bad, fmt.Sprintf("%s ran %s %s %q", r.Leaf, r.Method, r.Path, r.Attempt))
 		}
@@ -169,47 +176,50 @@
 	return bad
 }
 
-// onceRuns: what may not be repeated runs once at most.
-func onceRuns(l *ledger) []string {
+// singleRuns checks that non-idempotent requests run at most once.
+func singleRuns(h *history) []string {
 	var bad []string
-	for attempt, n := range l.countRuns() {
-		if q := l.requests[attempt]; q != nil && q.once && n > 1 {
+	for attempt, n := range h.runCounts() {
+		if q := h.byAttempt[attempt]; q != nil && q.atMostOnce && n > 1 {
 			bad = append(bad, fmt.Sprintf("%s ran %d times", attempt, n))
 		}
 	}
 	return bad
 }
 
-func (l *ledger) countRuns() map[string]int {
+// runCounts counts the runs of each attempt.
+func (h *history) runCounts() map[string]int {
 	n := map[string]int{}
-	for _, r := range l.runs {
+	for _, r := range h.runs {
 		n[r.Attempt]++
 	}
 	return n
 }
 
-// trueRefusals: what was refused as not run has not run, and does not later.
-func trueRefusals(l *ledger) []string {
+// refusedNotRun checks that no non-idempotent request runs, before or after, whose caller
+// got 429 or 503: these statuses say that it has not run.
+func refusedNotRun(h *history) []string {
 	var bad []string
-	n := l.countRuns()
-	for _, q := range l.order {
+	n := h.runCounts()
+	for _, q := range h.sent {
 		refused := q.status == http.StatusTooManyRequests || q.status == http.StatusServiceUnavailable
-		if q.once && refused && n[q.attempt] > 0 {
+		if q.atMostOnce && refused && n[q.attempt] > 0 {
 			bad = append(bad, fmt.Sprintf("%s got %d and ran", q.attempt, q.status))
 		}
 	}
 	return bad
 }
 
-// keptRoutes: a service runs only what some configuration sends it.
-func keptRoutes(l *ledger) []string {
+// routedServices checks that a service runs only requests whose route leads to it in some
+// version of the configuration.
+func routedServices(h *history) []string {
 	var bad []string
-	for _, r := range l.runs {
-		q := l.requests[r.Attempt]
+	for _, r := range h.runs {
+		q := h.byAttempt[r.Attempt]
 		if q == nil {
 			continue
 		}
-		ok := slices.ContainsFunc(l.allowed(q.route), func(set []string) bool { return slices.Contains(set, r.Service) })
+		ok := slices.ContainsFunc(h.allowedServices(q.route), func(set []string) bool { return slices.Contains(set, r.Service) })
 		if !ok {
 			bad = append(bad, fmt.Sprintf("%s of route %s ran at %s", r.Attempt, q.route, r.Service))
 		}
@@ -217,12 +227,12 @@
 	return bad
 }
 
-// boundedAttempts: a request runs on few leafs of each service.
-func boundedAttempts(l *ledger) []string {
-	type place struct{ attempt, service string }
-	leafs := map[place]map[string]bool{}
-	for _, r := range l.runs {
-		p := place{r.Attempt, r.Service}
+// boundedAttempts checks that a request runs on at most maxAttempts leafs of a service.
+func boundedAttempts(h *history) []string {
+	type target struct{ attempt, service string }
+	leafs := map[target]map[string]bool{}
+	for _, r := range h.runs {
+		p := target{r.Attempt, r.Service}
 		if leafs[p] == nil {
 			leafs[p] = map[string]bool{}
 		}
@@ -234,19 +244,20 @@
 			over = append(over, fmt.Sprintf("%s ran on %d leafs of %s", p.attempt, len(set), p.service))
 		}
 	}
-	if len(over) <= few {
+	if len(over) <= maxBreaches {
 		return nil
 	}
 	return over
 }
 
-// boundedRetries: in each window a service gets few calls beyond the first of
-// each request.
-func boundedRetries(l *ledger) []string {
+// boundedRetries checks that in each window the calls to a service beyond the first of each
+// request stay within the retry budget. The budget is a share of the requests in this window, in
+// the one before, or in one half a window earlier, whichever has most.
+func boundedRetries(h *history) []string {
 	type key struct{ attempt, service string }
 	seen := map[key]bool{}
 	extra := map[string][]time.Time{}
-	for _, a := range l.arrivals {
+	for _, a := range h.calls {
 		k := key{a.Attempt, a.Service}
 		if seen[k] {
 			extra[a.Service] = append(extra[a.Service], a.At)
@@ -264,10 +275,10 @@
 					n++
 				}
 			}
-			asked := max(l.asked(service, from, end), l.asked(service, from.Add(-budgetWindow.Duration()), from),
-				l.asked(service, from.Add(-budgetWindow.Duration()/2), end.Add(-budgetWindow.Duration()/2)))
-			if most := budgetRatio*float64(asked) + budgetSlack; float64(n) > most {
-				bad = append(bad, fmt.Sprintf("%s got %d calls beyond the first of %d requests", service, n, asked))
+			requests := max(h.countRequests(service, from, end), h.countRequests(service, from.Add(-budgetWindow.Duration()), from),
+				h.countRequests(service, from.Add(-budgetWindow.Duration()/2), end.Add(-budgetWindow.Duration()/2)))
+			if limit := budgetRatio*float64(requests) + budgetSlack; float64(n) > limit {
+				bad = append(bad, fmt.Sprintf("%s got %d calls beyond the first of %d requests", service, n, requests))
 				break
 			}
 		}
@@ -275,79 +286,82 @@
 	return bad
 }
 
-// asked counts the requests on routes to a service in a time.
-func (l *ledger) asked(service string, from, to time.Time) int {
+// countRequests counts the requests sent between from and to on routes to a service.
+func (h *history) countRequests(service string, from, to time.Time) int {
 	n := 0
-	for _, q := range l.order {
-		if q.sent.Before(from) || q.sent.After(to) {
+	for _, q := range h.sent {
+		if q.sentAt.Before(from) || q.sentAt.After(to) {
 			continue
 		}
-		if slices.ContainsFunc(l.allowed(q.route), func(set []string) bool { return slices.Contains(set, service) }) {
+		if slices.ContainsFunc(h.allowedServices(q.route), func(set []string) bool { return slices.Contains(set, service) }) {
 			n++
 		}
 	}
 	return n
 }
 
-func noExits(l *ledger) []string { return l.exits }
+// noUnexpectedExits checks that no process exits by itself.
+func noUnexpectedExits(h *history) []string { return h.exits }
 
-func boundedMemory(l *ledger) []string {
+// boundedMemory checks the resident memory of each VM's process.
+func boundedMemory(h *history) []string {
 	var bad []string
-	for vm, mb := range l.memory {
-		if mb > memoryLimit {
+	for vm, mb := range h.peakMemoryMB {
+		if mb > memoryLimitMB {
 			bad = append(bad, fmt.Sprintf("%s holds %d MB", vm, mb))
 		}
 	}
 	return bad
 }
 
-// timeLeft: leafs are told no more time than the caller has.
-func timeLeft(l *ledger) []string {
+// remainingTime checks that leafs are told no more time left than the caller has.
+func remainingTime(h *history) []string {
 	var over []string
-	for _, r := range l.runs {
-		q := l.requests[r.Attempt]
-		if q == nil || !l.inTouch(q.vm, q.sent, r.At) {
+	for _, r := range h.runs {
+		q := h.byAttempt[r.Attempt]
+		if q == nil || !h.isStable(q.vm, q.sentAt, r.At) {
 			continue
 		}
-		if given, has := r.At.Add(r.TimeLeft.Duration()), q.sent.Add(q.limit.Duration()); given.Sub(has) > leaveBound.Duration() || r.TimeLeft == 0 {
-			over = append(over, fmt.Sprintf("%s was told %d ms", r.Attempt, r.TimeLeft))
+		if leafDeadline, callerDeadline := r.At.Add(r.TimeLeft.Duration()), q.sentAt.Add(q.timeout.Duration()); leafDeadline.Sub(callerDeadline) > cancelTolerance.Duration() || r.TimeLeft == 0 {
+			over = append(over, fmt.Sprintf("%s reached a leaf with %d ms left", r.Attempt, r.TimeLeft))
 		}
 	}
-	if len(over) <= max(manyHanded, len(l.runs)/5) {
+	if len(over) <= max(toleratedOverruns, len(h.runs)/5) {
 		return nil
 	}
 	return over
 }
 
-// leftAlone: nothing is sent for a caller who has left.
-func leftAlone(l *ledger) []string {
+// noCallsAfterCallerLeft checks that leafs get no calls for a caller who has left.
+func noCallsAfterCallerLeft(h *history) []string {
 	var late []string
-	for _, a := range l.arrivals {
-		q := l.requests[a.Attempt]
-		if q == nil || q.left.IsZero() || !l.inTouch(q.vm, q.left, a.At) {
+	for _, a := range h.calls {
+		q := h.byAttempt[a.Attempt]
+		if q == nil || q.leftAt.IsZero() || !h.isStable(q.vm, q.leftAt, a.At) {
 			continue
 		}
-		if a.At.Sub(q.left) > leaveBound.Duration() {
-			late = append(late, fmt.Sprintf("%s reached %s %v after its caller had left", a.Attempt, a.Leaf, a.At.Sub(q.left)))
+		if a.At.Sub(q.leftAt) > cancelTolerance.Duration() {
+			late = append(late, fmt.Sprintf("%s reached %s %v after its caller had left", a.Attempt, a.Leaf, a.At.Sub(q.leftAt)))
 		}
 	}
-	if len(late) <= few {
+	if len(late) <= maxBreaches {
 		return nil
 	}
 	return late
 }
 
-// configurations: what a version adds is served in time.
-func configurations(l *ledger) []string {
+// configurationPropagation checks that VMs serve a version's routes within
+// configurationBound of its confirmation.
+func configurationPropagation(h *history) []string {
 	var bad []string
-	for _, q := range l.order {
+	for _, q := range h.sent {
 		if q.status != http.StatusNotFound {
 			continue
 		}
-		for _, v := range l.versions {
-			_, named := v.routes[q.route]
-			if named && q.sent.Sub(v.confirmed) > configBound.Duration() && l.inTouch(q.vm, q.sent, q.ended) {
-				bad = append(bad, fmt.Sprintf("%s has no route %s %v after version %d", q.vm, q.route, q.sent.Sub(v.confirmed), v.number))
+		for _, v := range h.versions {
+			_, hasRoute := v.routes[q.route]
+			if hasRoute && q.sentAt.Sub(v.confirmedAt) > configurationBound.Duration() && h.isStable(q.vm, q.sentAt, q.endedAt) {
+				bad = append(bad, fmt.Sprintf("%s has no route %s %v after version %d", q.vm, q.route, q.sentAt.Sub(v.confirmedAt), v.number))
 				break
 			}
 		}
@@ -355,29 +369,30 @@
 	return bad
 }
 
-// denials: proper requests are hardly ever ended with a 3xx or 4xx.
-func denials(l *ledger) []string {
+// denials checks that requests whose route every configuration has hardly ever get a 3xx or
+// 4xx, other than 408, 421 and 429.
+func denials(h *history) []string {
 	var bad []string
-	for _, q := range l.order {
-		fine := q.status < 300 || q.status >= 500 || q.status == http.StatusTooManyRequests ||
+	for _, q := range h.sent {
+		allowed := q.status < 300 || q.status >= 500 || q.status == http.StatusTooManyRequests ||
 			q.status == http.StatusRequestTimeout || q.status == http.StatusMisdirectedRequest
-		if q.proper && !fine && l.inTouch(q.vm, q.sent, q.ended) {
+		if q.alwaysRouted && !allowed && h.isStable(q.vm, q.sentAt, q.endedAt) {
 			bad = append(bad, fmt.Sprintf("%s got %d", q.attempt, q.status))
 		}
 	}
-	if len(bad) <= deniedBase+len(l.order)/deniedShare {
+	if len(bad) <= toleratedDenials+len(h.sent)/requestsPerDenial {
 		return nil
 	}
 	return bad
 }
 
-// drains: a leaf that leaves gets nothing once that is known everywhere.
-func drains(l *ledger) []string {
+// drains checks that a draining leaf gets no calls after drainBound.
+func drains(h *history) []string {
 	var bad []string
-	for _, d := range l.drains {
-		for _, a := range l.arrivals {
-			q := l.requests[a.Attempt]
-			if a.Leaf == d.leaf && a.At.Sub(d.at) > drainBound.Duration() && q != nil && l.inTouch(q.vm, d.at, a.At) {
+	for _, d := range h.drains {
+		for _, a := range h.calls {
+			q := h.byAttempt[a.Attempt]
+			if a.Leaf == d.leaf && a.At.Sub(d.at) > drainBound.Duration() && q != nil && h.isStable(q.vm, d.at, a.At) {
 				bad = append(bad, fmt.Sprintf("%s got %s %v after it was draining", d.leaf, a.Attempt, a.At.Sub(d.at)))
 			}
 		}
@@ -385,27 +400,30 @@
 	return bad
 }
 
-// stops: a planned stop ends in time and well, and cuts nothing that was read.
-func stops(l *ledger) []string {
+// plannedStops checks that a planned stop exits with code 0 within the grace period, and
+// cuts no request that the VM has read. A VM has read a request that reached a leaf, and,
+// after unreadTolerance, the first one on a connection; later ones on a connection may
+// arrive just as the VM closes it.
+func plannedStops(h *history) []string {
 	var bad []string
-	passed := map[string]bool{}
-	for _, a := range l.arrivals {
-		passed[a.Attempt] = true
+	reachedLeaf := map[string]bool{}
+	for _, a := range h.calls {
+		reachedLeaf[a.Attempt] = true
 	}
-	for _, s := range l.stops {
-		if s.to.IsZero() || l.disturbed(s.vm, s.from.Add(-stableWindow.Duration()), s.to, false) {
+	for _, s := range h.stops {
+		if s.to.IsZero() || h.disturbed(s.vm, s.from.Add(-stableWindow.Duration()), s.to, false) {
 			continue
 		}
 		if s.code != 0 || s.to.Sub(s.from) > gracePeriod.Duration() {
-			bad = append(bad, fmt.Sprintf("%s ended with code %d after %v", s.vm, s.code, s.to.Sub(s.from)))
+			bad = append(bad, fmt.Sprintf("%s exited with code %d after %v", s.vm, s.code, s.to.Sub(s.from)))
 		}
-		for _, q := range l.order {
-			if q.vm != s.vm || q.sent.Before(s.from) || q.sent.After(s.to) || q.status != 0 || q.ended.IsZero() || !q.left.IsZero() {
+		for _, q := range h.sent {
+			if q.vm != s.vm || q.sentAt.Before(s.from) || q.sentAt.After(s.to) || q.status != 0 || q.endedAt.IsZero() || !q.leftAt.IsZero() {
 				continue
 			}
-			took := q.ended.Sub(q.sent)
-			read := q.readByVM && took > lossSlack.Duration() || passed[q.attempt]
-			if read && took < q.limit.Duration() {
+			took := q.endedAt.Sub(q.sentAt)
+			read := q.firstOnConnection && took > unreadTolerance.Duration() || reachedLeaf[q.attempt]
+			if read && took < q.timeout.Duration() {
 				bad = append(bad, fmt.Sprintf("%s was cut by the stop of %s after %v", q.attempt, s.vm, took))
 			}
 		}
@@ -413,19 +431,19 @@
 	return bad
 }
 
-// recovery: some time after the last fault requests are served again.
-func recovery(l *ledger) []string {
-	from := l.lastEnd.Add(recoverBound.Duration())
+// recovery checks that requests are served again recoveryBound after the last fault.
+func recovery(h *history) []string {
+	from := h.lastFaultEnd.Add(recoveryBound.Duration())
 	served, all := 0, 0
-	for _, q := range l.order {
-		if q.sent.After(from) && q.proper && !q.ended.IsZero() && q.left.IsZero() {
+	for _, q := range h.sent {
+		if q.sentAt.After(from) && q.alwaysRouted && !q.endedAt.IsZero() && q.leftAt.IsZero() {
 			all++
 			if q.served() {
 				served++
 			}
 		}
 	}
-	if all == 0 || float64(served) >= leastServed*float64(all) {
+	if all == 0 || float64(served) >= minServedShare*float64(all) {
 		return nil
 	}
 	return []string{fmt.Sprintf("%d of %d requests are served after the last fault", served, all)}
--- a/standin/soaker/checks_test.go
+++ b/standin/soaker/checks_test.go
@@ -10,154 +10,157 @@
 	"cicadagrade.example/tier"
 )
 
-// origin is when the ledgers of these tests begin.
+// origin is the start of the histories of these tests.
 var origin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
+// after is the time m after the origin.
 func after(m tier.Millis) time.Time { return origin.Add(m.Duration()) }
 
 const attempt = "1-2-3"
 
-// sound is a ledger of an answered sweep, line and booking, of which no check
-// complains.
-func sound(t *testing.T) *ledger {
+// newSoundHistory returns a history of a served sweep, line and booking, in which no check
+// finds a breach.
+func newSoundHistory(t *testing.T) *history {
 	t.Helper()
-	l := newLedger()
+	h := newHistory()
 	_, routes, err := configuration(1, "a")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.versions = []version{{number: 1, confirmed: origin, routes: routes}}
-	for i, route := range []string{sweep, line, book} {
+	h.versions = []version{{number: 1, confirmedAt: origin, routes: routes}}
+	for i, route := range []string{routeSweep, routeLine, routeBook} {
 		q := &request{
-			attempt: fmt.Sprint(attempt, i), method: http.MethodGet, route: route, vm: "vm-0", limit: callerPatience,
-			path: fmt.Sprintf("/%s/%d", route, i), sent: after(20_000), ended: after(20_050), status: 200,
-			proper: true, once: route == book, header: http.Header{},
+			attempt: fmt.Sprint(attempt, i), method: http.MethodGet, route: route, vm: "vm-0", timeout: callerTimeoutMs,
+			path: fmt.Sprintf("/%s/%d", route, i), sentAt: after(20_000), endedAt: after(20_050), status: 200,
+			alwaysRouted: true, atMostOnce: route == routeBook, header: http.Header{},
 		}
 		services := routes[route][:1]
-		if route == sweep {
+		if route == routeSweep {
 			services = routes[route]
 		}
-		proofs := ""
+		signatures := ""
 		for _, s := range services {
-			w := responder.NewWorker("w-"+s, s, 0, l.arrived, l.ran)
+			w := responder.NewWorker("w-"+s, s, 0, h.addCall, h.addRun)
 			run := responder.Run{
 				Leaf: w.ID(), Service: s, Attempt: q.attempt, Method: q.method, Path: q.path,
-				At: after(20_010), TimeLeft: callerPatience - 20,
+				At: after(20_010), TimeLeft: callerTimeoutMs - 20,
 			}
-			l.arrived(run)
-			l.ran(run)
-			proofs += w.Proof(q.attempt) + ","
+			h.addCall(run)
+			h.addRun(run)
+			signatures += w.Proof(q.attempt) + ","
 		}
-		q.header.Set("Part-Signatures", proofs)
+		q.header.Set("Part-Signatures", signatures)
 		q.header.Set("Missing-Parts", "0")
 		q.body = responder.Records(services[0], q.path)
-		if route == sweep {
+		if route == routeSweep {
 			q.body = responder.Greatest(topRecords, q.path, services...)
 		}
-		l.sending(q)
+		h.addRequest(q)
 	}
-	return l
+	return h
 }
 
-// again repeats the first arrival and run of a request at some other leaf.
-func (l *ledger) again(request, times int, leaf string, at tier.Millis) {
-	for _, r := range l.runs {
-		if r.Attempt == l.order[request].attempt {
+// repeatRun adds calls and runs of a request, each at another leaf.
+func (h *history) repeatRun(request, times int, leaf string, at tier.Millis) {
+	for _, r := range h.runs {
+		if r.Attempt == h.sent[request].attempt {
 			for i := range times {
 				r.Leaf, r.At = fmt.Sprint(leaf, i), after(at)
-				l.arrived(r)
-				l.ran(r)
+				h.addCall(r)
+				h.addRun(r)
 			}
 			return
 		}
 	}
 }
 
-// TestChecksCanFail breaks each promise in a sound ledger, and has its check
-// say so.
-func TestChecksCanFail(t *testing.T) {
-	breaches := map[string]func(l *ledger){
-		"answers-whole": func(l *ledger) { l.order[0].body = l.order[0].body[16:] },
-		"run-as-asked":  func(l *ledger) { l.order[1].path = "/other" },
-		"run-once":      func(l *ledger) { l.again(2, 1, "x", 20_020) },
-		"refusals-true": func(l *ledger) { l.order[2].status = http.StatusServiceUnavailable },
-		"routes-kept":   func(l *ledger) { l.order[2].route = line },
-		"attempts":      func(l *ledger) { l.manyRuns(few+1, maxAttempts) },
-		"retry-budget":  func(l *ledger) { l.again(1, budgetSlack+1, "x", 20_020) },
-		"no-exit":       func(l *ledger) { l.exits = []string{"vm-0"} },
-		"memory":        func(l *ledger) { l.memory["vm-0"] = memoryLimit + 1 },
-		"time-left":     func(l *ledger) { l.manyRuns(manyHanded+1, 1); l.handMore() },
-		"caller-left":   func(l *ledger) { l.order[0].left = after(20_010); l.again(0, few+1, "x", 20_600) },
-		"configuration": func(l *ledger) { l.order[1].status = http.StatusNotFound },
-		"denied":        func(l *ledger) { l.manyRuns(deniedBase+1, 1); l.deny() },
-		"drain":         func(l *ledger) { l.drains = []drained{{"w-a0", after(15_000)}} },
-		"stop":          func(l *ledger) { l.stops = []stop{{vm: "vm-0", from: after(1), to: after(20_000), code: 0}} },
-		"recovery":      func(l *ledger) { l.order[0].status, l.order[1].status, l.order[2].status = 0, 0, 0 },
+// TestEachCheckFindsItsBreach breaks each guarantee in a sound history, so that a check
+// that can never fail is noticed.
+func TestEachCheckFindsItsBreach(t *testing.T) {
+	breaches := map[string]func(h *history){
+		"answers-whole": func(h *history) { h.sent[0].body = h.sent[0].body[16:] },
+		"run-as-asked":  func(h *history) { h.sent[1].path = "/other" },
+		"run-once":      func(h *history) { h.repeatRun(2, 1, "x", 20_020) },
+		"refusals-true": func(h *history) { h.sent[2].status = http.StatusServiceUnavailable },
+		"routes-kept":   func(h *history) { h.sent[2].route = routeLine },
+		"attempts":      func(h *history) { h.addSweeps(maxBreaches+1, maxAttempts) },
+		"retry-budget":  func(h *history) { h.repeatRun(1, budgetSlack+1, "x", 20_020) },
+		"no-exit":       func(h *history) { h.exits = []string{"vm-0"} },
+		"memory":        func(h *history) { h.peakMemoryMB["vm-0"] = memoryLimitMB + 1 },
+		"time-left":     func(h *history) { h.addSweeps(toleratedOverruns+1, 1); h.exceedTimeLeft() },
+		"caller-left":   func(h *history) { h.sent[0].leftAt = after(20_010); h.repeatRun(0, maxBreaches+1, "x", 20_600) },
+		"configuration": func(h *history) { h.sent[1].status = http.StatusNotFound },
+		"denied":        func(h *history) { h.addSweeps(toleratedDenials+1, 1); h.denyAll() },
+		"drain":         func(h *history) { h.drains = []drainRecord{{"w-a0", after(15_000)}} },
+		"stop":          func(h *history) { h.stops = []plannedStop{{vm: "vm-0", from: after(1), to: after(20_000), code: 0}} },
+		"recovery":      func(h *history) { h.sent[0].status, h.sent[1].status, h.sent[2].status = 0, 0, 0 },
 	}
 	for _, c := range checks() {
 		t.Run(c.name, func(t *testing.T) {
-			l := sound(t)
-			if v := l.judge(true); len(v) > 0 {
-				t.Fatalf("the sound ledger: %v", v)
+			h := newSoundHistory(t)
+			if v := h.runChecks(true); len(v) > 0 {
+				t.Fatalf("violations in the sound history: %v", v)
 			}
 			breach, ok := breaches[c.name]
 			if !ok {
-				t.Fatal("the check has no breach")
+				t.Fatal("the test has no breach for this check")
 			}
-			breach(l)
-			if len(c.judge(l)) == 0 {
-				t.Error("the check does not see the breach")
+			breach(h)
+			if len(c.verify(h)) == 0 {
+				t.Error("the check does not find the breach")
 			}
 		})
 	}
 }
 
-// manyRuns adds sweeps, each of which runs at some leafs more of its service.
-func (l *ledger) manyRuns(n, more int) {
-	first := *l.order[0]
+// addSweeps adds n sweeps, each of which runs on extra more leafs of its service.
+func (h *history) addSweeps(n, extra int) {
+	first := *h.sent[0]
 	for i := range n {
 		q := first
 		q.attempt = fmt.Sprint("many-", i)
-		q.ended = time.Time{}
-		l.sending(&q)
-		for k := range 1 + more {
-			r := l.runs[0]
+		q.endedAt = time.Time{}
+		h.addRequest(&q)
+		for k := range 1 + extra {
+			r := h.runs[0]
 			r.Attempt, r.Leaf = q.attempt, fmt.Sprint("x", k)
-			l.ran(r)
+			h.addRun(r)
 		}
 	}
 }
 
-func (l *ledger) handMore() {
-	for i := range l.runs {
-		l.runs[i].TimeLeft = 2 * callerPatience
+// exceedTimeLeft tells all runs more time left than their callers have.
+func (h *history) exceedTimeLeft() {
+	for i := range h.runs {
+		h.runs[i].TimeLeft = 2 * callerTimeoutMs
 	}
 }
 
-func (l *ledger) deny() {
-	for _, q := range l.order {
-		q.status, q.ended = http.StatusForbidden, after(20_050)
+// denyAll gives all requests a 403.
+func (h *history) denyAll() {
+	for _, q := range h.sent {
+		q.status, q.endedAt = http.StatusForbidden, after(20_050)
 	}
 }
 
-// TestDisturbedVMsAreNotJudged keeps bounds in time from VMs that were out of
-// order.
-func TestDisturbedVMsAreNotJudged(t *testing.T) {
-	l := sound(t)
-	l.order[1].status = http.StatusNotFound
-	l.spans = []span{{vm: "vm-0", from: after(15_500), to: after(16_000)}}
-	if v := configurations(l); len(v) > 0 {
-		t.Errorf("a VM that was disturbed 4 s before is judged: %v", v)
+// TestDisturbedVMsAreExempt checks that timed checks skip a VM that was disturbed within
+// the stable window, and judge one that was not.
+func TestDisturbedVMsAreExempt(t *testing.T) {
+	h := newSoundHistory(t)
+	h.sent[1].status = http.StatusNotFound
+	h.disturbances = []disturbance{{vm: "vm-0", from: after(15_500), to: after(16_000)}}
+	if v := configurationPropagation(h); len(v) > 0 {
+		t.Errorf("a VM that was disturbed 4 s before was checked: %v", v)
 	}
-	l.spans[0].to = after(15_000 - 1)
-	l.spans[0].from = after(14_000)
-	if len(configurations(l)) == 0 {
-		t.Error("a VM that was calm is not judged")
+	h.disturbances[0].to = after(15_000 - 1)
+	h.disturbances[0].from = after(14_000)
+	if len(configurationPropagation(h)) == 0 {
+		t.Error("a stable VM was not checked")
 	}
 }
 
-// TestPlansRepeat draws a plan twice.
-func TestPlansRepeat(t *testing.T) {
+// TestSeedDeterminesPlan draws plans with equal and with different seeds.
+func TestSeedDeterminesPlan(t *testing.T) {
 	a, b := makePlan(7, 50, 6, 20, 1000), makePlan(7, 50, 6, 20, 1000)
 	for i := range a {
 		if a[i].at != b[i].at || a[i].fault.String() != b[i].fault.String() {
@@ -165,6 +168,6 @@
 		}
 	}
 	if makePlan(8, 1, 6, 20, 1000)[0].at == a[0].at {
-		t.Error("another seed gives the same plan")
+		t.Error("another seed gave the same plan")
 	}
 }
--- a/standin/soaker/fleet.go
+++ b/standin/soaker/fleet.go
@@ -21,151 +21,153 @@
 
 // Ports of a VM on its own loopback address.
 const (
-	callersPort   = 8104
+	callerPort    = 8104
 	readinessPort = 8108
 	peerPort      = 7380
 )
 
-// restartPause is how long the platform takes to start a process again.
+// restartPause is how long the platform takes to restart a process.
 const restartPause = 300 * tier.Millisecond
 
-// vm is one entry VM, run as a process. Its processes come one after another.
+// vm is one entry VM. It runs as a process, which is restarted after kills and stops.
 type vm struct {
 	name, zone, address string
 	dir                 string
 	storeLink           *relay.Link // from the VM to the store
-	peerLink            *relay.Link // from other VMs to it
-	peerListen          string
+	peerLink            *relay.Link // from other VMs to this one
+	peerListen          string      // the peer link's address
 
-	busy sync.Mutex // held by a fault of its process
+	faultMu sync.Mutex // held while a fault acts on the process
 
-	mu      sync.Mutex
-	process *exec.Cmd
-	ended   chan struct{} // closed when the process has ended
-	wanted  bool          // that it ends is no surprise
+	mu           sync.Mutex
+	process      *exec.Cmd
+	exited       chan struct{} // closed when the process has exited
+	exitExpected bool          // a signal that ends the process was sent
 }
 
-// zones are the data centres and their regions.
-var zones = map[string]string{"depot-a": "north", "depot-b": "south", "depot-c": "west"}
+// regionByZone maps each data centre to its region.
+var regionByZone = map[string]string{"depot-a": "north", "depot-b": "south", "depot-c": "west"}
 
 var zoneNames = []string{"depot-a", "depot-b", "depot-c"}
 
-// settings are those of the platform's file.
-func (v *vm) settings(store string) string {
+// settings is the text of the VM's settings file, in the platform's format.
+func (v *vm) settings(storeAddress string) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "nodeName = %q\nipAddress = %q\nzone = %q\nregion = %q\n", v.name, v.address, v.zone, zones[v.zone])
+	fmt.Fprintf(&b, "nodeName = %q\nipAddress = %q\nzone = %q\nregion = %q\n", v.name, v.address, v.zone, regionByZone[v.zone])
 	fmt.Fprintf(&b, "internalPortRange = [%d, %d]\n[zones]\n", peerPort, peerPort+15)
 	for _, z := range zoneNames {
-		fmt.Fprintf(&b, "%s = %q\n", z, zones[z])
+		fmt.Fprintf(&b, "%s = %q\n", z, regionByZone[z])
 	}
-	fmt.Fprintf(&b, "[listenAddresses]\nfront = %q\nreadyAddress = %q\n", v.at(callersPort), v.at(readinessPort))
-	fmt.Fprintf(&b, "[limits]\ncpuShare = 1.0\nmemoryMb = %d\n", memoryLimit)
+	fmt.Fprintf(&b, "[listenAddresses]\nfront = %q\nreadyAddress = %q\n", v.endpoint(callerPort), v.endpoint(readinessPort))
+	fmt.Fprintf(&b, "[limits]\ncpuShare = 1.0\nmemoryMb = %d\n", memoryLimitMB)
 	fmt.Fprintf(&b, "[bounds]\ngracePeriodS = %d\nretryBudgetRatio = %g\nbudgetSlack = %d\n",
 		gracePeriod/tier.Second, budgetRatio, budgetSlack)
-	fmt.Fprintf(&b, "[platform]\naddress = %q\n", store)
+	fmt.Fprintf(&b, "[platform]\naddress = %q\n", storeAddress)
 	return b.String()
 }
 
-func (v *vm) at(port int) string { return net.JoinHostPort(v.address, strconv.Itoa(port)) }
+func (v *vm) endpoint(port int) string { return net.JoinHostPort(v.address, strconv.Itoa(port)) }
 
-// start runs a process, whose log goes to a file of the VM's directory.
-func (s *Soak) start(v *vm) error {
+// startProcess starts a VM's process. Its log goes to a file in the VM's directory.
+func (s *Soak) startProcess(v *vm) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	log, err := os.OpenFile(filepath.Join(v.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return errors.Wrap(err, "Soak.start")
+		return errors.Wrap(err, "Soak.startProcess")
 	}
 	c := exec.Command(s.program, "front")
 	c.Env = []string{"CICADAGRADE_CONFIG=" + filepath.Join(v.dir, "settings.toml"), "PATH=" + os.Getenv("PATH"), "HOME=" + v.dir}
 	c.Stdout, c.Stderr = log, log
 	if err := c.Start(); err != nil {
-		return errors.Wrap(err, "Soak.start")
+		return errors.Wrap(err, "Soak.startProcess")
 	}
-	ended := make(chan struct{})
-	v.process, v.ended, v.wanted = c, ended, false
+	exited := make(chan struct{})
+	v.process, v.exited, v.exitExpected = c, exited, false
 	s.group.Go(func() error {
 		err := c.Wait()
 		_ = log.Close()
 		v.mu.Lock()
-		surprise := !v.wanted
+		unexpected := !v.exitExpected
 		v.mu.Unlock()
-		if surprise {
-			s.ledger.update(func() { s.ledger.exits = append(s.ledger.exits, fmt.Sprintf("%s ended by itself: %v", v.name, err)) })
+		if unexpected {
+			s.history.update(func() { s.history.exits = append(s.history.exits, fmt.Sprintf("%s exited by itself: %v", v.name, err)) })
 		}
-		close(ended)
+		close(exited)
 		return nil
 	})
 	return nil
 }
 
-// signal sends a signal to the VM's process; one that ends it is expected to.
+// signal sends a signal to the VM's process. After SIGKILL and SIGTERM the exit is
+// expected.
 func (v *vm) signal(sig syscall.Signal) (*exec.Cmd, <-chan struct{}) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if sig == syscall.SIGKILL || sig == syscall.SIGTERM {
-		v.wanted = true
+		v.exitExpected = true
 	}
 	if v.process != nil {
-		_ = v.process.Process.Signal(sig) // it may have ended
+		_ = v.process.Process.Signal(sig) // an error means that it has exited
 	}
-	return v.process, v.ended
+	return v.process, v.exited
 }
 
-// killAndRestart ends a process without warning and starts another.
-func (s *Soak) killAndRestart(ctx context.Context, v *vm, down tier.Millis) error {
-	_, ended := v.signal(syscall.SIGKILL)
-	<-ended
-	sleep(ctx, down)
+// killAndRestart kills a VM's process and starts another after a pause.
+func (s *Soak) killAndRestart(ctx context.Context, v *vm, downtime tier.Millis) error {
+	_, exited := v.signal(syscall.SIGKILL)
+	<-exited
+	sleep(ctx, downtime)
 	if ctx.Err() != nil {
 		return nil
 	}
-	return s.start(v)
+	return s.startProcess(v)
 }
 
-// stopAndRestart stops a process as planned; the platform kills it if the grace
-// period is over.
+// stopAndRestart stops a process as the platform does in a planned stop: it sends SIGTERM,
+// and SIGKILL if the process has not exited after the grace period.
 func (s *Soak) stopAndRestart(ctx context.Context, v *vm) error {
 	var i int
-	s.ledger.update(func() {
-		s.ledger.stops = append(s.ledger.stops, stop{vm: v.name, from: time.Now()})
-		i = len(s.ledger.stops) - 1
+	s.history.update(func() {
+		s.history.stops = append(s.history.stops, plannedStop{vm: v.name, from: time.Now()})
+		i = len(s.history.stops) - 1
 	})
-	c, ended := v.signal(syscall.SIGTERM)
+	c, exited := v.signal(syscall.SIGTERM)
 	select {
-	case <-ended:
+	case <-exited:
 	case <-time.After(gracePeriod.Duration()):
 		v.signal(syscall.SIGKILL)
-		<-ended
+		<-exited
 	}
-	s.ledger.update(func() { s.ledger.stops[i].to, s.ledger.stops[i].code = time.Now(), c.ProcessState.ExitCode() })
+	s.history.update(func() { s.history.stops[i].to, s.history.stops[i].code = time.Now(), c.ProcessState.ExitCode() })
 	sleep(ctx, restartPause)
 	if ctx.Err() != nil {
 		return nil
 	}
-	return s.start(v)
+	return s.startProcess(v)
 }
 
-// memory is what a process holds, in MB, or 0 if it has ended.
-func (v *vm) memory() int {
+// residentMB is the resident memory of the VM's process, in MB, or 0 if it has exited.
+func (v *vm) residentMB() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.process == nil {
 		return 0
 	}
-	raw, err := os.ReadFile("/proc/" + strconv.Itoa(v.process.Process.Pid) + "/status")
+	status, err := os.ReadFile("/proc/" + strconv.Itoa(v.process.Process.Pid) + "/status")
 	if err != nil {
-		return 0 // it has ended
+		return 0 // it has exited
 	}
-	for line := range strings.Lines(string(raw)) {
+	for line := range strings.Lines(string(status)) {
 		if f := strings.Fields(line); len(f) > 1 && f[0] == "VmRSS:" {
-			kb, _ := strconv.Atoi(f[1]) // the kernel writes a number
+			kb, _ := strconv.Atoi(f[1]) // always a number
 			return kb >> 10
 		}
 	}
 	return 0
 }
 
+// sleep waits for a time, or until ctx ends.
 func sleep(ctx context.Context, m tier.Millis) {
 	select {
 	case <-ctx.Done():
--- /dev/null
+++ b/standin/soaker/inject.go
@@ -0,0 +1,153 @@
+package soaker
+
+import (
+	"context"
+	"sync"
+	"syscall"
+
+	"github.com/pkg/errors"
+	"golang.org/x/sync/errgroup"
+
+	"cicadagrade.example/standin/relay"
+	"cicadagrade.example/standin/responder"
+	"cicadagrade.example/tier"
+)
+
+// inject injects the fault of a step, and ends it after its duration.
+func (s *Soak) inject(ctx context.Context, t step) error {
+	s.log.Info("fault", "fault", t.fault, "lasts-ms", int64(t.duration))
+	switch f := t.fault.(type) {
+	case killVMs:
+		return s.killVMs(ctx, f, t.duration)
+	case stopVM:
+		v := s.vms[f.vm]
+		defer s.history.beginDisturbance(disturbance{vm: v.name, description: f.String(), planned: true})()
+		return s.withFaultLock(v, func() error { return s.stopAndRestart(ctx, v) })
+	case freezeVM:
+		v := s.vms[f.vm]
+		return s.withFaultLock(v, func() error {
+			defer s.history.beginDisturbance(disturbance{vm: v.name, description: f.String()})()
+			v.signal(syscall.SIGSTOP)
+			sleep(ctx, t.duration)
+			v.signal(syscall.SIGCONT)
+			return nil
+		})
+	case reloadVM:
+		v := s.vms[f.vm]
+		defer s.history.beginDisturbance(disturbance{vm: v.name, description: f.String(), planned: true})()
+		if err := s.writeSettings(v); err != nil {
+			return err
+		}
+		v.signal(syscall.SIGHUP)
+	case cutStore:
+		v := s.vms[f.vm]
+		s.degradeLink(ctx, v.name, f.String(), v.storeLink, relay.NewCondition(f.cut, 0, false), t.duration)
+	case cutPeer:
+		// Any VM may have had calls to this one in progress.
+		s.degradeLink(ctx, "", f.String(), s.vms[f.vm].peerLink, relay.NewCondition(f.cut, 0, false), t.duration)
+	case loseReplies:
+		s.degradeLink(ctx, "", f.String(), s.vms[f.vm].peerLink, relay.NewCondition(relay.CutNone, 0, true), t.duration)
+	case cutLeaf:
+		s.degradeLink(ctx, "", f.String(), s.leafs[f.leaf].link, relay.NewCondition(f.cut, 0, false), t.duration)
+	case delayLeaf:
+		s.degradeLink(ctx, "", f.String(), s.leafs[f.leaf].link, relay.NewCondition(relay.CutNone, f.delay, false), t.duration)
+	case leafMoods:
+		s.setMoods(ctx, f, t.duration)
+	case drainLeaf:
+		s.drainAndReplace(ctx, s.leafs[f.leaf])
+	case reuseAddress:
+		if w, _, _ := s.leafs[f.by].current(); w != nil {
+			s.reuseAddress(ctx, s.leafs[f.leaf], w.Service(), t.duration)
+		}
+	case changeConfiguration:
+		index := "a"
+		if f.reshard {
+			index = "b"
+		}
+		return s.putConfiguration(ctx, index)
+	case storeDown, storeSlow, storeLosesReplies, storeLosesHistory:
+		s.breakStore(ctx, f, t.duration)
+	}
+	return nil
+}
+
+// killVMs kills the processes of several VMs at the same time, and restarts them.
+func (s *Soak) killVMs(ctx context.Context, f killVMs, downtime tier.Millis) error {
+	var g errgroup.Group
+	for _, i := range f.vms {
+		v := s.vms[i]
+		g.Go(func() error {
+			return s.withFaultLock(v, func() error {
+				defer s.history.beginDisturbance(disturbance{vm: v.name, description: f.String()})()
+				return s.killAndRestart(ctx, v, min(downtime, restartPause))
+			})
+		})
+	}
+	return errors.Wrap(g.Wait(), "Soak.killVMs")
+}
+
+// withFaultLock runs do while no other fault acts on the VM's process.
+func (s *Soak) withFaultLock(v *vm, do func() error) error {
+	v.faultMu.Lock()
+	defer v.faultMu.Unlock()
+	return do()
+}
+
+// degradeLink puts a link into a condition for a while. If faults of one link overlap, the
+// latest one is in effect, and the first to end restores the link.
+func (s *Soak) degradeLink(ctx context.Context, vm, description string, l *relay.Link, c relay.Condition, duration tier.Millis) {
+	defer s.history.beginDisturbance(disturbance{vm: vm, description: description})()
+	l.Set(c)
+	sleep(ctx, duration)
+	l.Set(relay.NewCondition(relay.CutNone, 0, false))
+}
+
+// setMoods has leafs misbehave for a while.
+func (s *Soak) setMoods(ctx context.Context, f leafMoods, duration tier.Millis) {
+	var group sync.WaitGroup
+	for _, i := range f.leafs {
+		w, _, _ := s.leafs[i].current()
+		if w == nil {
+			continue
+		}
+		group.Go(func() {
+			w.SetMood(f.mood)
+			sleep(ctx, duration)
+			w.SetMood(responder.Sound)
+		})
+	}
+	group.Wait()
+}
+
+// breakStore has the store misbehave for a while. Faults of different kinds add up.
+func (s *Soak) breakStore(ctx context.Context, f fault, duration tier.Millis) {
+	defer s.history.beginDisturbance(disturbance{description: f.String()})()
+	set := func(on bool) {
+		s.storeMu.Lock()
+		defer s.storeMu.Unlock()
+		switch f := f.(type) {
+		case storeDown:
+			s.storeFaults.Down = on
+		case storeSlow:
+			s.storeFaults.Delay = 0
+			if on {
+				s.storeFaults.Delay = f.delay
+			}
+		case storeLosesReplies:
+			s.storeFaults.LoseAnswers = 0
+			if on {
+				s.storeFaults.LoseAnswers = allReplies
+			}
+		case storeLosesHistory:
+			s.storeServer.Forget()
+			return
+		}
+		s.storeServer.SetFaults(s.storeFaults)
+	}
+	set(true)
+	sleep(ctx, duration)
+	set(false)
+}
+
+// allReplies has the store lose the replies to all writes.
+const allReplies = -1
--- a/standin/soaker/soak_test.go
+++ b/standin/soaker/soak_test.go
@@ -10,8 +10,8 @@
 	"cicadagrade.example/tier"
 )
 
-// TestShortSoak plays a few faults on real processes. Only promises are judged
-// that hold however slow the machine is.
+// TestShortSoak injects a few faults into real processes. It leaves out the timed checks,
+// which a slow machine can fail.
 func TestShortSoak(t *testing.T) {
 	dir := t.TempDir()
 	program := filepath.Join(dir, "cicadagraded")
--- a/standin/soaker/soaker.go
+++ b/standin/soaker/soaker.go
@@ -1,6 +1,7 @@
-// Package soaker runs the real daemons as processes on loopback, does to them
-// what a plan says, and checks the deployment's promises by what callers, leafs
-// and the operator see meanwhile.
+// Package soaker is a randomised fault-injection test of a whole deployment. It runs
+// the real daemons as processes on loopback, injects the faults of a seeded plan under
+// load, and checks the deployment's guarantees against what callers, leafs and the
+// operator observed.
 package soaker
 
 import (
@@ -27,75 +28,76 @@
 	"cicadagrade.example/tier"
 )
 
-// quiet drops what servers say of connections that end.
-var quiet = stdlog.New(io.Discard, "", 0)
+// discardLog drops the HTTP servers' messages about closed connections.
+var discardLog = stdlog.New(io.Discard, "", 0)
 
 const (
-	// readyTime is how long the deployment may take to serve at the start.
-	readyTime = 30 * tier.Second
-	// judgeInterval is how often the ledger is judged.
-	judgeInterval = 2 * tier.Second
-	// calmEnd is the load after the last fault that shows whether the deployment
-	// recovers; shortEnd is that of a run which does not ask.
-	calmEnd  = recoverBound + 3*tier.Second
-	shortEnd = tier.Second
+	// startTimeout is how long all VMs may take to become ready at the start.
+	startTimeout = 30 * tier.Second
+	// checkInterval is how often the checks run over the history.
+	checkInterval = 2 * tier.Second
+	// recoveryPeriod is how long the load goes on after the last fault, so that the
+	// recovery check has requests to look at; untimedEndPeriod replaces it in a run
+	// without timed checks.
+	recoveryPeriod   = recoveryBound + 3*tier.Second
+	untimedEndPeriod = tier.Second
 )
 
-// Soak is one run.
+// Soak is one run of the test.
 type Soak struct {
-	program string
-	dir     string
-	seed    uint64
-	count   int
-	faults  int
-	over    tier.Millis
-	callers int
-	pause   tier.Millis
-	timed   bool
-	log     *log.Logger
+	program     string
+	dir         string
+	seed        uint64
+	vmCount     int
+	faultCount  int
+	faultPeriod tier.Millis
+	callerCount int
+	meanPause   tier.Millis
+	timed       bool
+	log         *log.Logger
 
-	ledger   *ledger
-	group    *errgroup.Group
-	vms      []*vm
-	leafs    []*leaf
-	server   *storeserver.Server
-	store    *platform.Store
-	workers  atomic.Int64
-	ready    atomic.Pointer[[]*vm]
-	operator sync.Mutex
-	number   int64 // of the newest configuration
-	storeMu  sync.Mutex
-	down     storeserver.Faults
+	history             *history
+	group               *errgroup.Group
+	vms                 []*vm
+	leafs               []*leaf
+	storeServer         *storeserver.Server
+	store               *platform.Store
+	workerCount         atomic.Int64
+	readyVMs            atomic.Pointer[[]*vm]
+	configurationMu     sync.Mutex
+	configurationNumber int64 // version of the newest configuration
+	storeMu             sync.Mutex
+	storeFaults         storeserver.Faults
 }
 
-// Option sets a part of a soak.
+// Option configures a Soak.
 type Option func(*Soak)
 
 // WithVMs sets the number of entry VMs.
-func WithVMs(n int) Option { return func(s *Soak) { s.count = n } }
+func WithVMs(n int) Option { return func(s *Soak) { s.vmCount = n } }
 
-// WithFaults sets how many faults come in a time.
-func WithFaults(n int, over tier.Millis) Option {
-	return func(s *Soak) { s.faults, s.over = n, over }
+// WithFaults sets the number of faults and the period over which they start.
+func WithFaults(n int, period tier.Millis) Option {
+	return func(s *Soak) { s.faultCount, s.faultPeriod = n, period }
 }
 
-// WithCallers sets how many callers ask, and the mean pause of each.
+// WithCallers sets the number of callers, and the mean pause of each between requests.
 func WithCallers(n int, pause tier.Millis) Option {
-	return func(s *Soak) { s.callers, s.pause = n, pause }
+	return func(s *Soak) { s.callerCount, s.meanPause = n, pause }
 }
 
 // Untimed leaves out the checks whose verdict depends on the machine's speed.
 func Untimed() Option { return func(s *Soak) { s.timed = false } }
 
-// WithLog sets where the soak says what it does.
+// WithLog sets the logger of the run's progress.
 func WithLog(l *log.Logger) Option { return func(s *Soak) { s.log = l } }
 
-// New returns a soak of a program, cicadagraded, with a seed; its files go to a
-// directory.
+// New returns a soak that runs program, the cicadagraded daemon, with a plan drawn from
+// seed. Settings and logs of the VMs are written below dir.
 func New(program, dir string, seed uint64, options ...Option) *Soak {
 	s := &Soak{
-		program: program, dir: dir, seed: seed, count: 6, faults: 12, over: 20 * tier.Second,
-		callers: 24, pause: 60, timed: true, log: log.New(io.Discard), ledger: newLedger(),
+		program: program, dir: dir, seed: seed, vmCount: 6, faultCount: 12, faultPeriod: 20 * tier.Second,
+		callerCount: 24, meanPause: 60, timed: true, log: log.New(io.Discard), history: newHistory(),
 	}
 	for _, o := range options {
 		o(s)
@@ -103,25 +105,25 @@
 	return s
 }
 
-// Result is what a run has shown.
+// Result sums up a run: requests by outcome, faults, and violated guarantees.
 type Result struct {
 	Requests, Served, Refused, Failed int
 	Faults                            int
 	Violations                        []Violation
 }
 
-// Run plays the plan and returns what was broken.
+// Run executes the plan and returns the violations found.
 func (s *Soak) Run(outer context.Context) (Result, error) {
-	ctx, end := context.WithCancel(outer)
-	defer end()
+	ctx, cancel := context.WithCancel(outer)
+	defer cancel()
 	s.group, ctx = errgroup.WithContext(ctx)
-	err := s.play(ctx)
-	end()
+	err := s.execute(ctx)
+	cancel()
 	for _, v := range s.vms {
 		v.signal(syscall.SIGKILL)
 	}
-	if other := s.group.Wait(); err == nil {
-		err = other
+	if groupErr := s.group.Wait(); err == nil {
+		err = groupErr
 	}
 	if outer.Err() != nil {
 		err = errors.New("interrupted")
@@ -132,81 +134,84 @@
 	return s.result(), nil
 }
 
-func (s *Soak) play(ctx context.Context) error {
-	if err := s.build(ctx); err != nil {
+// execute starts the deployment and its load, injects the plan's faults, and keeps the
+// load up for a while after the last one.
+func (s *Soak) execute(ctx context.Context) error {
+	if err := s.setUp(ctx); err != nil {
 		return err
 	}
-	if err := s.configure(ctx, "a"); err != nil {
+	if err := s.putConfiguration(ctx, "a"); err != nil {
 		return err
 	}
 	for _, v := range s.vms {
-		if err := s.start(v); err != nil {
+		if err := s.startProcess(v); err != nil {
 			return err
 		}
 	}
-	s.group.Go(func() error { return s.balance(ctx) })
-	if err := s.await(ctx); err != nil {
+	s.group.Go(func() error { return s.pollReadiness(ctx) })
+	if err := s.awaitReady(ctx); err != nil {
 		return err
 	}
-	for i := range s.callers {
-		s.group.Go(func() error { return s.call(ctx, i) })
+	for i := range s.callerCount {
+		s.group.Go(func() error { return s.runCaller(ctx, i) })
 	}
-	s.group.Go(func() error { return s.watch(ctx) })
-	began := time.Now()
-	var faults sync.WaitGroup
-	for _, step := range makePlan(s.seed, s.faults, len(s.vms), len(s.leafs), s.over) {
-		faults.Go(func() {
-			sleep(ctx, step.at-tier.Millis(time.Since(began).Milliseconds()))
-			if err := s.inflict(ctx, step); err != nil {
+	s.group.Go(func() error { return s.monitor(ctx) })
+	start := time.Now()
+	var injections sync.WaitGroup
+	for _, step := range makePlan(s.seed, s.faultCount, len(s.vms), len(s.leafs), s.faultPeriod) {
+		injections.Go(func() {
+			sleep(ctx, step.at-tier.Millis(time.Since(start).Milliseconds()))
+			if err := s.inject(ctx, step); err != nil {
 				s.log.Error("fault not inflicted", "fault", step.fault, "error", err)
 			}
 		})
 	}
-	faults.Wait()
-	s.log.Info("the last fault is over", "after", time.Since(began).Round(time.Millisecond))
-	s.ledger.update(func() { s.ledger.lastEnd = time.Now() })
+	injections.Wait()
+	s.log.Info("the last fault is over", "after", time.Since(start).Round(time.Millisecond))
+	s.history.update(func() { s.history.lastFaultEnd = time.Now() })
 	if s.timed {
-		sleep(ctx, calmEnd)
+		sleep(ctx, recoveryPeriod)
 	} else {
-		sleep(ctx, shortEnd)
+		sleep(ctx, untimedEndPeriod)
 	}
 	return nil
 }
 
-// await waits until all VMs are ready.
-func (s *Soak) await(ctx context.Context) error {
-	limit := time.Now().Add(readyTime.Duration())
+// awaitReady waits until all VMs are ready.
+func (s *Soak) awaitReady(ctx context.Context) error {
+	deadline := time.Now().Add(startTimeout.Duration())
 	for ctx.Err() == nil {
-		if r := s.ready.Load(); r != nil && len(*r) == len(s.vms) && s.settled(ctx) {
+		if r := s.readyVMs.Load(); r != nil && len(*r) == len(s.vms) && s.stillReady(ctx) {
 			return nil
 		}
-		if time.Now().After(limit) {
-			return errors.New("Soak.await: the VMs are not ready")
+		if time.Now().After(deadline) {
+			return errors.New("Soak.awaitReady: the VMs did not become ready in time")
 		}
-		sleep(ctx, readinessPoll)
+		sleep(ctx, readinessInterval)
 	}
 	return ctx.Err()
 }
 
-// settled gives VMs that are ready the time to hear of all leafs, and reports
-// whether they still are.
-func (s *Soak) settled(ctx context.Context) bool {
-	sleep(ctx, 2*readinessPoll)
-	return len(*s.ready.Load()) == len(s.vms)
+// stillReady gives ready VMs time to discover all leafs, and reports whether all VMs are
+// ready after that.
+func (s *Soak) stillReady(ctx context.Context) bool {
+	sleep(ctx, 2*readinessInterval)
+	return len(*s.readyVMs.Load()) == len(s.vms)
 }
 
-// watch judges the ledger and measures memory while the load runs.
-func (s *Soak) watch(ctx context.Context) error {
-	said := map[Violation]bool{}
+// monitor runs the checks and samples the VMs' memory while the load runs. It leaves
+// out the recovery check, which only holds at the end of the run.
+func (s *Soak) monitor(ctx context.Context) error {
+	reported := map[Violation]bool{}
 	for ctx.Err() == nil {
-		sleep(ctx, judgeInterval)
+		sleep(ctx, checkInterval)
 		for _, v := range s.vms {
-			mb := v.memory()
-			s.ledger.update(func() { s.ledger.memory[v.name] = max(s.ledger.memory[v.name], mb) })
+			mb := v.residentMB()
+			s.history.update(func() { s.history.peakMemoryMB[v.name] = max(s.history.peakMemoryMB[v.name], mb) })
 		}
-		for _, v := range s.ledger.judge(s.timed) {
-			if !said[v] && v.check != "recovery" {
-				said[v] = true
+		for _, v := range s.history.runChecks(s.timed) {
+			if !reported[v] && v.check != "recovery" {
+				reported[v] = true
 				s.log.Warn("violation", "check", v.check, "detail", v.detail)
 			}
 		}
@@ -215,8 +220,8 @@
 }
 
 func (s *Soak) result() Result {
-	r := Result{Violations: s.ledger.judge(s.timed), Faults: s.faults}
-	for _, q := range s.ledger.order {
+	r := Result{Violations: s.history.runChecks(s.timed), Faults: s.faultCount}
+	for _, q := range s.history.sent {
 		r.Requests++
 		switch {
 		case q.served():
@@ -230,30 +235,31 @@
 	return r
 }
 
-// subnet is the loopback network of a run, apart from those of other runs.
+// subnet is the loopback network of this run. It depends on the process ID and the seed,
+// so that runs at the same time do not collide.
 func (s *Soak) subnet() string {
 	return fmt.Sprintf("127.%d.%d", 1+os.Getpid()%250, 1+s.seed%250)
 }
 
-// build sets up the store, the leafs, the VMs and the links between them.
-func (s *Soak) build(ctx context.Context) error {
-	s.server = storeserver.New(tier.NewClock())
-	members := map[string]string{}
-	seen := httptest.NewUnstartedServer(rewritten{store: s.server, links: members})
-	raw := httptest.NewServer(s.server)
-	s.store = platform.NewStore(raw.URL)
-	seen.Start()
+// setUp creates the store, the leafs, the VMs and the links between them.
+func (s *Soak) setUp(ctx context.Context) error {
+	s.storeServer = storeserver.New(tier.NewClock())
+	peerAddresses := map[string]string{}
+	vmStoreServer := httptest.NewUnstartedServer(addressRewriter{store: s.storeServer, links: peerAddresses})
+	directServer := httptest.NewServer(s.storeServer)
+	s.store = platform.NewStore(directServer.URL)
+	vmStoreServer.Start()
 	s.group.Go(func() error {
 		<-ctx.Done()
 		s.store.Close()
-		seen.CloseClientConnections()
-		seen.Close()
-		raw.CloseClientConnections()
-		raw.Close()
+		vmStoreServer.CloseClientConnections()
+		vmStoreServer.Close()
+		directServer.CloseClientConnections()
+		directServer.Close()
 		return nil
 	})
-	calm := relay.NewCondition(relay.CutNone, 0, false)
-	for i := range s.count {
+	normal := relay.NewCondition(relay.CutNone, 0, false)
+	for i := range s.vmCount {
 		v := &vm{
 			name: fmt.Sprintf("vm-%d", i), zone: zoneNames[i%len(zoneNames)],
 			address: s.subnet() + "." + strconv.Itoa(10+i),
@@ -261,32 +267,32 @@
 		v.dir = filepath.Join(s.dir, v.name)
 		storeListen := s.subnet() + "." + strconv.Itoa(10+i) + ":8200"
 		v.peerListen = s.subnet() + "." + strconv.Itoa(10+i) + ":8201"
-		v.storeLink = relay.NewLink(v.name+"-store", v.name, "store", storeListen, seen.Listener.Addr().String(), calm)
-		v.peerLink = relay.NewLink("peers-"+v.name, "peers", v.name, v.peerListen, v.at(peerPort), calm)
-		members[v.name] = v.peerListen
+		v.storeLink = relay.NewLink(v.name+"-store", v.name, "store", storeListen, vmStoreServer.Listener.Addr().String(), normal)
+		v.peerLink = relay.NewLink("peers-"+v.name, "peers", v.name, v.peerListen, v.endpoint(peerPort), normal)
+		peerAddresses[v.name] = v.peerListen
 		if err := os.MkdirAll(v.dir, 0o750); err != nil {
-			return errors.Wrap(err, "Soak.build")
+			return errors.Wrap(err, "Soak.setUp")
 		}
 		if err := s.writeSettings(v); err != nil {
 			return err
 		}
 		for _, l := range []*relay.Link{v.storeLink, v.peerLink} {
-			if err := s.join(ctx, l); err != nil {
+			if err := s.serveLink(ctx, l); err != nil {
 				return err
 			}
 		}
 		s.vms = append(s.vms, v)
 	}
-	return s.buildLeafs(ctx)
+	return s.setUpLeafs(ctx)
 }
 
 func (s *Soak) writeSettings(v *vm) error {
-	store, _ := v.storeLink.Addresses()
-	return errors.Wrap(os.WriteFile(filepath.Join(v.dir, "settings.toml"), []byte(v.settings(store)), 0o600), "Soak.writeSettings")
+	storeAddress, _ := v.storeLink.Addresses()
+	return errors.Wrap(os.WriteFile(filepath.Join(v.dir, "settings.toml"), []byte(v.settings(storeAddress)), 0o600), "Soak.writeSettings")
 }
 
-// buildLeafs starts two leafs of each service, in different data centres.
-func (s *Soak) buildLeafs(ctx context.Context) error {
+// setUpLeafs starts two leafs of each service, in different data centres.
+func (s *Soak) setUpLeafs(ctx context.Context) error {
 	services := []string{"orders", "ledger"}
 	for i := range shardCount {
 		services = append(services, "a"+strconv.Itoa(i), "b"+strconv.Itoa(i))
@@ -294,19 +300,19 @@
 	for i, service := range append(services, services...) {
 		server := httptest.NewUnstartedServer(nil)
 		target := server.Listener.Addr().String()
-		server.Close() // only its free address was wanted
+		server.Close() // only a free address was needed
 		f := &leaf{number: i, zone: zoneNames[(i+i/len(services))%len(zoneNames)]}
 		f.listen = fmt.Sprintf("%s.200:%d", s.subnet(), 9000+i)
 		f.link = relay.NewLink(fmt.Sprintf("leaf-%d", i), "vms", "leaf", f.listen, target, relay.NewCondition(relay.CutNone, 0, false))
-		f.put(s.newWorker(service))
+		f.replaceWorker(s.newWorker(service))
 		if err := s.serve(ctx, target, f); err != nil {
 			return err
 		}
-		if err := s.join(ctx, f.link); err != nil {
+		if err := s.serveLink(ctx, f.link); err != nil {
 			return err
 		}
 		s.leafs = append(s.leafs, f)
-		s.group.Go(func() error { return s.register(ctx, f) })
+		s.group.Go(func() error { return s.keepRegistered(ctx, f) })
 	}
 	return nil
 }
--- a/standin/soaker/world.go
+++ b/standin/soaker/world.go
@@ -21,55 +21,58 @@
 	"cicadagrade.example/tier"
 )
 
-// The routes that callers use.
+// Names of the routes that callers use.
 const (
-	sweep = "sweep" // all shards
-	line  = "line"  // one leaf, may be repeated
-	split = "split" // one leaf of two services by weight
-	book  = "book"  // one leaf, not to be repeated
+	routeSweep = "sweep" // all shards
+	routeLine  = "line"  // one leaf, idempotent
+	routeSplit = "split" // one leaf of two services, chosen by weight
+	routeBook  = "book"  // one leaf, non-idempotent
 )
 
 const (
 	// shardCount is how many shards an index has.
 	shardCount = 4
-	// leafWork is how long a leaf works on a request.
-	leafWork = 8 * tier.Millisecond
-	// beat is how often a leaf writes its registration.
-	beat = 400 * tier.Millisecond
-	// leafTTL is how long a silent leaf stays registered: three beats.
-	leafTTL = 3 * beat
-	// servesOn is how long a leaf goes on serving after it has said that it
-	// leaves.
-	servesOn = drainBound + tier.Second
+	// leafServiceTime is how long a leaf works on a request.
+	leafServiceTime = 8 * tier.Millisecond
+	// registrationInterval is how often a leaf writes its registration.
+	registrationInterval = 400 * tier.Millisecond
+	// registrationTTL is how long a leaf stays registered after its last write.
+	registrationTTL = 3 * registrationInterval
+	// drainingServeTime is how long a leaf goes on serving after it has registered as
+	// draining.
+	drainingServeTime = drainBound + tier.Second
 )
 
-// leaf is one backend server with its address, which others may get after it.
+// leaf is the address of a backend server, and the worker that serves it now. Workers of
+// other services may get the same address later.
 type leaf struct {
 	number int
 	zone   string
-	link   *relay.Link // from all VMs to it
+	link   *relay.Link // from all VMs to the leaf
 	listen string      // the link's address
 
 	mu       sync.Mutex
-	worker   *responder.Worker // nil while nobody is there
+	worker   *responder.Worker // nil while no worker serves the address
 	draining bool
 	sequence int64
 }
 
-func (f *leaf) get() (*responder.Worker, bool, int64) {
+// current returns the worker, whether it is draining, and the sequence number of the next
+// registration.
+func (f *leaf) current() (*responder.Worker, bool, int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.sequence++
 	return f.worker, f.draining, f.sequence
 }
 
-func (f *leaf) put(w *responder.Worker) {
+func (f *leaf) replaceWorker(w *responder.Worker) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.worker, f.draining = w, false
 }
 
-// ServeHTTP has the worker that is there now answer.
+// ServeHTTP passes the request to the current worker; without one it cuts the connection.
 func (f *leaf) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.mu.Lock()
 	worker := f.worker
@@ -80,129 +83,135 @@
 	worker.ServeHTTP(w, r)
 }
 
-// newWorker puts a new worker behind a leaf's address.
+// newWorker returns a worker of a service under an ID of its own, which reports its
+// calls and runs to the history.
 func (s *Soak) newWorker(service string) *responder.Worker {
-	n := s.workers.Add(1)
-	return responder.NewWorker(fmt.Sprintf("w%d", n), service, leafWork, s.ledger.arrived, s.ledger.ran)
+	n := s.workerCount.Add(1)
+	return responder.NewWorker(fmt.Sprintf("w%d", n), service, leafServiceTime, s.history.addCall, s.history.addRun)
 }
 
-// register keeps a leaf's registration up to date, as leafs do for themselves.
-func (s *Soak) register(ctx context.Context, f *leaf) error {
+// keepRegistered writes a leaf's registration at intervals, which real leafs do themselves.
+func (s *Soak) keepRegistered(ctx context.Context, f *leaf) error {
 	for ctx.Err() == nil {
-		if worker, draining, sequence := f.get(); worker != nil {
-			if err := s.beat(ctx, f, worker, draining, sequence); err != nil && ctx.Err() == nil {
+		if worker, draining, sequence := f.current(); worker != nil {
+			if err := s.putRegistration(ctx, f, worker, draining, sequence); err != nil && ctx.Err() == nil {
 				s.log.Debug("leaf not registered", "leaf", worker.ID(), "error", err)
 			}
 		}
-		sleep(ctx, beat)
+		sleep(ctx, registrationInterval)
 	}
 	return nil
 }
 
-func (s *Soak) beat(ctx context.Context, f *leaf, w *responder.Worker, draining bool, sequence int64) error {
+// putRegistration writes a worker's registration under a new lease. It records when the
+// store first holds the worker as draining.
+func (s *Soak) putRegistration(ctx context.Context, f *leaf, w *responder.Worker, draining bool, sequence int64) error {
 	raw, err := w.Registration(f.listen, f.zone, draining, sequence)
 	if err != nil {
 		return err
 	}
-	lease, err := s.store.Grant(ctx, leafTTL)
+	lease, err := s.store.Grant(ctx, registrationTTL)
 	if err != nil {
-		return errors.Wrap(err, "Soak.beat")
+		return errors.Wrap(err, "Soak.putRegistration")
 	}
 	if _, err := s.store.Put(ctx, platform.LeafsPrefix+w.ID(), raw, lease); err != nil {
-		return errors.Wrap(err, "Soak.beat")
+		return errors.Wrap(err, "Soak.putRegistration")
 	}
 	if draining {
-		s.ledger.update(func() {
-			known := func(d drained) bool { return d.leaf == w.ID() }
-			if !slices.ContainsFunc(s.ledger.drains, known) {
-				s.ledger.drains = append(s.ledger.drains, drained{w.ID(), time.Now()})
+		s.history.update(func() {
+			recorded := func(d drainRecord) bool { return d.leaf == w.ID() }
+			if !slices.ContainsFunc(s.history.drains, recorded) {
+				s.history.drains = append(s.history.drains, drainRecord{w.ID(), time.Now()})
 			}
 		})
 	}
 	return nil
 }
 
-// drain has a leaf leave, and a new one take its place.
-func (s *Soak) drain(ctx context.Context, f *leaf) {
-	worker, draining, _ := f.get()
+// drainAndReplace drains a leaf's worker, and replaces it by a new one of its service.
+func (s *Soak) drainAndReplace(ctx context.Context, f *leaf) {
+	worker, draining, _ := f.current()
 	if worker == nil || draining {
 		return
 	}
 	f.mu.Lock()
 	f.draining = true
 	f.mu.Unlock()
-	sleep(ctx, servesOn)
-	f.put(s.newWorker(worker.Service()))
+	sleep(ctx, drainingServeTime)
+	f.replaceWorker(s.newWorker(worker.Service()))
 }
 
-// reuse has a leaf end, and one of another service take its address.
-func (s *Soak) reuse(ctx context.Context, f *leaf, other string, pause tier.Millis) {
-	worker, _, _ := f.get()
+// reuseAddress stops a leaf's worker without notice and has one of another service use the
+// address for a while, as when the platform assigns a freed address again.
+func (s *Soak) reuseAddress(ctx context.Context, f *leaf, otherService string, duration tier.Millis) {
+	worker, _, _ := f.current()
 	if worker == nil {
 		return
 	}
-	f.put(nil)
-	sleep(ctx, leafTTL)
-	f.put(s.newWorker(other))
-	sleep(ctx, pause)
-	f.put(s.newWorker(worker.Service()))
+	f.replaceWorker(nil)
+	sleep(ctx, registrationTTL)
+	f.replaceWorker(s.newWorker(otherService))
+	sleep(ctx, duration)
+	f.replaceWorker(s.newWorker(worker.Service()))
 }
 
-// configuration is a version of the operator's: the index it names, and a route
-// that no earlier version has.
+// configuration returns a version of the configuration as JSON, and the services of each
+// route. The sweep route searches the shards of the given index; one route is new in each
+// version.
 func configuration(number int64, index string) ([]byte, map[string][]string, error) {
 	shards := make([]string, shardCount)
 	for i := range shards {
 		shards[i] = fmt.Sprintf("%s%d", index, i)
 	}
 	routes := map[string][]string{
-		sweep: shards, line: {"orders"}, split: {"orders", "ledger"}, book: {"ledger"}, marker(number): {"orders"},
+		routeSweep: shards, routeLine: {"orders"}, routeSplit: {"orders", "ledger"}, routeBook: {"ledger"}, markerRoute(number): {"orders"},
 	}
-	route := func(name, kind string, more map[string]any) map[string]any {
+	route := func(name, kind string, extra map[string]any) map[string]any {
 		r := map[string]any{
-			"name": name, "host": host, "pathPrefix": "/" + name + "/", "kind": kind, "timeoutMs": callerPatience,
+			"name": name, "host": host, "pathPrefix": "/" + name + "/", "kind": kind, "timeoutMs": callerTimeoutMs,
 			"targetLatencyMs": 400, "priority": 1, "maxAttempts": maxAttempts,
 		}
-		for k, v := range more {
+		for k, v := range extra {
 			r[k] = v
 		}
 		return r
 	}
-	const repeatable, once = "idempotent", "non_idempotent"
-	list := []map[string]any{
-		route(sweep, repeatable, map[string]any{"shards": shards, "topK": topRecords, "minimumShardShare": leastShare}),
-		route(line, repeatable, map[string]any{"service": "orders"}),
-		route(split, repeatable, map[string]any{"trafficSplit": []map[string]any{
+	const idempotent, nonIdempotent = "idempotent", "non_idempotent"
+	routeList := []map[string]any{
+		route(routeSweep, idempotent, map[string]any{"shards": shards, "topK": topRecords, "minimumShardShare": minShardShare}),
+		route(routeLine, idempotent, map[string]any{"service": "orders"}),
+		route(routeSplit, idempotent, map[string]any{"trafficSplit": []map[string]any{
 			{"service": "orders", "weight": 0.7}, {"service": "ledger", "weight": 0.3},
 		}}),
-		route(book, once, map[string]any{"service": "ledger"}),
-		route(marker(number), repeatable, map[string]any{"service": "orders"}),
+		route(routeBook, nonIdempotent, map[string]any{"service": "ledger"}),
+		route(markerRoute(number), idempotent, map[string]any{"service": "orders"}),
 	}
 	raw, err := json.Marshal(map[string]any{
-		"version": number, "routes": list, "services": []any{},
+		"version": number, "routes": routeList, "services": []any{},
 		"limits": map[string]any{"maxHeaderBytes": 16384, "maxBodyBytes": 65536, "headerTimeoutMs": 5000, "idleTimeoutMs": 30000},
 	})
 	return raw, routes, errors.Wrap(err, "configuration")
 }
 
-// marker is a route that a version brings.
-func marker(number int64) string { return fmt.Sprintf("v%d", number) }
+// markerRoute is the name of the route that only the given version has.
+func markerRoute(number int64) string { return fmt.Sprintf("v%d", number) }
 
-// configure writes a new version, and tries until the store has confirmed it.
-func (s *Soak) configure(ctx context.Context, index string) error {
-	s.operator.Lock()
-	defer s.operator.Unlock()
-	s.number++
-	raw, routes, err := configuration(s.number, index)
+// putConfiguration writes a new version of the configuration, and retries until the store
+// has confirmed the write.
+func (s *Soak) putConfiguration(ctx context.Context, index string) error {
+	s.configurationMu.Lock()
+	defer s.configurationMu.Unlock()
+	s.configurationNumber++
+	raw, routes, err := configuration(s.configurationNumber, index)
 	if err != nil {
 		return err
 	}
-	v := version{number: s.number, routes: routes, confirmed: never}
-	// VMs may act on it before its writer knows.
-	s.ledger.update(func() { s.ledger.versions = append(s.ledger.versions, v) })
+	v := version{number: s.configurationNumber, routes: routes, confirmedAt: never}
+	// Recorded before the write, as VMs may apply the version before the write is confirmed.
+	s.history.update(func() { s.history.versions = append(s.history.versions, v) })
 	for ctx.Err() == nil {
 		if _, err = s.store.Put(ctx, platform.ConfigurationKey, raw, 0); err == nil {
-			s.ledger.update(func() { s.ledger.versions[len(s.ledger.versions)-1].confirmed = time.Now() })
+			s.history.update(func() { s.history.versions[len(s.history.versions)-1].confirmedAt = time.Now() })
 			return nil
 		}
 		sleep(ctx, restartPause)
@@ -210,46 +219,48 @@
 	return nil
 }
 
-// never is later than any run.
+// never is the time of a confirmation that has not come; it is later than any run.
 var never = time.Date(9999, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// membersPrefix is where VMs register.
-const membersPrefix = "cicadagrade/vms/"
+// vmsPrefix is the prefix of the keys under which VMs register.
+const vmsPrefix = "cicadagrade/vms/"
 
-// rewritten is the store as VMs see it: each VM's registration bears the address
-// of the link that leads to it, so that other VMs reach it there only.
-type rewritten struct {
+// addressRewriter is the store as VMs see it. In each VM's registration it replaces the
+// address by that of the link to the VM, so that other VMs reach it only over the link.
+type addressRewriter struct {
 	store http.Handler
-	links map[string]string // by VM
+	links map[string]string // addresses by VM name
 }
 
-// ServeHTTP passes a call to the store.
-func (w rewritten) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
+// ServeHTTP passes a call to the store, with the addresses in transactions rewritten.
+func (w addressRewriter) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/kv-txn" {
 		raw, err := io.ReadAll(r.Body)
 		if err != nil {
 			panic(http.ErrAbortHandler)
 		}
-		raw = w.change(raw)
+		raw = w.rewrite(raw)
 		r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(raw)), int64(len(raw))
 	}
 	w.store.ServeHTTP(rw, r)
 }
 
-func (w rewritten) change(raw []byte) []byte {
+// rewrite replaces the addresses in a transaction's body. It leaves alone what it cannot
+// parse.
+func (w addressRewriter) rewrite(raw []byte) []byte {
 	var call map[string]any
 	if json.Unmarshal(raw, &call) != nil {
-		return raw // the store will say so
+		return raw // the store reports the error
 	}
 	puts, _ := call["puts"].([]any)
 	for _, p := range puts {
 		item, _ := p.(map[string]any)
 		key, _ := item["key"].(string)
-		name, _ := strings.CutPrefix(key, membersPrefix)
-		link, ok := w.links[name]
-		text, _ := item["value"].(string)
+		name, _ := strings.CutPrefix(key, vmsPrefix)
+		linkAddress, ok := w.links[name]
+		encoded, _ := item["value"].(string)
 		var entry struct{ Data []byte }
-		if !ok || json.Unmarshal([]byte(`{"Data":"`+text+`"}`), &entry) != nil {
+		if !ok || json.Unmarshal([]byte(`{"Data":"`+encoded+`"}`), &entry) != nil {
 			continue
 		}
 		var fields map[string]any
@@ -258,27 +269,27 @@
 		if d.Decode(&fields) != nil {
 			continue
 		}
-		fields["address"] = link
+		fields["address"] = linkAddress
 		value, err := json.Marshal(fields)
 		if err != nil {
 			continue
 		}
-		item["value"] = value // encoded as base64
+		item["value"] = value // json.Marshal encodes it as base64
 	}
-	changed, err := json.Marshal(call)
+	rewritten, err := json.Marshal(call)
 	if err != nil {
 		return raw
 	}
-	return changed
+	return rewritten
 }
 
-// serve runs an HTTP server on an address until the soak ends.
+// serve runs an HTTP server on an address until ctx ends.
 func (s *Soak) serve(ctx context.Context, address string, h http.Handler) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return errors.Wrap(err, "Soak.serve")
 	}
-	server := &http.Server{Handler: h, ReadHeaderTimeout: time.Minute, ErrorLog: quiet}
+	server := &http.Server{Handler: h, ReadHeaderTimeout: time.Minute, ErrorLog: discardLog}
 	s.group.Go(func() error {
 		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 			return errors.Wrap(err, "Soak.serve")
@@ -292,8 +303,8 @@
 	return nil
 }
 
-// join runs a link until the soak ends.
-func (s *Soak) join(ctx context.Context, l *relay.Link) error {
+// serveLink runs a link until ctx ends.
+func (s *Soak) serveLink(ctx context.Context, l *relay.Link) error {
 	listen, _ := l.Addresses()
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
