--- a/standin/leafserver/client.go
+++ b/standin/leafserver/client.go
@@ -11,41 +11,42 @@
 	"github.com/pkg/errors"
 )
 
-// Client speaks to the control port of a fleet.
+// Client calls the control port of a fleet.
 type Client struct {
 	address string
 	client  *http.Client
 }
 
-// NewClient returns a client of a control port, an IP number and port.
+// NewClient returns a client of the control port at an address, an IP address and port.
 func NewClient(address string) *Client {
 	return &Client{address: address, client: &http.Client{}}
 }
 
-// LearnOrder is the order by which the servers of a set learn a shard map,
-// given as the set's document.
+// LearnOrder is the fault request that gives the servers of a set a new shard map. The
+// argument is the set's JSON document.
 func LearnOrder(set []byte) []byte { return fmt.Appendf(nil, `{"learn":%s}`, set) }
 
-// Order posts a fault order, a JSON object, and returns how many servers it
+// Order posts a fault request, a JSON object, and returns the number of servers that it
 // changed.
-func (c *Client) Order(ctx context.Context, order []byte) (int, error) {
+func (c *Client) Order(ctx context.Context, request []byte) (int, error) {
 	var reply faultReply
-	err := c.post(ctx, "/faults", order, &reply)
-	return reply.Changed, errors.Wrap(err, "Client.Order")
+	err := c.post(ctx, "/faults", request, &reply)
+	return reply.Changed, errors.Wrap(err, "Client.SetFaults")
 }
 
-// Started picks out the tags of which a search began to run.
+// Started returns those of the tags for which a search began to run. It fails when the
+// journal was full and skipped some.
 func (c *Client) Started(ctx context.Context, tags []string) ([]string, error) {
-	b, err := json.Marshal(startedQuery{Tags: tags})
+	b, err := json.Marshal(startedRequest{Tags: tags})
 	if err != nil {
-		return nil, errors.Wrap(err, "Client.Started")
+		return nil, errors.Wrap(err, "Client.StartedTags")
 	}
 	var reply startedReply
 	if err := c.post(ctx, "/started", b, &reply); err != nil {
-		return nil, errors.Wrap(err, "Client.Started")
+		return nil, errors.Wrap(err, "Client.StartedTags")
 	}
 	if reply.Skipped > 0 {
-		return nil, errors.Errorf("Client.Started: the journal lacks %d entries", reply.Skipped)
+		return nil, errors.Errorf("Client.StartedTags: the journal skipped %d entries", reply.Skipped)
 	}
 	return reply.Started, nil
 }
@@ -57,15 +58,15 @@
 	return reply.Servers, errors.Wrap(err, "Client.Counters")
 }
 
-// Booked lists the bookings that took effect, from the given entry on. It
-// fails when some found no room in the journal.
+// Booked lists the bookings that took effect, from the given journal entry on. It fails
+// when the journal was full and skipped some.
 func (c *Client) Booked(ctx context.Context, from int) ([]Booked, error) {
 	var reply bookedReply
 	if err := c.get(ctx, fmt.Sprintf("/booked?from=%d", from), &reply); err != nil {
-		return nil, errors.Wrap(err, "Client.Booked")
+		return nil, errors.Wrap(err, "Client.AppliedBookings")
 	}
 	if reply.Skipped > 0 {
-		return nil, errors.Errorf("Client.Booked: the journal lacks %d entries", reply.Skipped)
+		return nil, errors.Errorf("Client.AppliedBookings: the journal skipped %d entries", reply.Skipped)
 	}
 	return reply.Booked, nil
 }
--- a/standin/leafserver/control.go
+++ b/standin/leafserver/control.go
@@ -12,9 +12,9 @@
 	"cicadagrade.example/tier/parser"
 )
 
-// faultOrder changes servers: those named by server, set and data centre,
-// each of which may be left out. Fields left out stay as they are.
-type faultOrder struct {
+// faultRequest changes the faults, state and holdings of the servers that match Server, Set
+// and DataCentre; an empty one matches all. Settings that are left out stay as they are.
+type faultRequest struct {
 	Server        string          `json:"server,omitempty"`
 	Set           string          `json:"set,omitempty"`
 	DataCentre    string          `json:"data-centre,omitempty"`
@@ -54,8 +54,8 @@
 	Skipped int      `json:"skipped"`
 }
 
-// startedQuery asks which of the tags of searches began to run.
-type startedQuery struct {
+// startedRequest asks for which of the tags a search began to run.
+type startedRequest struct {
 	Tags []string `json:"tags"`
 }
 
@@ -68,7 +68,7 @@
 	Servers []Counters `json:"servers"`
 }
 
-// Counters are what one server counted since its start.
+// Counters are one server's counters since its start.
 type Counters struct {
 	Server             string `json:"server"`
 	Set                string `json:"set"`
@@ -81,17 +81,17 @@
 	Shed               int64  `json:"shed"`
 	Refused            int64  `json:"refused"`
 	Cancelled          int64  `json:"cancelled"`
-	Overbooked         int64  `json:"overbooked"` // calls that found no slot free
+	Overbooked         int64  `json:"overbooked"` // calls that found no free slot
 	InUse              int64  `json:"in-use"`
 	InUseMax           int64  `json:"in-use-max"`
-	OfferedMax         int64  `json:"offered-max"` // running and waiting together
+	OfferedMax         int64  `json:"offered-max"` // most calls running and queued at once
 	Connections        int64  `json:"connections"`
 	ConnectionsMax     int64  `json:"connections-max"`
 	ConnectionsMade    int64  `json:"connections-made"`
 	ConnectionsRefused int64  `json:"connections-refused"`
 }
 
-// Counters reads the server's counters.
+// Counters returns the server's current counters.
 func (s *Server) Counters() Counters {
 	out := Counters{
 		Server:     s.Name(),
@@ -102,33 +102,33 @@
 		Bookings:   s.counters.bookings.Load(),
 		Served:     s.counters.served.Load(),
 		Booked:     s.counters.booked.Load(),
-		Shed:       s.gate.shed.Load(),
+		Shed:       s.slots.shed.Load(),
 		Refused:    s.counters.refused.Load(),
 		Cancelled:  s.counters.cancelled.Load(),
-		Overbooked: s.gate.overbooked.Load(),
-		InUse:      s.gate.inUse(),
-		InUseMax:   s.gate.inUseMax.Load(),
-		OfferedMax: s.gate.offeredMax.Load(),
+		Overbooked: s.slots.noFreeSlot.Load(),
+		InUse:      s.slots.inUse(),
+		InUseMax:   s.slots.inUseMax.Load(),
+		OfferedMax: s.slots.offeredMax.Load(),
 	}
 	if l := s.listener.Load(); l != nil {
 		out.Connections = l.open.Load()
 		out.ConnectionsMax = l.openMax.Load()
-		out.ConnectionsMade = l.made.Load()
+		out.ConnectionsMade = l.accepted.Load()
 		out.ConnectionsRefused = l.refused.Load()
 	}
 	return out
 }
 
-// Control is the handler of the control port: POST /faults, GET /served,
-// /booked (both ?from=N, the first entry wanted) and /counters, POST /started.
+// Control returns the handler of the control port: POST /faults and /started, GET /served,
+// /booked and /counters. /served and /booked list the journal's entries from index ?from=N.
 func (f *Fleet) Control() http.Handler {
 	e := echo.New()
 	e.POST("/faults", f.postFaults)
 	e.GET("/served", func(c echo.Context) error {
-		return c.JSON(http.StatusOK, servedReply{Served: f.journal.Served(from(c)), Skipped: f.journal.skips().served})
+		return c.JSON(http.StatusOK, servedReply{Served: f.journal.Served(fromParam(c)), Skipped: f.journal.skippedCounts().served})
 	})
 	e.GET("/booked", func(c echo.Context) error {
-		return c.JSON(http.StatusOK, bookedReply{Booked: f.journal.Booked(from(c)), Skipped: f.journal.skips().booked})
+		return c.JSON(http.StatusOK, bookedReply{Booked: f.journal.Booked(fromParam(c)), Skipped: f.journal.skippedCounts().booked})
 	})
 	e.GET("/counters", f.getCounters)
 	e.POST("/started", f.postStarted)
@@ -144,50 +144,51 @@
 }
 
 func (f *Fleet) postStarted(c echo.Context) error {
-	var q startedQuery
+	var q startedRequest
 	if err := json.NewDecoder(c.Request().Body).Decode(&q); err != nil {
 		return c.JSON(http.StatusBadRequest, errorReply{Error: err.Error()})
 	}
-	return c.JSON(http.StatusOK, startedReply{Started: f.journal.Started(q.Tags), Skipped: f.journal.skips().started})
+	return c.JSON(http.StatusOK, startedReply{Started: f.journal.Started(q.Tags), Skipped: f.journal.skippedCounts().started})
 }
 
 func (f *Fleet) postFaults(c echo.Context) error {
-	var o faultOrder
+	var q faultRequest
 	d := json.NewDecoder(c.Request().Body)
 	d.DisallowUnknownFields()
-	if err := d.Decode(&o); err != nil {
+	if err := d.Decode(&q); err != nil {
 		return c.JSON(http.StatusBadRequest, errorReply{Error: err.Error()})
 	}
-	n, err := f.apply(o)
+	n, err := f.apply(q)
 	if err != nil {
 		return c.JSON(http.StatusBadRequest, errorReply{Error: err.Error()})
 	}
 	return c.JSON(http.StatusOK, faultReply{Changed: n})
 }
 
-// apply checks an order whole before it changes any server.
-func (f *Fleet) apply(o faultOrder) (int, error) {
-	state, ok := parseState(o.State)
-	if o.State != "" && !ok {
-		return 0, errors.Errorf("unknown state %q", o.State)
+// apply validates a request before it changes any server, and returns the number of servers
+// that it changed.
+func (f *Fleet) apply(q faultRequest) (int, error) {
+	state, ok := parseState(q.State)
+	if q.State != "" && !ok {
+		return 0, errors.Errorf("unknown state %q", q.State)
 	}
-	var learned *tier.ShardSet
-	if len(o.Learn) > 0 {
-		d, err := parser.ParseSet(o.Learn)
+	var newMap *tier.ShardSet
+	if len(q.Learn) > 0 {
+		d, err := parser.ParseSet(q.Learn)
 		if err != nil {
 			return 0, errors.Wrap(err, "Fleet.apply")
 		}
-		learned = d.Set()
+		newMap = d.Set()
 	}
 	changed := 0
 	for _, s := range f.servers {
-		if !o.names(s) || (learned != nil && learned.Name() != s.set) {
+		if !q.matches(s) || (newMap != nil && newMap.Name() != s.set) {
 			continue
 		}
 		changed++
-		s.faults.change(o.change)
-		s.hold(o, learned)
-		if err := s.setDown(o); err != nil {
+		s.faults.update(q.applyTo)
+		s.updateHoldings(q, newMap)
+		if err := s.setDown(q); err != nil {
 			return 0, errors.Wrap(err, "Fleet.apply")
 		}
 		if ok {
@@ -200,60 +201,64 @@
 	return changed, nil
 }
 
-func (o faultOrder) names(s *Server) bool {
-	return (o.Server == "" || o.Server == s.Name()) &&
-		(o.Set == "" || o.Set == s.Set()) &&
-		(o.DataCentre == "" || o.DataCentre == s.DataCentre())
+// matches reports whether the request applies to the server.
+func (q faultRequest) matches(s *Server) bool {
+	return (q.Server == "" || q.Server == s.Name()) &&
+		(q.Set == "" || q.Set == s.Set()) &&
+		(q.DataCentre == "" || q.DataCentre == s.DataCentre())
 }
 
-func (o faultOrder) change(f *faultState) {
-	if o.Clear {
+// applyTo changes the faults that the request gives, after clearing all if it says so.
+func (q faultRequest) applyTo(f *faultState) {
+	if q.Clear {
 		*f = noFaults()
 	}
-	set(&f.slowFactor, o.SlowFactor)
-	set(&f.healthLag, o.HealthLag)
-	set(&f.healthState, o.HealthState)
-	set(&f.serveVersion, o.ServeVersion)
-	set(&f.disguise, o.Disguise)
-	set(&f.reply, o.Reply)
-	set(&f.replyFraction, o.ReplyFraction)
-	set(&f.call, o.Call)
-	set(&f.callFraction, o.CallFraction)
+	setIfGiven(&f.slowFactor, q.SlowFactor)
+	setIfGiven(&f.healthLag, q.HealthLag)
+	setIfGiven(&f.healthState, q.HealthState)
+	setIfGiven(&f.serveVersion, q.ServeVersion)
+	setIfGiven(&f.claimRequestedVersion, q.Disguise)
+	setIfGiven(&f.reply, q.Reply)
+	setIfGiven(&f.replyFraction, q.ReplyFraction)
+	setIfGiven(&f.call, q.Call)
+	setIfGiven(&f.callFraction, q.CallFraction)
 }
 
-func set[T any](to, from *T) {
+// setIfGiven copies from to to, unless from is nil.
+func setIfGiven[T any](to, from *T) {
 	if from != nil {
 		*to = *from
 	}
 }
 
-// setDown loses the server, or brings it back.
-func (s *Server) setDown(o faultOrder) error {
+// setDown takes the server down, or brings it up again.
+func (s *Server) setDown(q faultRequest) error {
 	l := s.listener.Load()
-	if l == nil || (o.Down == nil && !o.Clear) {
+	if l == nil || (q.Down == nil && !q.Clear) {
 		return nil
 	}
-	return l.setDown(o.Down != nil && *o.Down)
+	return l.setDown(q.Down != nil && *q.Down)
 }
 
-// hold changes what the server holds.
-func (s *Server) hold(o faultOrder, learned *tier.ShardSet) {
-	if learned != nil {
-		s.holdings.learn(learned)
+// updateHoldings changes the server's shard maps and index versions.
+func (s *Server) updateHoldings(q faultRequest, newMap *tier.ShardSet) {
+	if newMap != nil {
+		s.holdings.addMap(newMap)
 	}
-	if o.Forget > 0 {
-		s.holdings.forget(o.Forget)
+	if q.Forget > 0 {
+		s.holdings.removeMap(q.Forget)
 	}
-	if o.Publish > 0 {
-		s.holdings.publish(o.Publish)
+	if q.Publish > 0 {
+		s.holdings.addVersion(q.Publish)
 	}
-	if o.Drop > 0 {
-		s.holdings.drop(o.Drop)
+	if q.Drop > 0 {
+		s.holdings.removeVersion(q.Drop)
 	}
-	s.note()
+	s.recordHealth()
 }
 
-func from(c echo.Context) int {
+// fromParam reads the query parameter from; 0 if it is missing or not a number.
+func fromParam(c echo.Context) int {
 	n, err := strconv.Atoi(c.QueryParam("from"))
 	if err != nil {
 		return 0
--- a/standin/leafserver/faults.go
+++ b/standin/leafserver/faults.go
@@ -6,58 +6,58 @@
 	"cicadagrade.example/tier"
 )
 
-// ReplyFault says how a server spoils replies to searches.
+// ReplyFault says how a server falsifies replies to searches.
 type ReplyFault string
 
-// The reply faults.
+// The reply faults. ReplyIntact stands for none.
 const (
 	ReplyWhole     ReplyFault = ""
-	ReplyTruncated ReplyFault = "truncated" // half of the records are cut off, count and digest stay
-	ReplyCorrupted ReplyFault = "corrupted" // one value is changed, the digest stays
-	ReplyRepeated  ReplyFault = "repeated"  // each record twice, count and digest fit
-	ReplyCrossed   ReplyFault = "crossed"   // the reply of an earlier call
+	ReplyTruncated ReplyFault = "truncated" // half of the records are missing; count and digest are unchanged
+	ReplyCorrupted ReplyFault = "corrupted" // one value is changed; the digest is not
+	ReplyRepeated  ReplyFault = "repeated"  // each record comes twice; count and digest match
+	ReplyCrossed   ReplyFault = "crossed"   // the reply to the previous call
 )
 
-// CallFault says how a server breaks calls.
+// CallFault says how a server fails calls.
 type CallFault string
 
-// The call faults.
+// The call faults. CallNormal stands for none.
 const (
 	CallServed     CallFault = ""
-	CallHang       CallFault = "hang"        // holds its slot until the caller gives up
-	CallDropBefore CallFault = "drop-before" // closes the connection, not run
-	CallDropAfter  CallFault = "drop-after"  // runs, then closes the connection
+	CallHang       CallFault = "hang"        // holds its slot until the caller cancels
+	CallDropBefore CallFault = "drop-before" // closes the connection without running the call
+	CallDropAfter  CallFault = "drop-after"  // runs the call, then closes the connection
 )
 
-// faultState is what is wrong with one server now.
+// faultState is the faults that are set on one server.
 type faultState struct {
-	slowFactor    float64
-	healthLag     tier.Millis
-	healthState   string // shown by the health page in place of the true one
-	serveVersion  tier.Version
-	disguise      bool // name the asked version while serving another
-	reply         ReplyFault
-	replyFraction float64
-	call          CallFault
-	callFraction  float64
+	slowFactor            float64
+	healthLag             tier.Millis
+	healthState           string // reported by Health instead of the true state
+	serveVersion          tier.Version
+	claimRequestedVersion bool // report the requested version while serving another
+	reply                 ReplyFault
+	replyFraction         float64
+	call                  CallFault
+	callFraction          float64
 }
 
 func noFaults() faultState { return faultState{slowFactor: 1} }
 
-// faults guards a faultState.
-type faults struct {
+// faultSettings is a faultState for concurrent use.
+type faultSettings struct {
 	mu    sync.Mutex
 	state faultState
 }
 
-func (f *faults) get() faultState {
+func (f *faultSettings) get() faultState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.state
 }
 
-func (f *faults) change(by func(*faultState)) {
+func (f *faultSettings) update(change func(*faultState)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	by(&f.state)
+	change(&f.state)
 }
--- a/standin/leafserver/fleet.go
+++ b/standin/leafserver/fleet.go
@@ -18,7 +18,7 @@
 	journal *Journal
 }
 
-// NewFleet returns the servers of the sets. The options apply to each.
+// NewFleet returns a fleet of the servers of the sets. The options apply to each server.
 func NewFleet(sets []*tier.ShardSet, records *recorder.Recorder, opts ...Option) *Fleet {
 	f := &Fleet{journal: NewJournal()}
 	for _, set := range sets {
@@ -32,7 +32,7 @@
 // Servers lists the servers.
 func (f *Fleet) Servers() []*Server { return f.servers }
 
-// Journal is what the servers really ran.
+// Journal is the servers' journal.
 func (f *Fleet) Journal() *Journal { return f.journal }
 
 // Serve runs all servers until ctx ends or one fails to listen.
@@ -46,11 +46,13 @@
 
 const statePrefix = "SERVER_STATE_"
 
+// parseState returns the state of a name such as "leaving".
 func parseState(name string) (backendv1.ServerState, bool) {
 	n, ok := backendv1.ServerState_value[statePrefix+strings.ToUpper(name)]
 	return backendv1.ServerState(n), ok && n > 0
 }
 
+// stateName is the inverse of parseState.
 func stateName(s backendv1.ServerState) string {
 	return strings.ToLower(strings.TrimPrefix(s.String(), statePrefix))
 }
--- a/standin/leafserver/holdings.go
+++ b/standin/leafserver/holdings.go
@@ -7,43 +7,43 @@
 	"cicadagrade.example/tier"
 )
 
-// holdings are the shard maps that a server was told about and the index
-// versions that it holds now.
+// holdings are the shard maps that a server knows, by epoch, and the index versions that it
+// holds.
 type holdings struct {
-	server   string
-	mu       sync.Mutex
-	maps     map[tier.Epoch]*tier.ShardSet
-	versions []tier.Version
+	server    string
+	mu        sync.Mutex
+	shardMaps map[tier.Epoch]*tier.ShardSet
+	versions  []tier.Version
 }
 
 func newHoldings(server string, set *tier.ShardSet) *holdings {
 	return &holdings{
-		server:   server,
-		maps:     map[tier.Epoch]*tier.ShardSet{set.Epoch(): set},
-		versions: []tier.Version{1},
+		server:    server,
+		shardMaps: map[tier.Epoch]*tier.ShardSet{set.Epoch(): set},
+		versions:  []tier.Version{1},
 	}
 }
 
-// held is a shard that a server holds under one shard map.
-type held struct {
+// heldShard is a shard that a server holds according to one shard map.
+type heldShard struct {
 	shard    tier.Shard
 	epoch    tier.Epoch
 	versions []tier.Version
 }
 
-func (h *holdings) learn(set *tier.ShardSet) {
+func (h *holdings) addMap(set *tier.ShardSet) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.maps[set.Epoch()] = set
+	h.shardMaps[set.Epoch()] = set
 }
 
-func (h *holdings) forget(e tier.Epoch) {
+func (h *holdings) removeMap(e tier.Epoch) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	delete(h.maps, e)
+	delete(h.shardMaps, e)
 }
 
-func (h *holdings) publish(v tier.Version) {
+func (h *holdings) addVersion(v tier.Version) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !slices.Contains(h.versions, v) {
@@ -52,44 +52,44 @@
 	}
 }
 
-func (h *holdings) drop(v tier.Version) {
+func (h *holdings) removeVersion(v tier.Version) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.versions = slices.DeleteFunc(slices.Clone(h.versions), func(x tier.Version) bool { return x == v })
 }
 
-// find returns the shard as held under the map of epoch e.
-func (h *holdings) find(shard string, e tier.Epoch) (held, bool) {
+// find returns the shard if the server holds it according to the map of epoch e.
+func (h *holdings) find(shard string, e tier.Epoch) (heldShard, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	set, ok := h.maps[e]
+	set, ok := h.shardMaps[e]
 	if !ok {
-		return held{}, false
+		return heldShard{}, false
 	}
 	for _, s := range set.Shards() {
 		if s.ID() == shard && slices.Contains(s.Replicas(), h.server) {
-			return held{shard: s, epoch: e, versions: slices.Clone(h.versions)}, true
+			return heldShard{shard: s, epoch: e, versions: slices.Clone(h.versions)}, true
 		}
 	}
-	return held{}, false
+	return heldShard{}, false
 }
 
-// findAny returns the shard under the newest map that has it here.
-func (h *holdings) findAny(shard string) (held, bool) {
+// findAny returns the shard according to the newest map by which the server holds it.
+func (h *holdings) findAny(shard string) (heldShard, bool) {
 	for _, e := range h.epochs() {
 		if x, ok := h.find(shard, e); ok {
 			return x, true
 		}
 	}
-	return held{}, false
+	return heldShard{}, false
 }
 
-// epochs lists the known shard maps, newest first.
+// epochs lists the epochs of the known shard maps, newest first.
 func (h *holdings) epochs() []tier.Epoch {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []tier.Epoch
-	for e := range h.maps {
+	for e := range h.shardMaps {
 		out = append(out, e)
 	}
 	slices.Sort(out)
@@ -97,26 +97,27 @@
 	return out
 }
 
-// all lists everything held, newest map first.
-func (h *holdings) all() []held {
-	var out []held
+// all lists the held shards of all maps, newest map first.
+func (h *holdings) all() []heldShard {
+	var out []heldShard
 	for _, e := range h.epochs() {
-		out = append(out, h.under(e)...)
+		out = append(out, h.heldUnder(e)...)
 	}
 	return out
 }
 
-func (h *holdings) under(e tier.Epoch) []held {
+// heldUnder lists the held shards of the map of epoch e.
+func (h *holdings) heldUnder(e tier.Epoch) []heldShard {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	set, ok := h.maps[e]
+	set, ok := h.shardMaps[e]
 	if !ok {
 		return nil
 	}
-	var out []held
+	var out []heldShard
 	for _, s := range set.Shards() {
 		if slices.Contains(s.Replicas(), h.server) {
-			out = append(out, held{shard: s, epoch: e, versions: slices.Clone(h.versions)})
+			out = append(out, heldShard{shard: s, epoch: e, versions: slices.Clone(h.versions)})
 		}
 	}
 	return out
--- a/standin/leafserver/journal.go
+++ b/standin/leafserver/journal.go
@@ -6,11 +6,10 @@
 	"cicadagrade.example/tier"
 )
 
-// maxJournal bounds the entries kept of each kind; later ones are counted
-// only.
-const maxJournal = 1 << 20
+// maxEntries bounds the entries of each kind. Later ones are skipped and counted.
+const maxEntries = 1 << 20
 
-// Served is a search call that ran to its end.
+// Served is a search that ran to its end.
 type Served struct {
 	At      tier.Millis  `json:"at-ms"`
 	Server  string       `json:"server"`
@@ -34,36 +33,38 @@
 	Receipt   string      `json:"receipt"`
 }
 
-// Journal records what servers really ran. It is safe for concurrent use.
+// Journal records which searches and bookings servers ran, whatever their callers were
+// told. It is safe for concurrent use.
 type Journal struct {
 	mu      sync.Mutex
 	served  []Served
 	booked  []Booked
-	started map[string]int
-	skipped skips
+	started map[string]int // searches by tag
+	skipped skippedEntries
 }
 
-// skips counts entries of each kind that found no room.
-type skips struct{ served, booked, started int }
+// skippedEntries counts the entries of each kind that were skipped because the journal was
+// full.
+type skippedEntries struct{ served, booked, started int }
 
 // NewJournal returns an empty journal.
 func NewJournal() *Journal { return &Journal{started: map[string]int{}} }
 
-// Served lists the searches that ran, from the given entry on.
+// Served lists the searches that ran to their end, from the given entry on.
 func (j *Journal) Served(from int) []Served {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return tail(j.served, from)
+	return copyFrom(j.served, from)
 }
 
 // Booked lists the bookings that took effect, from the given entry on.
 func (j *Journal) Booked(from int) []Booked {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return tail(j.booked, from)
+	return copyFrom(j.booked, from)
 }
 
-func (j *Journal) skips() skips {
+func (j *Journal) skippedCounts() skippedEntries {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.skipped
@@ -72,7 +73,7 @@
 func (j *Journal) addServed(s Served) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if len(j.served) >= maxJournal {
+	if len(j.served) >= maxEntries {
 		j.skipped.served++
 		return
 	}
@@ -82,28 +83,28 @@
 func (j *Journal) addBooked(b Booked) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if len(j.booked) >= maxJournal {
+	if len(j.booked) >= maxEntries {
 		j.skipped.booked++
 		return
 	}
 	j.booked = append(j.booked, b)
 }
 
-// addStarted notes that a search with this tag began to run.
+// addStarted records that a search with this tag began to run.
 func (j *Journal) addStarted(tag string) {
 	if tag == "" {
 		return
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if _, ok := j.started[tag]; !ok && len(j.started) >= maxJournal {
+	if _, ok := j.started[tag]; !ok && len(j.started) >= maxEntries {
 		j.skipped.started++
 		return
 	}
 	j.started[tag]++
 }
 
-// Started picks out the tags of which a search began to run.
+// Started returns those of the tags for which a search began to run.
 func (j *Journal) Started(tags []string) []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -116,8 +117,8 @@
 	return out
 }
 
-// tail copies list from an index on; it is never nil.
-func tail[T any](list []T, from int) []T {
+// copyFrom copies list from an index on. The copy is never nil, so that JSON has [].
+func copyFrom[T any](list []T, from int) []T {
 	from = min(max(from, 0), len(list))
 	return append([]T{}, list[from:]...)
 }
--- a/standin/leafserver/listener.go
+++ b/standin/leafserver/listener.go
@@ -7,42 +7,42 @@
 	"time"
 )
 
-// boundedListener refuses connections beyond a limit and makes each new one
-// wait before its first byte is read. It can be taken down and brought back.
+// boundedListener closes connections beyond a limit, and delays the first read of each new
+// one by the cost of a connection. It can be taken down and brought up again.
 type boundedListener struct {
-	address net.Addr
-	limit   int64
-	cost    time.Duration
-	open    atomic.Int64
-	openMax atomic.Int64
-	made    atomic.Int64
-	refused atomic.Int64
-
-	mu     sync.Mutex
-	inner  net.Listener  // nil while down
-	back   chan struct{} // closed when it is no longer down
-	closed bool
-	conns  map[net.Conn]struct{}
+	address        net.Addr
+	limit          int64
+	connectionCost time.Duration
+	open           atomic.Int64
+	openMax        atomic.Int64
+	accepted       atomic.Int64
+	refused        atomic.Int64
+
+	mu       sync.Mutex
+	listener net.Listener  // nil while down
+	upAgain  chan struct{} // closed when it comes up again
+	closed   bool
+	conns    map[net.Conn]struct{}
 }
 
 func newBoundedListener(l net.Listener, limit int, cost time.Duration) *boundedListener {
 	return &boundedListener{
-		address: l.Addr(),
-		limit:   int64(limit),
-		cost:    cost,
-		inner:   l,
-		back:    make(chan struct{}),
-		conns:   map[net.Conn]struct{}{},
+		address:        l.Addr(),
+		limit:          int64(limit),
+		connectionCost: cost,
+		listener:       l,
+		upAgain:        make(chan struct{}),
+		conns:          map[net.Conn]struct{}{},
 	}
 }
 
-// Addr is where it listens.
+// Addr is the address that it listens at.
 func (l *boundedListener) Addr() net.Addr { return l.address }
 
 // Accept returns the next connection within the limit; it closes the others.
 func (l *boundedListener) Accept() (net.Conn, error) {
 	for {
-		inner, err := l.up()
+		inner, err := l.awaitUp()
 		if err != nil {
 			return nil, err
 		}
@@ -53,19 +53,19 @@
 		if err != nil {
 			return nil, err
 		}
-		if l.enter(c) {
-			return &costlyConn{Conn: c, ready: time.Now().Add(l.cost), l: l}, nil
+		if l.admit(c) {
+			return &delayedConn{Conn: c, ready: time.Now().Add(l.connectionCost), listener: l}, nil
 		}
 		l.refused.Add(1)
 		_ = c.Close()
 	}
 }
 
-// up waits while the server is down.
-func (l *boundedListener) up() (net.Listener, error) {
+// awaitUp waits while the server is down, and returns the current listener.
+func (l *boundedListener) awaitUp() (net.Listener, error) {
 	for {
 		l.mu.Lock()
-		inner, back, closed := l.inner, l.back, l.closed
+		inner, back, closed := l.listener, l.upAgain, l.closed
 		l.mu.Unlock()
 		if closed {
 			return nil, net.ErrClosed
@@ -77,13 +77,14 @@
 	}
 }
 
+// replaced reports whether the listener was taken down since it was returned by awaitUp.
 func (l *boundedListener) replaced(inner net.Listener) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.inner != inner && !l.closed
+	return l.listener != inner && !l.closed
 }
 
-// Close ends it for good.
+// Close closes the listener. It cannot be brought up again.
 func (l *boundedListener) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -91,46 +92,46 @@
 		return nil
 	}
 	l.closed = true
-	if l.inner == nil {
-		close(l.back)
+	if l.listener == nil {
+		close(l.upAgain)
 		return nil
 	}
-	return l.inner.Close()
+	return l.listener.Close()
 }
 
-// enter counts a connection in, unless the server is down or full.
-func (l *boundedListener) enter(c net.Conn) bool {
+// admit registers a connection, unless the server is down or the limit is reached.
+func (l *boundedListener) admit(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.inner == nil || l.open.Load() >= l.limit {
+	if l.listener == nil || l.open.Load() >= l.limit {
 		return false
 	}
 	l.conns[c] = struct{}{}
-	raise(&l.openMax, l.open.Add(1))
-	l.made.Add(1)
+	storeMax(&l.openMax, l.open.Add(1))
+	l.accepted.Add(1)
 	return true
 }
 
-func (l *boundedListener) leave(c net.Conn) {
+func (l *boundedListener) remove(c net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.conns, c)
 	l.open.Add(-1)
 }
 
-// setDown closes the port and every connection, or listens again.
+// setDown closes the listener and all connections, or listens again.
 func (l *boundedListener) setDown(down bool) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.closed || down == (l.inner == nil) {
+	if l.closed || down == (l.listener == nil) {
 		return nil
 	}
 	if !down {
 		return l.listen()
 	}
-	_ = l.inner.Close()
-	l.inner = nil
-	l.back = make(chan struct{})
+	_ = l.listener.Close()
+	l.listener = nil
+	l.upAgain = make(chan struct{})
 	for c := range l.conns {
 		_ = c.Close()
 	}
@@ -142,30 +143,30 @@
 	if err != nil {
 		return err
 	}
-	l.inner = inner
-	close(l.back)
+	l.listener = inner
+	close(l.upAgain)
 	return nil
 }
 
-// costlyConn can't be read before it is ready, and counts as open until it
-// is closed.
-type costlyConn struct {
+// delayedConn is a connection whose reads wait until a time, and which counts towards the
+// limit until it is closed.
+type delayedConn struct {
 	net.Conn
-	ready time.Time
-	l     *boundedListener
-	once  sync.Once
+	ready    time.Time
+	listener *boundedListener
+	once     sync.Once
 }
 
 // Read waits until the connection is ready.
-func (c *costlyConn) Read(b []byte) (int, error) {
+func (c *delayedConn) Read(b []byte) (int, error) {
 	if d := time.Until(c.ready); d > 0 {
 		time.Sleep(d)
 	}
 	return c.Conn.Read(b)
 }
 
-// Close gives the connection's place back.
-func (c *costlyConn) Close() error {
-	c.once.Do(func() { c.l.leave(c.Conn) })
+// Close closes the connection and takes it off the limit.
+func (c *delayedConn) Close() error {
+	c.once.Do(func() { c.listener.remove(c.Conn) })
 	return c.Conn.Close()
 }
--- a/standin/leafserver/service.go
+++ b/standin/leafserver/service.go
@@ -16,52 +16,52 @@
 	"cicadagrade.example/tier"
 )
 
-// service answers the LeafService for one server.
-type service struct{ s *Server }
+// service implements the LeafService of one server.
+type service struct{ server *Server }
 
-// Search runs a search of one shard at one snapshot.
+// Search searches one shard at one snapshot.
 func (v *service) Search(ctx context.Context, q *connect.Request[backendv1.SearchRequest]) (*connect.Response[backendv1.SearchReply], error) {
-	v.s.counters.searches.Add(1)
-	fault, err := v.s.admit(ctx)
+	v.server.counters.searches.Add(1)
+	fault, err := v.server.admit(ctx)
 	if err != nil {
 		return nil, err
 	}
-	defer v.s.release()
-	h, err := v.s.checkHeld(q.Msg.GetShard(), q.Msg.GetSnapshot())
+	defer v.server.release()
+	h, err := v.server.findHeld(q.Msg.GetShard(), q.Msg.GetSnapshot())
 	if err != nil {
 		return nil, err
 	}
 	_, tag := recorder.SplitTerm(q.Msg.GetTerm())
-	v.s.journal.addStarted(tag)
-	if err := v.s.work(ctx, v.s.serviceTime()); err != nil {
+	v.server.journal.addStarted(tag)
+	if err := v.server.work(ctx, v.server.drawServiceTime()); err != nil {
 		return nil, err
 	}
-	reply := v.s.answer(q.Msg, h)
-	v.s.counters.served.Add(1)
+	reply := v.server.runSearch(q.Msg, h)
+	v.server.counters.served.Add(1)
 	if fault == CallDropAfter {
 		panic(http.ErrAbortHandler)
 	}
-	return connect.NewResponse(v.s.spoil(reply)), nil
+	return connect.NewResponse(v.server.applyReplyFault(reply)), nil
 }
 
-// Book runs a booking. It takes effect halfway through its service time, so
-// that a cancelled one may or may not have run.
+// Book runs a booking. It takes effect halfway through its service time, so that a
+// cancelled booking may or may not have taken effect.
 func (v *service) Book(ctx context.Context, q *connect.Request[backendv1.BookRequest]) (*connect.Response[backendv1.BookReply], error) {
-	v.s.counters.bookings.Add(1)
-	fault, err := v.s.admit(ctx)
+	v.server.counters.bookings.Add(1)
+	fault, err := v.server.admit(ctx)
 	if err != nil {
 		return nil, err
 	}
-	defer v.s.release()
-	if _, ok := v.s.holdings.findAny(q.Msg.GetShard()); !ok {
-		return nil, v.s.refuse(connect.CodeFailedPrecondition, "this server does not hold the shard")
+	defer v.server.release()
+	if _, ok := v.server.holdings.findAny(q.Msg.GetShard()); !ok {
+		return nil, v.server.refuse(connect.CodeFailedPrecondition, "this server does not hold the shard")
 	}
-	half := v.s.serviceTime() / 2
-	if err := v.s.work(ctx, half); err != nil {
+	half := v.server.drawServiceTime() / 2
+	if err := v.server.work(ctx, half); err != nil {
 		return nil, err
 	}
-	reply := v.s.book(q.Msg)
-	if err := v.s.work(ctx, half); err != nil {
+	reply := v.server.applyBooking(q.Msg)
+	if err := v.server.work(ctx, half); err != nil {
 		return nil, err
 	}
 	if fault == CallDropAfter {
@@ -70,42 +70,42 @@
 	return connect.NewResponse(reply), nil
 }
 
-// Health shows the server as it was a set time ago.
+// Health reports the server as it was health-lag-ms ago.
 func (v *service) Health(context.Context, *connect.Request[backendv1.HealthRequest]) (*connect.Response[backendv1.HealthReply], error) {
-	f := v.s.faults.get()
+	f := v.server.faults.get()
 	if f.call == CallHang && f.callFraction >= 1 {
 		panic(http.ErrAbortHandler)
 	}
 	if f.healthLag == 0 {
-		v.s.note()
+		v.server.recordHealth()
 	}
-	m := v.s.timeline.at(v.s.clock.Now(), f.healthLag)
+	m := v.server.healthHistory.at(v.server.clock.Now(), f.healthLag)
 	out := &backendv1.HealthReply{
-		Server:     v.s.Name(),
+		Server:     v.server.Name(),
 		State:      m.state,
-		Slots:      uint32(v.s.backend.Slots()),
+		Slots:      uint32(v.server.backend.Slots()),
 		SlotsInUse: uint32(m.inUse),
 	}
-	if l := v.s.listener.Load(); l != nil {
+	if l := v.server.listener.Load(); l != nil {
 		out.Connections = uint32(l.open.Load())
 	}
 	if state, ok := parseState(f.healthState); ok {
 		out.State = state
 	}
 	for _, h := range m.holdings {
-		out.Holdings = append(out.Holdings, v.s.wireHolding(h))
+		out.Holdings = append(out.Holdings, v.server.holdingMessage(h))
 	}
 	return connect.NewResponse(out), nil
 }
 
-// admit lets a call in: it takes a slot or returns the refusal. A call that
-// it refuses has not run.
+// admit takes a slot for a call, or returns the error of a call that is not to run. It draws
+// the fault of the call, and carries out those that come before the call runs.
 func (s *Server) admit(ctx context.Context) (CallFault, error) {
 	switch s.State() {
 	case backendv1.ServerState_SERVER_STATE_LEAVING:
 		return "", s.refuse(connect.CodeUnavailable, "this server is leaving")
 	case backendv1.ServerState_SERVER_STATE_SHEDDING:
-		if s.strikes(shedFraction) {
+		if s.chance(shedFraction) {
 			return "", s.refuse(connect.CodeResourceExhausted, "this server sheds load")
 		}
 	}
@@ -113,32 +113,35 @@
 	if fault == CallDropBefore {
 		panic(http.ErrAbortHandler)
 	}
-	if err := s.gate.enter(ctx); err != nil {
-		return "", s.ended(err)
+	if err := s.slots.acquire(ctx); err != nil {
+		return "", s.callError(err)
 	}
-	s.noteLoad()
+	s.recordLoad()
 	if fault != CallHang {
 		return fault, nil
 	}
 	<-ctx.Done()
 	s.release()
-	return "", s.ended(ctx.Err())
+	return "", s.callError(ctx.Err())
 }
 
+// callFault draws the fault of a call.
 func (s *Server) callFault() CallFault {
 	f := s.faults.get()
-	if f.call == CallServed || !s.strikes(f.callFraction) {
+	if f.call == CallServed || !s.chance(f.callFraction) {
 		return CallServed
 	}
 	return f.call
 }
 
+// release gives back the slot of a call.
 func (s *Server) release() {
-	s.gate.leave()
-	s.noteLoad()
+	s.slots.release()
+	s.recordLoad()
 }
 
-// work takes time, unless the call is cancelled or its deadline passes.
+// work waits for a part of the service time. It returns early with an error when the call
+// is cancelled or its deadline passes.
 func (s *Server) work(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -146,12 +149,12 @@
 	case <-t.C:
 		return nil
 	case <-ctx.Done():
-		return s.ended(ctx.Err())
+		return s.callError(ctx.Err())
 	}
 }
 
-// ended gives the Connect error of a call that ended before its work.
-func (s *Server) ended(err error) error {
+// callError returns the Connect error of a call that was shed, cancelled or too late.
+func (s *Server) callError(err error) error {
 	if errors.Is(err, errShed) {
 		return connect.NewError(connect.CodeResourceExhausted, err)
 	}
@@ -162,31 +165,34 @@
 	return connect.NewError(connect.CodeCanceled, err)
 }
 
-func (s *Server) refuse(code connect.Code, why string) error {
+// refuse counts a refused call and returns its error.
+func (s *Server) refuse(code connect.Code, reason string) error {
 	s.counters.refused.Add(1)
-	return connect.NewError(code, errors.New(why))
+	return connect.NewError(code, errors.New(reason))
 }
 
-// checkHeld finds the shard, or refuses a snapshot that is not held here.
-func (s *Server) checkHeld(shard string, snap *backendv1.Snapshot) (held, error) {
-	h, ok := s.holdings.find(shard, tier.Epoch(snap.GetEpoch()))
-	if ok && slices.Contains(h.versions, tier.Version(snap.GetVersion())) {
+// findHeld returns the shard, or refuses the call if the server does not hold the shard at
+// the snapshot.
+func (s *Server) findHeld(shard string, snapshot *backendv1.Snapshot) (heldShard, error) {
+	h, ok := s.holdings.find(shard, tier.Epoch(snapshot.GetEpoch()))
+	if ok && slices.Contains(h.versions, tier.Version(snapshot.GetVersion())) {
 		return h, nil
 	}
-	return held{}, s.refuse(connect.CodeFailedPrecondition, "this server does not hold the shard at the snapshot")
+	return heldShard{}, s.refuse(connect.CodeFailedPrecondition, "this server does not hold the shard at the snapshot")
 }
 
-// answer reads the records and journals the snapshot that they come from.
-func (s *Server) answer(q *backendv1.SearchRequest, h held) *backendv1.SearchReply {
+// runSearch reads the matching records, and journals the version that they come from, which
+// a fault may make another than the reply says.
+func (s *Server) runSearch(q *backendv1.SearchRequest, h heldShard) *backendv1.SearchReply {
 	f := s.faults.get()
-	asked := tier.Version(q.GetSnapshot().GetVersion())
-	served := asked
+	requested := tier.Version(q.GetSnapshot().GetVersion())
+	served := requested
 	if f.serveVersion > 0 {
 		served = f.serveVersion
 	}
-	named := served
-	if f.disguise {
-		named = asked
+	reported := served
+	if f.claimRequestedVersion {
+		reported = requested
 	}
 	records := s.records.Shard(s.set, served, q.GetTerm(), h.shard.From(), h.shard.To())
 	s.journal.addServed(Served{
@@ -199,20 +205,20 @@
 		Epoch:   h.epoch,
 		Version: served,
 	})
-	out := &backendv1.SearchReply{
+	reply := &backendv1.SearchReply{
 		Attempt:  q.GetAttempt(),
 		Set:      s.set,
 		Shard:    q.GetShard(),
-		Snapshot: &backendv1.Snapshot{Epoch: uint64(h.epoch), Version: uint64(named)},
-		Holding:  s.wireHolding(h),
+		Snapshot: &backendv1.Snapshot{Epoch: uint64(h.epoch), Version: uint64(reported)},
+		Holding:  s.holdingMessage(h),
 		State:    s.State(),
 	}
-	fill(out, records)
-	return out
+	setRecords(reply, records)
+	return reply
 }
 
-// book lets a booking take effect.
-func (s *Server) book(q *backendv1.BookRequest) *backendv1.BookReply {
+// applyBooking journals a booking as having taken effect, and returns the reply.
+func (s *Server) applyBooking(q *backendv1.BookRequest) *backendv1.BookReply {
 	receipt := fmt.Sprintf("%s-%d", s.Name(), s.counters.receipts.Add(1))
 	s.counters.booked.Add(1)
 	s.journal.addBooked(Booked{
@@ -234,14 +240,14 @@
 	}
 }
 
-// spoil applies the reply fault to some replies.
-func (s *Server) spoil(r *backendv1.SearchReply) *backendv1.SearchReply {
+// applyReplyFault falsifies a reply, with the probability that is set.
+func (s *Server) applyReplyFault(r *backendv1.SearchReply) *backendv1.SearchReply {
 	f := s.faults.get()
 	s.mu.Lock()
-	earlier := s.previous
-	s.previous = proto.Clone(r).(*backendv1.SearchReply)
+	previous := s.previousReply
+	s.previousReply = proto.Clone(r).(*backendv1.SearchReply)
 	s.mu.Unlock()
-	if f.reply == ReplyWhole || !s.strikes(f.replyFraction) {
+	if f.reply == ReplyWhole || !s.chance(f.replyFraction) {
 		return r
 	}
 	switch f.reply {
@@ -252,16 +258,17 @@
 			r.Records[0].Value += " "
 		}
 	case ReplyRepeated:
-		fill(r, append(wireRecords(r.Records), wireRecords(r.Records)...))
+		setRecords(r, append(parseRecords(r.Records), parseRecords(r.Records)...))
 	case ReplyCrossed:
-		if earlier != nil {
-			return earlier
+		if previous != nil {
+			return previous
 		}
 	}
 	return r
 }
 
-func (s *Server) wireHolding(h held) *backendv1.Holding {
+// holdingMessage converts a held shard to its protobuf message.
+func (s *Server) holdingMessage(h heldShard) *backendv1.Holding {
 	out := &backendv1.Holding{Set: s.set, Shard: h.shard.ID(), Epoch: uint64(h.epoch)}
 	for _, v := range h.versions {
 		out.Versions = append(out.Versions, uint64(v))
@@ -269,8 +276,8 @@
 	return out
 }
 
-// fill sets the records of a reply with their count and digest.
-func fill(r *backendv1.SearchReply, records []tier.Record) {
+// setRecords sets the records of a reply, their count and their digest.
+func setRecords(r *backendv1.SearchReply, records []tier.Record) {
 	r.Records = make([]*backendv1.Record, 0, len(records))
 	for _, x := range records {
 		r.Records = append(r.Records, &backendv1.Record{Key: x.Key(), Value: x.Value()})
@@ -279,7 +286,8 @@
 	r.Digest = tier.Digest(records)
 }
 
-func wireRecords(list []*backendv1.Record) []tier.Record {
+// parseRecords converts the records of a reply from their protobuf messages.
+func parseRecords(list []*backendv1.Record) []tier.Record {
 	out := make([]tier.Record, 0, len(list))
 	for _, x := range list {
 		out = append(out, tier.NewRecord(x.GetKey(), x.GetValue()))
