--- a/standin/relay/link.go
+++ b/standin/relay/link.go
@@ -1,5 +1,5 @@
-// Package relay joins two addresses by TCP links that can be cut, delayed or
-// made to lose answers while connections run over them.
+// Package relay forwards TCP connections over links that can be cut, delayed or made to lose
+// replies while connections are open.
 package relay
 
 import (
@@ -18,31 +18,31 @@
 // Cut says how a link is cut.
 type Cut string
 
-// The ways to cut a link.
+// The ways to cut a link. CutNone stands for a link that is not cut.
 const (
 	CutNone  Cut = "none"
-	CutStall Cut = "stall" // bytes wait until the link is joined again, as in a network partition
-	CutReset Cut = "reset" // connections are closed and new ones closed at once
+	CutStall Cut = "stall" // bytes are held until the link is restored, as in a network partition
+	CutReset Cut = "reset" // open connections are closed, and new ones at once
 )
 
-// Valid reports whether c is one of the ways.
+// Valid reports whether c is one of the constants.
 func (c Cut) Valid() bool { return c == CutNone || c == CutStall || c == CutReset }
 
 // Condition is how a link behaves.
 type Condition struct {
 	cut         Cut
 	delay       tier.Millis
-	loseAnswers bool
+	loseReplies bool
 }
 
-// NewCondition returns a condition. The delay is one way; when answers are
-// lost, the target's bytes are thrown away, and connections that lost some
-// are closed when the link loses answers no longer.
-func NewCondition(cut Cut, delay tier.Millis, loseAnswers bool) Condition {
-	return Condition{cut: cut, delay: delay, loseAnswers: loseAnswers}
+// NewCondition returns a condition. The delay applies to each direction. If replies are to
+// be lost, the target's bytes are discarded; connections that lost some are closed when the
+// link stops losing replies.
+func NewCondition(cut Cut, delay tier.Millis, loseReplies bool) Condition {
+	return Condition{cut: cut, delay: delay, loseReplies: loseReplies}
 }
 
-// Link carries connections from its listening address to its target.
+// Link forwards connections from its listening address to its target.
 type Link struct {
 	name   string
 	from   string
@@ -53,8 +53,8 @@
 	mu        sync.Mutex
 	condition Condition
 	changed   chan struct{} // closed at each change
-	open      atomic.Int64
-	lost      atomic.Int64
+	open      atomic.Int64  // connections
+	lostBytes atomic.Int64
 }
 
 // NewLink returns a link between two places, such as data centres.
@@ -68,10 +68,10 @@
 // From is the place that the link's callers are in.
 func (l *Link) From() string { return l.from }
 
-// Addresses are where the link listens and where it leads.
+// Addresses are the address that the link listens at and that of its target.
 func (l *Link) Addresses() (listen, target string) { return l.listen, l.target }
 
-// Set changes how the link behaves from now on.
+// Set changes the condition of the link and its open connections.
 func (l *Link) Set(c Condition) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,7 +80,7 @@
 	l.changed = make(chan struct{})
 }
 
-// Condition is how the link behaves now.
+// Condition is the current condition.
 func (l *Link) Condition() Condition {
 	c, _ := l.watch()
 	return c
@@ -119,7 +119,7 @@
 				return errors.Wrap(err, "Link.ServeOn")
 			}
 			g.Go(func() error {
-				l.carry(ctx, c)
+				l.proxy(ctx, c)
 				return nil
 			})
 		}
@@ -127,11 +127,11 @@
 	return g.Wait()
 }
 
-// carry joins one connection with the target until either end closes, the
-// link is reset, or ctx ends.
-func (l *Link) carry(ctx context.Context, c net.Conn) {
+// proxy connects to the target and forwards a connection until it ends, the link is reset,
+// or ctx ends.
+func (l *Link) proxy(ctx context.Context, c net.Conn) {
 	defer func() { _ = c.Close() }()
-	if err := l.passable(ctx); err != nil {
+	if err := l.awaitPassable(ctx); err != nil {
 		return
 	}
 	var d net.Dialer
@@ -142,41 +142,43 @@
 	defer func() { _ = t.Close() }()
 	l.open.Add(1)
 	defer l.open.Add(-1)
-	l.join(ctx, c.(*net.TCPConn), t.(*net.TCPConn))
+	l.copyBothWays(ctx, c.(*net.TCPConn), t.(*net.TCPConn))
 }
 
-func (l *Link) join(ctx context.Context, caller, target *net.TCPConn) {
+// copyBothWays copies bytes between the caller and the target until both directions have
+// ended.
+func (l *Link) copyBothWays(ctx context.Context, caller, target *net.TCPConn) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	g, ctx := errgroup.WithContext(ctx)
-	forth := newPump(l, caller, target, false)
-	back := newPump(l, target, caller, true)
-	var both errgroup.Group
-	for _, p := range []*pump{forth, back} {
+	toTarget := newPump(l, caller, target, false)
+	toCaller := newPump(l, target, caller, true)
+	var writers errgroup.Group
+	for _, p := range []*pump{toTarget, toCaller} {
 		g.Go(func() error { return p.read(ctx) })
 		done := make(chan struct{})
 		g.Go(func() error {
 			defer close(done)
 			return p.write(ctx)
 		})
-		both.Go(func() error { <-done; return nil })
+		writers.Go(func() error { <-done; return nil })
 	}
-	g.Go(func() error { return l.guard(ctx, back) })
+	g.Go(func() error { return l.closeOnReset(ctx, toCaller) })
 	g.Go(func() error {
 		<-ctx.Done()
 		_ = caller.Close()
 		_ = target.Close()
 		return nil
 	})
-	_ = both.Wait()
+	_ = writers.Wait()
 	stop()
 	_ = g.Wait()
 }
 
 var errReset = errors.New("the link was reset")
 
-// passable waits while the link stalls.
-func (l *Link) passable(ctx context.Context) error {
+// awaitPassable waits while the link is stalled. It fails if the link is reset.
+func (l *Link) awaitPassable(ctx context.Context) error {
 	for {
 		c, changed := l.watch()
 		switch c.cut {
@@ -194,12 +196,12 @@
 	}
 }
 
-// guard ends a connection when the link is reset, or when it lost bytes and
-// the link no longer loses any.
-func (l *Link) guard(ctx context.Context, back *pump) error {
+// closeOnReset returns an error, which closes the connection, when the link is reset, or
+// when the connection has lost replies and the link no longer loses any.
+func (l *Link) closeOnReset(ctx context.Context, toCaller *pump) error {
 	for {
 		c, changed := l.watch()
-		if c.cut == CutReset || (back.spoilt.Load() && !c.loseAnswers) {
+		if c.cut == CutReset || (toCaller.lostReplies.Load() && !c.loseReplies) {
 			return errReset
 		}
 		select {
@@ -210,8 +212,8 @@
 	}
 }
 
-// pause waits until t.
-func pause(ctx context.Context, t time.Time) error {
+// waitUntil waits until t, or until ctx ends.
+func waitUntil(ctx context.Context, t time.Time) error {
 	d := time.Until(t)
 	if d <= 0 {
 		return nil
--- a/standin/relay/pump.go
+++ b/standin/relay/pump.go
@@ -9,34 +9,35 @@
 	"cicadagrade.example/tier/ring"
 )
 
-// Sizes of the buffers of one direction of a connection.
+// Sizes of the queue of one direction of a connection.
 const (
-	chunkBytes = 32 << 10
-	chunkCount = 64
+	chunkBytes      = 32 << 10
+	maxQueuedChunks = 64
 )
 
-// chunk is some bytes with the time they were read. No bytes mark the end of
-// the stream.
+// chunk is the bytes of one read, and its time. A chunk without bytes marks the end of the
+// stream.
 type chunk struct {
 	at    time.Time
 	bytes []byte
 }
 
-// pump carries one direction of a connection: a reading and a writing duty
-// joined by a ring, so that a delay does not limit the rate.
+// pump forwards one direction of a connection. Its reader and its writer are joined by a
+// ring buffer, so that a delay does not limit the throughput.
 type pump struct {
-	l       *Link
-	from    *net.TCPConn
-	to      *net.TCPConn
-	answers bool
-	chunks  *ring.Ring[chunk]
-	spoilt  atomic.Bool
+	link        *Link
+	from        *net.TCPConn
+	to          *net.TCPConn
+	replies     bool // this is the direction from the target to the caller
+	chunks      *ring.Ring[chunk]
+	lostReplies atomic.Bool // bytes were discarded, and so are all that follow
 }
 
-func newPump(l *Link, from, to *net.TCPConn, answers bool) *pump {
-	return &pump{l: l, from: from, to: to, answers: answers, chunks: ring.New[chunk](chunkCount)}
+func newPump(l *Link, from, to *net.TCPConn, replies bool) *pump {
+	return &pump{link: l, from: from, to: to, replies: replies, chunks: ring.New[chunk](maxQueuedChunks)}
 }
 
+// read queues what it reads until the stream ends.
 func (p *pump) read(ctx context.Context) error {
 	for {
 		b := make([]byte, chunkBytes)
@@ -52,32 +53,33 @@
 	}
 }
 
+// write delivers queued chunks after the link's delay, while the link is passable.
 func (p *pump) write(ctx context.Context) error {
 	for {
 		c, err := p.chunks.Pop(ctx)
 		if err != nil {
 			return err
 		}
-		if err := pause(ctx, c.at.Add(p.l.Condition().delay.Duration())); err != nil {
+		if err := waitUntil(ctx, c.at.Add(p.link.Condition().delay.Duration())); err != nil {
 			return err
 		}
-		if err := p.l.passable(ctx); err != nil {
+		if err := p.link.awaitPassable(ctx); err != nil {
 			return err
 		}
 		if len(c.bytes) == 0 {
 			return p.to.CloseWrite()
 		}
-		if err := p.pass(c.bytes); err != nil {
+		if err := p.deliver(c.bytes); err != nil {
 			return err
 		}
 	}
 }
 
-// pass writes bytes, or throws them away when the link loses answers.
-func (p *pump) pass(b []byte) error {
-	if p.answers && (p.spoilt.Load() || p.l.Condition().loseAnswers) {
-		p.spoilt.Store(true)
-		p.l.lost.Add(int64(len(b)))
+// deliver writes bytes, or discards them if the connection loses replies.
+func (p *pump) deliver(b []byte) error {
+	if p.replies && (p.lostReplies.Load() || p.link.Condition().loseReplies) {
+		p.lostReplies.Store(true)
+		p.link.lostBytes.Add(int64(len(b)))
 		return nil
 	}
 	_, err := p.to.Write(b)
--- a/standin/relay/relay.go
+++ b/standin/relay/relay.go
@@ -14,7 +14,7 @@
 	"cicadagrade.example/tier"
 )
 
-// Relay is a number of links with one control port.
+// Relay is a group of links with one control port.
 type Relay struct {
 	control string
 	links   []*Link
@@ -34,9 +34,10 @@
 	Delay  tier.Millis `json:"delay-ms"`
 }
 
-// linkOrder changes links: the one named, or all between two places, of
-// which each may be left out. Fields left out stay as they are.
-type linkOrder struct {
+// linkRequest changes the condition of the links that match Name, From and To; an empty one
+// matches all. BothWays adds the links from To to From. Settings that are left out stay as
+// they are.
+type linkRequest struct {
 	Name        string       `json:"name,omitempty"`
 	From        string       `json:"from,omitempty"`
 	To          string       `json:"to,omitempty"`
@@ -67,7 +68,7 @@
 	Error string `json:"error"`
 }
 
-// New returns a relay of links.
+// New returns a relay of the links, with its control port at an address.
 func New(control string, links ...*Link) *Relay { return &Relay{control: control, links: links} }
 
 // Read reads a relay's configuration file.
@@ -106,7 +107,7 @@
 	return b, errors.Wrap(err, "Encode")
 }
 
-// ControlAddress is where the control port listens.
+// ControlAddress is the address of the control port.
 func (r *Relay) ControlAddress() string { return r.control }
 
 // Links lists the links.
@@ -121,7 +122,7 @@
 	return g.Wait()
 }
 
-// Control is the handler of the control port: GET and POST /links.
+// Control returns the handler of the control port: GET and POST /links.
 func (r *Relay) Control() http.Handler {
 	e := echo.New()
 	e.GET("/links", func(c echo.Context) error { return c.JSON(http.StatusOK, r.status()) })
@@ -141,63 +142,66 @@
 			Target:      l.target,
 			Cut:         c.cut,
 			Delay:       c.delay,
-			LoseAnswers: c.loseAnswers,
+			LoseAnswers: c.loseReplies,
 			Connections: l.open.Load(),
-			LostBytes:   l.lost.Load(),
+			LostBytes:   l.lostBytes.Load(),
 		})
 	}
 	return out
 }
 
 func (r *Relay) postLinks(c echo.Context) error {
-	var o linkOrder
+	var q linkRequest
 	d := json.NewDecoder(c.Request().Body)
 	d.DisallowUnknownFields()
-	if err := d.Decode(&o); err != nil {
+	if err := d.Decode(&q); err != nil {
 		return c.JSON(http.StatusBadRequest, errorReply{Error: err.Error()})
 	}
-	if o.Cut != nil && !o.Cut.Valid() {
+	if q.Cut != nil && !q.Cut.Valid() {
 		return c.JSON(http.StatusBadRequest, errorReply{Error: "cut is none, stall or reset"})
 	}
-	n := r.apply(o)
+	n := r.apply(q)
 	if n == 0 {
 		return c.JSON(http.StatusBadRequest, errorReply{Error: "no link matches name, from and to"})
 	}
 	return c.JSON(http.StatusOK, changedReply{Changed: n})
 }
 
-func (r *Relay) apply(o linkOrder) int {
+// apply changes the matching links, and returns their number.
+func (r *Relay) apply(q linkRequest) int {
 	changed := 0
 	for _, l := range r.links {
-		if !o.names(l) {
+		if !q.matches(l) {
 			continue
 		}
 		changed++
-		l.Set(o.change(l.Condition()))
+		l.Set(q.applyTo(l.Condition()))
 	}
 	return changed
 }
 
-func (o linkOrder) names(l *Link) bool {
-	if o.Name != "" && o.Name != l.name {
+// matches reports whether the request applies to the link.
+func (q linkRequest) matches(l *Link) bool {
+	if q.Name != "" && q.Name != l.name {
 		return false
 	}
-	return o.joins(l.from, l.to) || (o.BothWays && o.joins(l.to, l.from))
+	return q.matchesEnds(l.from, l.to) || (q.BothWays && q.matchesEnds(l.to, l.from))
 }
 
-func (o linkOrder) joins(from, to string) bool {
-	return (o.From == "" || o.From == from) && (o.To == "" || o.To == to)
+func (q linkRequest) matchesEnds(from, to string) bool {
+	return (q.From == "" || q.From == from) && (q.To == "" || q.To == to)
 }
 
-func (o linkOrder) change(c Condition) Condition {
-	if o.Cut != nil {
-		c.cut = *o.Cut
+// applyTo returns the condition with the request's changes.
+func (q linkRequest) applyTo(c Condition) Condition {
+	if q.Cut != nil {
+		c.cut = *q.Cut
 	}
-	if o.Delay != nil {
-		c.delay = *o.Delay
+	if q.Delay != nil {
+		c.delay = *q.Delay
 	}
-	if o.LoseAnswers != nil {
-		c.loseAnswers = *o.LoseAnswers
+	if q.LoseAnswers != nil {
+		c.loseReplies = *q.LoseAnswers
 	}
 	return c
 }
--- a/standin/relay/relay_test.go
+++ b/standin/relay/relay_test.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// newEcho serves a link to a server that sends each line back; served counts
-// the lines that reached it.
+// newEcho serves a link to a server that echoes each line. The server sends the lines that
+// reach it to served.
 func newEcho(t *testing.T) (l *Link, addr string, served chan string) {
 	t.Helper()
 	served = make(chan string, 16)
@@ -58,6 +58,7 @@
 	_ = c.Close()
 }
 
+// caller is a caller's connection over the link.
 type caller struct {
 	t *testing.T
 	c net.Conn
@@ -80,9 +81,9 @@
 	}
 }
 
-// receive gives the next line, or "" when the connection ends or is silent.
-func (c *caller) receive(patience time.Duration) string {
-	_ = c.c.SetReadDeadline(time.Now().Add(patience))
+// receive returns the next line, or "" if the connection ends or the timeout passes.
+func (c *caller) receive(timeout time.Duration) string {
+	_ = c.c.SetReadDeadline(time.Now().Add(timeout))
 	line, err := c.r.ReadString('\n')
 	if err != nil {
 		return ""
@@ -91,52 +92,52 @@
 }
 
 const (
-	ample = 10 * time.Second
-	brief = 50 * time.Millisecond
+	longTimeout  = 10 * time.Second
+	shortTimeout = 50 * time.Millisecond
 )
 
-// TestStallHoldsBytesUntilJoined cuts a link under a connection: nothing
-// arrives while it is cut, and everything once it is joined.
-func TestStallHoldsBytesUntilJoined(t *testing.T) {
+// TestStallHoldsBytesUntilRestored stalls a link with an open connection: nothing arrives
+// while it is stalled, and everything once it is restored.
+func TestStallHoldsBytesUntilRestored(t *testing.T) {
 	l, addr, served := newEcho(t)
 	c := dial(t, addr)
 	c.send("before")
-	if got := c.receive(ample); got != "before" {
+	if got := c.receive(longTimeout); got != "before" {
 		t.Fatalf("got %q", got)
 	}
 	<-served
 	l.Set(NewCondition(CutStall, 0, false))
 	c.send("during")
-	if got := c.receive(brief); got != "" || len(served) != 0 {
+	if got := c.receive(shortTimeout); got != "" || len(served) != 0 {
 		t.Errorf("%q crossed the cut, %d served", got, len(served))
 	}
 	l.Set(NewCondition(CutNone, 0, false))
-	if got := c.receive(ample); got != "during" {
-		t.Errorf("after joining got %q", got)
+	if got := c.receive(longTimeout); got != "during" {
+		t.Errorf("after the link was restored got %q", got)
 	}
 }
 
-// TestResetClosesConnections checks connections old and new.
+// TestResetClosesConnections checks that a reset closes open connections and new ones.
 func TestResetClosesConnections(t *testing.T) {
 	l, addr, served := newEcho(t)
 	old := dial(t, addr)
 	old.send("before")
-	old.receive(ample)
+	old.receive(longTimeout)
 	<-served
 	l.Set(NewCondition(CutReset, 0, false))
-	if got := old.receive(ample); got != "" {
+	if got := old.receive(longTimeout); got != "" {
 		t.Errorf("got %q", got)
 	}
 	late := dial(t, addr)
 	late.send("during")
-	if got := late.receive(ample); got != "" || len(served) != 0 {
+	if got := late.receive(longTimeout); got != "" || len(served) != 0 {
 		t.Errorf("%q crossed the cut, %d served", got, len(served))
 	}
 }
 
-// TestLostAnswersHadTheirEffect checks that the request arrives and its
-// answer does not, neither then nor later.
-func TestLostAnswersHadTheirEffect(t *testing.T) {
+// TestLostRepliesFollowServedRequests checks that a request arrives while its reply is lost,
+// and that the reply does not arrive once the link stops losing replies.
+func TestLostRepliesFollowServedRequests(t *testing.T) {
 	l, addr, served := newEcho(t)
 	l.Set(NewCondition(CutNone, 0, true))
 	c := dial(t, addr)
@@ -144,11 +145,11 @@
 	if got := <-served; got != "booking" {
 		t.Fatalf("served %q", got)
 	}
-	for l.lost.Load() == 0 {
+	for l.lostBytes.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	l.Set(NewCondition(CutNone, 0, false))
-	if got := c.receive(ample); got != "" {
-		t.Errorf("the lost answer came: %q", got)
+	if got := c.receive(longTimeout); got != "" {
+		t.Errorf("the lost reply arrived: %q", got)
 	}
 }
--- a/standin/storeserver/faults.go
+++ b/standin/storeserver/faults.go
@@ -7,21 +7,21 @@
 	"cicadagrade.example/tier"
 )
 
-// Faults is what a test makes the store do wrong.
+// Faults are the faults that a test sets on the store.
 type Faults struct {
-	// Down breaks every call and watch without an answer.
+	// Down closes the connection of every call and watch without a reply.
 	Down bool `json:"down"`
-	// Delay is how long each call waits before it is carried out.
+	// Delay is how long each call waits before it is processed.
 	Delay tier.Millis `json:"delay-ms"`
-	// LoseAnswers is how many of the next writes take effect without an
-	// answer; -1 stands for all.
+	// LoseAnswers is how many of the next writes take effect without a reply; -1 stands for
+	// all.
 	LoseAnswers int `json:"lose-answers"`
-	// Stale has reads answer from the state at the time it was set, and
-	// holds back what watches would see.
+	// Stale has reads return the state at the time it was set, and holds back the events of
+	// watches.
 	Stale bool `json:"stale"`
 }
 
-// Calls counts the calls that the store took, by kind.
+// Calls counts the calls to the store, by kind and in total.
 type Calls struct {
 	Kinds         map[string]int64 `json:"kinds"`
 	Total         int64            `json:"total"`
@@ -29,29 +29,29 @@
 	MostInASecond int64            `json:"most-in-a-second"`
 }
 
-// faulty holds the faults that are set and counts calls.
-type faulty struct {
+// faultInjector holds the faults that are set, and counts calls.
+type faultInjector struct {
 	clock *tier.Clock
 
-	mu       sync.Mutex
-	faults   Faults
-	stale    state
-	calls    Calls
-	second   tier.Millis
-	inSecond int64
-	broken   chan struct{} // closed and replaced when watches must end
+	mu            sync.Mutex
+	faults        Faults
+	staleState    keyState
+	calls         Calls
+	second        tier.Millis // the current second, which callsInSecond belongs to
+	callsInSecond int64
+	watchBreak    chan struct{} // closed and replaced when watches must end
 }
 
-func newFaulty(clock *tier.Clock) *faulty {
-	return &faulty{clock: clock, calls: Calls{Kinds: map[string]int64{}}, broken: make(chan struct{})}
+func newFaultInjector(clock *tier.Clock) *faultInjector {
+	return &faultInjector{clock: clock, calls: Calls{Kinds: map[string]int64{}}, watchBreak: make(chan struct{})}
 }
 
-// set takes new faults; now is the state that stale reads show from here on.
-func (f *faulty) set(faults Faults, now state) {
+// set replaces the faults. If they make reads stale, reads return current from here on.
+func (f *faultInjector) set(faults Faults, current keyState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if faults.Stale && !f.faults.Stale {
-		f.stale = now
+		f.staleState = current
 	}
 	f.faults = faults
 	if faults.Down {
@@ -59,74 +59,77 @@
 	}
 }
 
-func (f *faulty) breakWatches() {
-	close(f.broken)
-	f.broken = make(chan struct{})
+// breakWatches closes the connections of all open watches. The caller holds mu.
+func (f *faultInjector) breakWatches() {
+	close(f.watchBreak)
+	f.watchBreak = make(chan struct{})
 }
 
-func (f *faulty) get() Faults {
+func (f *faultInjector) get() Faults {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.faults
 }
 
-// view is the state that reads show.
-func (f *faulty) view(now state) state {
+// readState is the state that reads return.
+func (f *faultInjector) readState(current keyState) keyState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.faults.Stale {
-		return f.stale
+		return f.staleState
 	}
-	return now
+	return current
 }
 
-func (f *faulty) brokenSignal() <-chan struct{} {
+// watchesBroken returns a channel that is closed when open watches are to be broken.
+func (f *faultInjector) watchesBroken() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.broken
+	return f.watchBreak
 }
 
 // count adds one call of a kind.
-func (f *faulty) count(kind string) {
+func (f *faultInjector) count(kind string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls.Kinds[kind]++
 	f.calls.Total++
 	second := f.clock.Now() / tier.Second
 	if second != f.second {
-		f.second, f.inSecond = second, 0
+		f.second, f.callsInSecond = second, 0
 	}
-	f.inSecond++
-	f.calls.MostInASecond = max(f.calls.MostInASecond, f.inSecond)
+	f.callsInSecond++
+	f.calls.MostInASecond = max(f.calls.MostInASecond, f.callsInSecond)
 }
 
-func (f *faulty) watching(n int64) {
+func (f *faultInjector) addOpenWatches(n int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls.OpenWatches += n
 }
 
-func (f *faulty) counted() Calls {
+func (f *faultInjector) callCounts() Calls {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := f.calls
-	out.Kinds = make(map[string]int64, len(f.calls.Kinds))
+	counts := f.calls
+	counts.Kinds = make(map[string]int64, len(f.calls.Kinds))
 	for k, n := range f.calls.Kinds {
-		out.Kinds[k] = n
+		counts.Kinds[k] = n
 	}
-	return out
+	return counts
 }
 
-func (f *faulty) resetCalls() {
+// resetCalls resets the counts, other than that of open watches.
+func (f *faultInjector) resetCalls() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls = Calls{Kinds: map[string]int64{}, OpenWatches: f.calls.OpenWatches}
-	f.inSecond = 0
+	f.callsInSecond = 0
 }
 
-// wait holds a call back for the set delay and reports whether it may be
-// carried out.
-func (f *faulty) wait(ctx context.Context) bool {
+// delay holds a call back for the delay that is set, and reports whether the call may be
+// processed.
+func (f *faultInjector) delay(ctx context.Context) bool {
 	faults := f.get()
 	if faults.Down {
 		return false
@@ -141,8 +144,8 @@
 	return !f.get().Down
 }
 
-// loses reports whether the answer of the present write is lost.
-func (f *faulty) loses() bool {
+// takeLostReply reports whether the reply to the current write is to be lost.
+func (f *faultInjector) takeLostReply() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.faults.LoseAnswers == 0 {
--- a/standin/storeserver/kv.go
+++ b/standin/storeserver/kv.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// pageItems is how many items one page of a range holds.
-	pageItems = 500
-	// maxEntries bounds a transaction.
-	maxEntries = 32
+	// maxPageItems is the most items in a page of a range.
+	maxPageItems = 500
+	// maxTransactionEntries is the most conditions, puts and deletes of a transaction together.
+	maxTransactionEntries = 32
 )
 
 const (
@@ -19,18 +19,18 @@
 	tooManyItems  = "a transaction takes at most 32 entries"
 )
 
-func (s *Server) key(c echo.Context) error {
-	if err := s.begin(c, "key", nil); err != nil {
+func (s *Server) getKey(c echo.Context) error {
+	if err := s.beginCall(c, "key", nil); err != nil {
 		return err
 	}
 	key := c.QueryParam("key")
 	s.store.mu.Lock()
-	s.store.expire()
-	view := s.faults.view(s.store.now)
-	held, ok := view.records[key]
-	reply := itemReply{AtRevision: view.revision}
+	s.store.expireLeases()
+	state := s.faults.readState(s.store.current)
+	rec, ok := state.records[key]
+	reply := itemReply{AtRevision: state.revision}
 	if ok {
-		reply.item = newItem(key, &held)
+		reply.item = newItem(key, &rec)
 	}
 	s.store.mu.Unlock()
 	if !ok {
@@ -39,63 +39,64 @@
 	return c.JSON(http.StatusOK, reply)
 }
 
-func (s *Server) page(c echo.Context) error {
-	if err := s.begin(c, "range", nil); err != nil {
+func (s *Server) getRange(c echo.Context) error {
+	if err := s.beginCall(c, "range", nil); err != nil {
 		return err
 	}
 	s.store.mu.Lock()
-	s.store.expire()
-	view := s.faults.view(s.store.now)
-	reply := rangeReply{Items: []item{}, AtRevision: view.revision}
-	for _, key := range view.find(c.QueryParam("pathPrefix")) {
+	s.store.expireLeases()
+	state := s.faults.readState(s.store.current)
+	reply := rangeReply{Items: []item{}, AtRevision: state.revision}
+	for _, key := range state.keysWithPrefix(c.QueryParam("pathPrefix")) {
 		if key <= c.QueryParam("after") {
 			continue
 		}
-		if len(reply.Items) == pageItems {
+		if len(reply.Items) == maxPageItems {
 			reply.HasMore = true
 			break
 		}
-		held := view.records[key]
-		reply.Items = append(reply.Items, newItem(key, &held))
+		rec := state.records[key]
+		reply.Items = append(reply.Items, newItem(key, &rec))
 	}
 	s.store.mu.Unlock()
 	return c.JSON(http.StatusOK, reply)
 }
 
-func (s *Server) transact(c echo.Context) error {
+func (s *Server) postTransaction(c echo.Context) error {
 	var t transaction
-	if err := s.begin(c, "txn", &t); err != nil {
+	if err := s.beginCall(c, "txn", &t); err != nil {
 		return err
 	}
-	if len(t.Expected)+len(t.Puts)+len(t.Deletes) > maxEntries {
+	if len(t.Expected)+len(t.Puts)+len(t.Deletes) > maxTransactionEntries {
 		return c.JSON(http.StatusBadRequest, errorReply{Error: tooManyItems})
 	}
 	s.store.mu.Lock()
-	s.store.expire()
-	status, reply := s.carryOut(&t)
+	s.store.expireLeases()
+	status, reply := s.apply(&t)
 	s.store.mu.Unlock()
 	if status != http.StatusOK {
 		return c.JSON(status, reply)
 	}
-	return s.finish(c, reply)
+	return s.replyToWrite(c, reply)
 }
 
-// carryOut makes all changes of a transaction, or none.
-func (s *Server) carryOut(t *transaction) (int, any) {
+// apply makes all changes of a transaction, or none if a condition fails or a change is
+// invalid. It returns the status and body of the reply. The caller holds the store's mu.
+func (s *Server) apply(t *transaction) (int, any) {
 	failed := false
 	conflict := conflictReply{Items: []item{}}
 	for _, e := range t.Expected {
-		held, ok := s.store.now.records[e.Key]
-		failed = failed || held.modified != e.Revision
+		rec, ok := s.store.current.records[e.Key]
+		failed = failed || rec.modified != e.Revision
 		if ok {
-			conflict.Items = append(conflict.Items, newItem(e.Key, &held))
+			conflict.Items = append(conflict.Items, newItem(e.Key, &rec))
 		}
 	}
 	if failed {
 		return http.StatusPreconditionFailed, conflict
 	}
 	for _, p := range t.Puts {
-		if len(p.Value) > maxValue {
+		if len(p.Value) > maxValueBytes {
 			return http.StatusRequestEntityTooLarge, errorReply{Error: valueTooLarge}
 		}
 		if _, ok := s.store.leases[p.Lease]; p.Lease != 0 && !ok {
@@ -103,10 +104,10 @@
 		}
 	}
 	for _, p := range t.Puts {
-		s.store.put(p.Key, p.Value, p.Lease)
+		s.store.putKey(p.Key, p.Value, p.Lease)
 	}
 	for _, key := range t.Deletes {
-		s.store.remove(key)
+		s.store.deleteKey(key)
 	}
-	return http.StatusOK, transactionReply{Revision: s.store.now.revision}
+	return http.StatusOK, transactionReply{Revision: s.store.current.revision}
 }
--- a/standin/storeserver/server.go
+++ b/standin/storeserver/server.go
@@ -14,94 +14,94 @@
 	"cicadagrade.example/tier"
 )
 
-// Server is the stand-in store. It is an http.Handler.
+// Server is a stand-in for the platform's metadata store. It is an http.Handler.
 type Server struct {
 	store  *store
-	faults *faulty
+	faults *faultInjector
 	router *echo.Echo
 
-	mu     sync.Mutex
-	copies map[string]state
+	mu      sync.Mutex
+	backups map[string]keyState
 }
 
-// New returns an empty store whose leases lapse by clock.
+// New returns an empty store whose leases expire by clock.
 func New(clock *tier.Clock) *Server {
-	s := &Server{store: newStore(clock), faults: newFaulty(clock), copies: map[string]state{}}
+	s := &Server{store: newStore(clock), faults: newFaultInjector(clock), backups: map[string]keyState{}}
 	s.router = echo.New()
 	s.router.HideBanner = true
-	s.router.GET("/kv-key", s.key)
-	s.router.GET("/kv-range", s.page)
+	s.router.GET("/kv-key", s.getKey)
+	s.router.GET("/kv-range", s.getRange)
 	s.router.GET("/kv-watch", s.watch)
-	s.router.POST("/kv-txn", s.transact)
-	s.router.POST("/kv-lease", s.grant)
-	s.router.POST("/kv-keep/:id", s.keep)
-	s.router.DELETE("/kv-lease-end/:id", s.end)
-	s.router.GET("/faults", s.showFaults)
+	s.router.POST("/kv-txn", s.postTransaction)
+	s.router.POST("/kv-lease", s.grantLease)
+	s.router.POST("/kv-keep/:id", s.keepLeaseAlive)
+	s.router.DELETE("/kv-lease-end/:id", s.endLease)
+	s.router.GET("/faults", s.getFaults)
 	s.router.PUT("/faults", s.putFaults)
 	s.router.POST("/faults/save", s.postSave)
 	s.router.POST("/faults/restart", s.postRestart)
-	s.router.GET("/calls", s.showCalls)
+	s.router.GET("/calls", s.getCalls)
 	s.router.DELETE("/calls", s.deleteCalls)
 	return s
 }
 
-// ServeHTTP answers the store's calls, /faults and /calls.
+// ServeHTTP serves the store's calls, and /faults and /calls for tests.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.router.ServeHTTP(w, r) }
 
 // SetFaults replaces the faults.
-func (s *Server) SetFaults(f Faults) { s.faults.set(f, s.store.save()) }
+func (s *Server) SetFaults(f Faults) { s.faults.set(f, s.store.snapshot()) }
 
-// Calls counts the calls so far.
-func (s *Server) Calls() Calls { return s.faults.counted() }
+// Calls returns the counts of calls since the last reset.
+func (s *Server) Calls() Calls { return s.faults.callCounts() }
 
-// ResetCalls starts the count again.
+// ResetCalls resets the counts of calls.
 func (s *Server) ResetCalls() { s.faults.resetCalls() }
 
-// Save keeps a copy of all keys under a name.
+// Save stores a backup of all keys under a name.
 func (s *Server) Save(name string) {
-	now := s.store.save()
+	keys := s.store.snapshot()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.copies[name] = now
+	s.backups[name] = keys
 }
 
-// Restart ends every watch and lease and starts again from the copy of that
-// name, or empty when the name is "".
+// Restart plays a restart of the store from the backup of that name, or without keys if the
+// name is "". It ends all watches and leases.
 func (s *Server) Restart(name string) error {
 	s.mu.Lock()
-	old, ok := s.copies[name]
+	backup, ok := s.backups[name]
 	s.mu.Unlock()
 	if name != "" && !ok {
 		return fmt.Errorf("no copy named %q", name)
 	}
 	if name == "" {
-		old = state{records: map[string]record{}, revision: 1}
+		backup = keyState{records: map[string]record{}, revision: 1}
 	}
-	s.store.restore(old)
+	s.store.restore(backup)
 	s.faults.mu.Lock()
 	defer s.faults.mu.Unlock()
 	s.faults.breakWatches()
 	return nil
 }
 
-func (s *Server) showFaults(c echo.Context) error { return c.JSON(http.StatusOK, s.faults.get()) }
+func (s *Server) getFaults(c echo.Context) error { return c.JSON(http.StatusOK, s.faults.get()) }
 
 func (s *Server) putFaults(c echo.Context) error {
 	var f Faults
-	if err := bind(c, &f); err != nil {
+	if err := decodeBody(c, &f); err != nil {
 		return err
 	}
 	s.SetFaults(f)
 	return c.JSON(http.StatusOK, f)
 }
 
-type copyRequest struct {
+type backupRequest struct {
 	Copy string `json:"copy"`
 }
 
 func (s *Server) postSave(c echo.Context) error {
-	var r copyRequest
-	if err := bind(c, &r); err != nil {
+	var r backupRequest
+	if err := decodeBody(c, &r); err != nil {
 		return err
 	}
 	s.Save(r.Copy)
@@ -109,8 +109,8 @@
 }
 
 func (s *Server) postRestart(c echo.Context) error {
-	var r copyRequest
-	if err := bind(c, &r); err != nil {
+	var r backupRequest
+	if err := decodeBody(c, &r); err != nil {
 		return err
 	}
 	if err := s.Restart(r.Copy); err != nil {
@@ -119,36 +119,36 @@
 	return c.NoContent(http.StatusNoContent)
 }
 
-func (s *Server) showCalls(c echo.Context) error { return c.JSON(http.StatusOK, s.faults.counted()) }
+func (s *Server) getCalls(c echo.Context) error { return c.JSON(http.StatusOK, s.faults.callCounts()) }
 
 func (s *Server) deleteCalls(c echo.Context) error {
 	s.faults.resetCalls()
 	return c.NoContent(http.StatusNoContent)
 }
 
-// begin counts a call, reads its request and applies the faults that come
-// before its effect.
-func (s *Server) begin(c echo.Context, kind string, request any) error {
+// beginCall counts a call, applies the faults that come before its effect, and decodes its
+// request.
+func (s *Server) beginCall(c echo.Context, kind string, request any) error {
 	s.faults.count(kind)
-	if !s.faults.wait(c.Request().Context()) {
-		panic(http.ErrAbortHandler) // breaks the connection
+	if !s.faults.delay(c.Request().Context()) {
+		panic(http.ErrAbortHandler) // closes the connection
 	}
 	if request == nil {
 		return nil
 	}
-	return bind(c, request)
+	return decodeBody(c, request)
 }
 
-// finish answers a write, unless its answer is to be lost.
-func (s *Server) finish(c echo.Context, reply any) error {
-	if s.faults.loses() {
+// replyToWrite sends the reply to a write, unless a fault loses it.
+func (s *Server) replyToWrite(c echo.Context, reply any) error {
+	if s.faults.takeLostReply() {
 		panic(http.ErrAbortHandler)
 	}
 	return c.JSON(http.StatusOK, reply)
 }
 
-// bind reads a JSON body whatever its content type; an empty one is {}.
-func bind(c echo.Context, request any) error {
+// decodeBody decodes a JSON body whatever its content type. An empty one stands for {}.
+func decodeBody(c echo.Context, request any) error {
 	err := json.NewDecoder(c.Request().Body).Decode(request)
 	if err != nil && !errors.Is(err, io.EOF) {
 		return echo.NewHTTPError(http.StatusBadRequest, err.Error())
@@ -158,9 +158,9 @@
 
 func after(m tier.Millis) <-chan time.Time { return time.After(m.Duration()) }
 
-// Forget drops the history: watches from an earlier revision end with 410.
+// Forget drops the history of changes: watches from an earlier revision end with 410.
 func (s *Server) Forget() {
 	s.store.mu.Lock()
 	defer s.store.mu.Unlock()
-	s.store.history, s.store.floor = nil, s.store.now.revision
+	s.store.history, s.store.historyStart = nil, s.store.current.revision
 }
--- a/standin/storeserver/store.go
+++ b/standin/storeserver/store.go
@@ -1,6 +1,6 @@
-// Package storeserver plays the platform's metadata store: an in-memory store
-// with its protocol, transactions under conditions, leases that lapse, calls
-// that wait for changes, and faults that a test sets.
+// Package storeserver is a stand-in for the platform's metadata store: an in-memory store
+// with the same HTTP protocol, conditional transactions, leases that expire, long polls for
+// changes, and faults that a test sets.
 package storeserver
 
 import (
@@ -15,8 +15,8 @@
 
 // Bounds of the store.
 const (
-	maxValue   = 1 << 20
-	maxHistory = 65536
+	maxValueBytes     = 1 << 20
+	maxHistoryEntries = 65536
 )
 
 // record is the state of one key.
@@ -28,8 +28,7 @@
 	lease    int64
 }
 
-// change is one entry of the history that watches read. A deletion has no
-// record.
+// change is one entry of the history that watches read. A deletion has a nil record.
 type change struct {
 	key      string
 	revision int64
@@ -41,119 +40,123 @@
 	expires tier.Millis
 }
 
-// state is what a restart can bring back.
-type state struct {
+// keyState is all keys at one revision. A restart can restore it from a backup.
+type keyState struct {
 	records  map[string]record
 	revision int64
 }
 
-func (s state) copy() state {
-	return state{records: maps.Clone(s.records), revision: s.revision}
+func (s keyState) copy() keyState {
+	return keyState{records: maps.Clone(s.records), revision: s.revision}
 }
 
-// store holds all keys. Its methods are safe for concurrent use.
+// store holds all keys, their history and the leases. mu guards all fields but the clock;
+// callers of a method that does not lock it hold it.
 type store struct {
 	clock *tier.Clock
 
-	mu      sync.Mutex
-	now     state
-	history []change
-	floor   int64 // history holds the changes after this revision
-	leases  map[int64]lease
-	nextID  int64
-	life    int64
-	changed chan struct{} // closed and replaced at each change
+	mu           sync.Mutex
+	current      keyState
+	history      []change
+	historyStart int64 // history has the changes after this revision
+	leases       map[int64]lease
+	nextID       int64
+	restarts     int64         // counted, so that watches notice one
+	changed      chan struct{} // closed and replaced at each change
 }
 
 func newStore(clock *tier.Clock) *store {
 	s := &store{clock: clock, leases: map[int64]lease{}, changed: make(chan struct{})}
-	s.now = state{records: map[string]record{}, revision: 1}
-	s.floor = 1
+	s.current = keyState{records: map[string]record{}, revision: 1}
+	s.historyStart = 1
 	return s
 }
 
-// restore replaces the state, as a restart from a backup does: leases and
-// history are gone.
-func (s *store) restore(old state) {
+// restore replaces the state, as a restart from a backup does. Leases and history are lost.
+func (s *store) restore(backup keyState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.now = old.copy()
-	s.floor = old.revision
+	s.current = backup.copy()
+	s.historyStart = backup.revision
 	s.history = nil
 	s.leases = map[int64]lease{}
-	s.life++
+	s.restarts++
 	s.notify()
 }
 
-func (s *store) save() state {
+// snapshot returns a copy of the current state.
+func (s *store) snapshot() keyState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
-	return s.now.copy()
+	s.expireLeases()
+	return s.current.copy()
 }
 
+// notify wakes all watches.
 func (s *store) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// expire ends the leases whose time is over, with their keys.
-func (s *store) expire() {
+// expireLeases revokes the leases whose time to live has passed.
+func (s *store) expireLeases() {
 	now := s.clock.Now()
 	for id, l := range s.leases {
 		if l.expires <= now {
-			s.revoke(id)
+			s.revokeLease(id)
 		}
 	}
 }
 
-func (s *store) revoke(id int64) bool {
+// revokeLease ends a lease and deletes its keys. It reports whether the lease existed.
+func (s *store) revokeLease(id int64) bool {
 	if _, ok := s.leases[id]; !ok {
 		return false
 	}
 	delete(s.leases, id)
-	for key, r := range s.now.records {
+	for key, r := range s.current.records {
 		if r.lease == id {
-			s.remove(key)
+			s.deleteKey(key)
 		}
 	}
 	return true
 }
 
-func (s *store) put(key string, value []byte, lease int64) {
-	s.now.revision++
-	r := s.now.records[key]
+func (s *store) putKey(key string, value []byte, lease int64) {
+	s.current.revision++
+	r := s.current.records[key]
 	if r.version == 0 {
-		r.created = s.now.revision
+		r.created = s.current.revision
 	}
 	r.version++
-	r.value, r.modified, r.lease = value, s.now.revision, lease
-	s.now.records[key] = r
-	s.append(change{key: key, revision: s.now.revision, record: &r})
+	r.value, r.modified, r.lease = value, s.current.revision, lease
+	s.current.records[key] = r
+	s.appendHistory(change{key: key, revision: s.current.revision, record: &r})
 }
 
-func (s *store) remove(key string) bool {
-	if _, ok := s.now.records[key]; !ok {
+func (s *store) deleteKey(key string) bool {
+	if _, ok := s.current.records[key]; !ok {
 		return false
 	}
-	s.now.revision++
-	delete(s.now.records, key)
-	s.append(change{key: key, revision: s.now.revision})
+	s.current.revision++
+	delete(s.current.records, key)
+	s.appendHistory(change{key: key, revision: s.current.revision})
 	return true
 }
 
-func (s *store) append(c change) {
+// appendHistory records a change and wakes watches. A full history drops its older half.
+func (s *store) appendHistory(c change) {
 	s.history = append(s.history, c)
-	if len(s.history) > maxHistory {
+	if len(s.history) > maxHistoryEntries {
 		half := len(s.history) / 2
-		s.floor = s.history[half-1].revision
+		s.historyStart = s.history[half-1].revision
 		s.history = append([]change(nil), s.history[half:]...)
 	}
 	s.notify()
 }
 
-// find lists the keys that start with prefix in their order.
-func (s state) find(prefix string) []string {
+// keysWithPrefix lists the keys that start with prefix, sorted.
+func (s keyState) keysWithPrefix(prefix string) []string {
 	var keys []string
 	for key := range s.records {
 		if strings.HasPrefix(key, prefix) {
@@ -164,30 +167,29 @@
 	return keys
 }
 
-// since returns the changes after a revision to keys that start with prefix,
-// the revision to go on from, and a channel that closes at the next change. It
-// reports false when the history does not hold them, as after a restart from an
-// older copy.
-func (s *store) since(prefix string, from int64) ([]change, int64, <-chan struct{}, bool) {
+// changesSince returns the changes to keys that start with prefix after revision from, the
+// revision to continue from, and a channel that is closed at the next change. It reports
+// false if the history does not have them, as after a restart from an older backup.
+func (s *store) changesSince(prefix string, from int64) ([]change, int64, <-chan struct{}, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
-	if from < s.floor || from > s.now.revision {
-		return nil, s.floor, nil, false
+	s.expireLeases()
+	if from < s.historyStart || from > s.current.revision {
+		return nil, s.historyStart, nil, false
 	}
-	var out []change
+	var changes []change
 	for i := len(s.history) - 1; i >= 0 && s.history[i].revision > from; i-- {
 		if strings.HasPrefix(s.history[i].key, prefix) {
-			out = append(out, s.history[i])
+			changes = append(changes, s.history[i])
 		}
 	}
-	slices.Reverse(out)
-	return out, max(from, s.now.revision), s.changed, true
+	slices.Reverse(changes)
+	return changes, max(from, s.current.revision), s.changed, true
 }
 
-// lifeNumber counts restarts.
-func (s *store) lifeNumber() int64 {
+// restartCount is the number of restarts so far.
+func (s *store) restartCount() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.life
+	return s.restarts
 }
--- a/standin/storeserver/store_test.go
+++ b/standin/storeserver/store_test.go
@@ -21,7 +21,7 @@
 	"cicadagrade.example/tier/storer"
 )
 
-// session runs one script against a store through its client.
+// session runs one script against a store through the platform's client.
 type session struct {
 	t      *testing.T
 	clock  *tier.ManualClock
@@ -48,7 +48,8 @@
 	return s
 }
 
-// TestSessions runs each script; the golden file holds what every line gave.
+// TestSessions runs each script of testdata/sessions. The golden file has each line of the
+// script and its result.
 func TestSessions(t *testing.T) {
 	files, err := filepath.Glob("testdata/sessions/*.txt")
 	if err != nil || len(files) == 0 {
@@ -75,14 +76,15 @@
 	}
 }
 
-func (s *session) step(w []string) string {
+// step runs one line of a script and returns its result as text.
+func (s *session) step(words []string) string {
 	ctx := context.Background()
-	switch w[0] {
+	switch words[0] {
 	case "get":
-		v, err := s.store.Get(ctx, w[1])
+		v, err := s.store.Get(ctx, words[1])
 		return outcome(text(v), err)
 	case "list":
-		all, err := s.store.List(ctx, w[1], 0)
+		all, err := s.store.List(ctx, words[1], 0)
 		var out []string
 		for _, v := range all {
 			out = append(out, text(v))
@@ -90,56 +92,56 @@
 		return outcome(strings.Join(out, ", "), err)
 	case "swap":
 		lease := int64(0)
-		if len(w) > 4 {
-			lease = s.number(w[4])
+		if len(words) > 4 {
+			lease = s.number(words[4])
 		}
-		r, err := s.store.CompareAndSwap(ctx, w[1], []byte(w[2]), s.number(w[3]), storer.LeaseID(lease))
+		r, err := s.store.CompareAndSwap(ctx, words[1], []byte(words[2]), s.number(words[3]), storer.LeaseID(lease))
 		return outcome(fmt.Sprintf("revision %d", r), err)
 	case "delete":
-		return outcome("deleted", s.store.Delete(ctx, w[1], s.number(w[2])))
+		return outcome("deleted", s.store.Delete(ctx, words[1], s.number(words[2])))
 	case "grant":
-		id, err := s.store.Grant(ctx, tier.Millis(s.number(w[1])))
+		id, err := s.store.Grant(ctx, tier.Millis(s.number(words[1])))
 		return outcome(fmt.Sprintf("lease %d", id), err)
 	case "keep-alive":
-		left, err := s.store.KeepAlive(ctx, storer.LeaseID(s.number(w[1])))
+		left, err := s.store.KeepAlive(ctx, storer.LeaseID(s.number(words[1])))
 		return outcome(fmt.Sprintf("%d ms left", left), err)
 	default:
-		return s.control(w)
+		return s.control(words)
 	}
 }
 
-// control changes or observes what is around the store.
-func (s *session) control(w []string) string {
-	switch w[0] {
+// control runs a line that sets the clock, faults or backups, or reads a watch.
+func (s *session) control(words []string) string {
+	switch words[0] {
 	case "advance":
-		s.clock.Advance(tier.Millis(s.number(w[1])))
+		s.clock.Advance(tier.Millis(s.number(words[1])))
 		return "advanced"
 	case "faults":
 		var f storeserver.Faults
-		if err := json.Unmarshal([]byte(strings.Join(w[1:], " ")), &f); err != nil {
+		if err := json.Unmarshal([]byte(strings.Join(words[1:], " ")), &f); err != nil {
 			s.t.Fatal(err)
 		}
 		s.server.SetFaults(f)
 		return "set"
 	case "save":
-		s.server.Save(w[1])
+		s.server.Save(words[1])
 		return "saved"
 	case "restart":
-		return outcome("restarted", s.server.Restart(strings.Join(w[1:], "")))
+		return outcome("restarted", s.server.Restart(strings.Join(words[1:], "")))
 	case "watch":
-		s.watch(w[1])
+		s.watch(words[1])
 		return "watching"
 	case "seen":
 		return "seen " + text(<-s.seen)
 	case "broken":
 		return outcome("", <-s.broken)
 	default:
-		s.t.Fatalf("unknown line %v", w)
+		s.t.Fatalf("unknown line %v", words)
 		return ""
 	}
 }
 
-// watch starts to watch a prefix from its beginning.
+// watch starts to watch a prefix from the first revision.
 func (s *session) watch(prefix string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
@@ -151,8 +153,8 @@
 	})
 }
 
-func (s *session) number(w string) int64 {
-	n, err := strconv.ParseInt(w, 10, 64)
+func (s *session) number(word string) int64 {
+	n, err := strconv.ParseInt(word, 10, 64)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -166,18 +168,19 @@
 	return fmt.Sprintf("%s = %s at %d", v.Key(), v.Data(), v.Revision())
 }
 
-// outcome names the kind of an error, without its changing parts.
+// outcome returns good, or the kind of an error without the parts that differ from run to
+// run.
 func outcome(good string, err error) string {
 	var conflict *storer.ConflictError
-	var unsure *storer.IndeterminateError
+	var indeterminate *storer.IndeterminateError
 	var unavailable *storer.UnavailableError
 	switch {
 	case err == nil:
 		return good
 	case errors.As(err, &conflict):
 		return "conflict: " + text(conflict.Current())
-	case errors.As(err, &unsure):
-		return "unsure of " + unsure.Call()
+	case errors.As(err, &indeterminate):
+		return "unsure of " + indeterminate.Call()
 	case errors.As(err, &unavailable):
 		return "unavailable for " + unavailable.Call()
 	default:
@@ -185,8 +188,9 @@
 	}
 }
 
-// TestRefusedConnection: a write that never left is not unsure.
-func TestRefusedConnection(t *testing.T) {
+// TestUnsentWriteIsUnavailable checks that a write that was never sent, as the connection
+// was refused, is not reported as one that may have taken effect.
+func TestUnsentWriteIsUnavailable(t *testing.T) {
 	h := httptest.NewServer(nil)
 	h.Close()
 	_, err := platform.NewStore(h.URL).CompareAndSwap(context.Background(), "a", nil, 0, 0)
@@ -195,8 +199,9 @@
 	}
 }
 
-// TestSlowWriteIsUnsure: a write that outlasts the timeout may take effect.
-func TestSlowWriteIsUnsure(t *testing.T) {
+// TestTimedOutWriteIsIndeterminate checks that a write whose reply comes after the timeout
+// is reported as one that may have taken effect.
+func TestTimedOutWriteIsIndeterminate(t *testing.T) {
 	server := storeserver.New(tier.NewClock())
 	h := httptest.NewServer(server)
 	defer h.Close()
@@ -207,8 +212,8 @@
 	}
 }
 
-// TestCallsAreCounted: a call that waits for changes is one call, however long it
-// lasts; a watch makes the next one after each answer.
+// TestCallsAreCounted checks that a long poll counts as one call, however long it waits, and
+// that a watch makes another after each reply.
 func TestCallsAreCounted(t *testing.T) {
 	s := newSession(t)
 	s.step([]string{"watch", "a"})
--- a/standin/storeserver/watch.go
+++ b/standin/storeserver/watch.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	// watchPeriod is how often a waiting call looks for lapsed leases and for
-	// the end of the stale fault.
-	watchPeriod = 50 * tier.Millisecond
-	// maxWait is the longest that a call waits for changes.
+	// watchPollInterval is how often a waiting call checks for expired leases and for the
+	// end of the stale fault.
+	watchPollInterval = 50 * tier.Millisecond
+	// maxWait is the longest time that a call waits for changes.
 	maxWait = 30 * tier.Second
 )
 
-// watch answers with the changes after a revision, as soon as there is one.
+// watch serves a long poll: it replies with the changes after a revision as soon as there is
+// one, or with none when the caller's wait is over.
 func (s *Server) watch(c echo.Context) error {
-	if err := s.begin(c, "watch", nil); err != nil {
+	if err := s.beginCall(c, "watch", nil); err != nil {
 		return err
 	}
 	from, err := strconv.ParseInt(c.QueryParam("after"), 10, 64)
@@ -30,16 +31,16 @@
 	if err != nil || wait < 0 {
 		return c.JSON(http.StatusBadRequest, errorReply{Error: "waitMs is not a number of milliseconds"})
 	}
-	s.faults.watching(1)
-	defer s.faults.watching(-1)
-	broken, life := s.faults.brokenSignal(), s.store.lifeNumber()
+	s.faults.addOpenWatches(1)
+	defer s.faults.addOpenWatches(-1)
+	broken, restarts := s.faults.watchesBroken(), s.store.restartCount()
 	deadline := after(min(tier.Millis(wait), maxWait))
 	for {
-		changes, at, changed, ok := s.changes(c.QueryParam("pathPrefix"), from)
+		changes, at, changed, ok := s.newChanges(c.QueryParam("pathPrefix"), from)
 		switch {
 		case !ok:
 			return c.JSON(http.StatusGone, errorReply{Error: "this history is gone"})
-		case s.store.lifeNumber() != life:
+		case s.store.restartCount() != restarts:
 			panic(http.ErrAbortHandler)
 		case len(changes) > 0:
 			return c.JSON(http.StatusOK, newWatchReply(changes, at))
@@ -52,17 +53,17 @@
 		case <-deadline:
 			return c.JSON(http.StatusOK, newWatchReply(nil, at))
 		case <-changed:
-		case <-after(watchPeriod):
+		case <-after(watchPollInterval):
 		}
 	}
 }
 
-// changes reads what is new, or nothing while the store is stale.
-func (s *Server) changes(prefix string, from int64) ([]change, int64, <-chan struct{}, bool) {
+// newChanges returns the changes after revision from, or none while reads are stale.
+func (s *Server) newChanges(prefix string, from int64) ([]change, int64, <-chan struct{}, bool) {
 	if s.faults.get().Stale {
 		return nil, from, nil, true
 	}
-	return s.store.since(prefix, from)
+	return s.store.changesSince(prefix, from)
 }
 
 func newWatchReply(changes []change, at int64) watchReply {
--- a/standin/storeserver/wire.go
+++ b/standin/storeserver/wire.go
@@ -1,6 +1,6 @@
 package storeserver
 
-// item is one entry; in a watch it may also be a removal.
+// item is one key and its value. In the reply to a watch it may also be a deletion.
 type item struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value,omitempty"`
