--- a/standin/leafserver/client.go
+++ b/standin/leafserver/client.go
@@ -22,21 +22,21 @@
 	return &Client{address: address, client: &http.Client{}}
 }
 
-// LearnOrder is the fault request that gives the servers of a set a new shard map. The
+// LearnRequest is the fault request that gives the servers of a set a new shard map. The
 // argument is the set's JSON document.
-func LearnOrder(set []byte) []byte { return fmt.Appendf(nil, `{"learn":%s}`, set) }
+func LearnRequest(set []byte) []byte { return fmt.Appendf(nil, `{"learn":%s}`, set) }
 
-// Order posts a fault request, a JSON object, and returns the number of servers that it
+// SetFaults posts a fault request, a JSON object, and returns the number of servers that it
 // changed.
-func (c *Client) Order(ctx context.Context, request []byte) (int, error) {
+func (c *Client) SetFaults(ctx context.Context, request []byte) (int, error) {
 	var reply faultReply
 	err := c.post(ctx, "/faults", request, &reply)
 	return reply.Changed, errors.Wrap(err, "Client.SetFaults")
 }
 
-// Started returns those of the tags for which a search began to run. It fails when the
+// StartedTags returns those of the tags for which a search began to run. It fails when the
 // journal was full and skipped some.
-func (c *Client) Started(ctx context.Context, tags []string) ([]string, error) {
+func (c *Client) StartedTags(ctx context.Context, tags []string) ([]string, error) {
 	b, err := json.Marshal(startedRequest{Tags: tags})
 	if err != nil {
 		return nil, errors.Wrap(err, "Client.StartedTags")
@@ -58,9 +58,9 @@
 	return reply.Servers, errors.Wrap(err, "Client.Counters")
 }
 
-// Booked lists the bookings that took effect, from the given journal entry on. It fails
+// AppliedBookings lists the bookings that took effect, from the given journal entry on. It fails
 // when the journal was full and skipped some.
-func (c *Client) Booked(ctx context.Context, from int) ([]Booked, error) {
+func (c *Client) AppliedBookings(ctx context.Context, from int) ([]AppliedBooking, error) {
 	var reply bookedReply
 	if err := c.get(ctx, fmt.Sprintf("/booked?from=%d", from), &reply); err != nil {
 		return nil, errors.Wrap(err, "Client.AppliedBookings")
--- a/standin/leafserver/control.go
+++ b/standin/leafserver/control.go
@@ -45,13 +45,13 @@
 }
 
 type bookedReply struct {
-	Booked  []Booked `json:"booked"`
-	Skipped int      `json:"skipped"`
+	Booked  []AppliedBooking `json:"booked"`
+	Skipped int              `json:"skipped"`
 }
 
 type servedReply struct {
-	Served  []Served `json:"served"`
-	Skipped int      `json:"skipped"`
+	Served  []ServedSearch `json:"served"`
+	Skipped int            `json:"skipped"`
 }
 
 // startedRequest asks for which of the tags a search began to run.
@@ -119,16 +119,16 @@
 	return out
 }
 
-// Control returns the handler of the control port: POST /faults and /started, GET /served,
+// ControlHandler returns the handler of the control port: POST /faults and /started, GET /served,
 // /booked and /counters. /served and /booked list the journal's entries from index ?from=N.
-func (f *Fleet) Control() http.Handler {
+func (f *Fleet) ControlHandler() http.Handler {
 	e := echo.New()
 	e.POST("/faults", f.postFaults)
 	e.GET("/served", func(c echo.Context) error {
-		return c.JSON(http.StatusOK, servedReply{Served: f.journal.Served(fromParam(c)), Skipped: f.journal.skippedCounts().served})
+		return c.JSON(http.StatusOK, servedReply{Served: f.journal.ServedSearches(fromParam(c)), Skipped: f.journal.skippedCounts().served})
 	})
 	e.GET("/booked", func(c echo.Context) error {
-		return c.JSON(http.StatusOK, bookedReply{Booked: f.journal.Booked(fromParam(c)), Skipped: f.journal.skippedCounts().booked})
+		return c.JSON(http.StatusOK, bookedReply{Booked: f.journal.AppliedBookings(fromParam(c)), Skipped: f.journal.skippedCounts().booked})
 	})
 	e.GET("/counters", f.getCounters)
 	e.POST("/started", f.postStarted)
@@ -148,7 +148,7 @@
 	if err := json.NewDecoder(c.Request().Body).Decode(&q); err != nil {
 		return c.JSON(http.StatusBadRequest, errorReply{Error: err.Error()})
 	}
-	return c.JSON(http.StatusOK, startedReply{Started: f.journal.Started(q.Tags), Skipped: f.journal.skippedCounts().started})
+	return c.JSON(http.StatusOK, startedReply{Started: f.journal.StartedTags(q.Tags), Skipped: f.journal.skippedCounts().started})
 }
 
 func (f *Fleet) postFaults(c echo.Context) error {
--- a/standin/leafserver/faults.go
+++ b/standin/leafserver/faults.go
@@ -11,11 +11,11 @@
 
 // The reply faults. ReplyIntact stands for none.
 const (
-	ReplyWhole     ReplyFault = ""
+	ReplyIntact    ReplyFault = ""
 	ReplyTruncated ReplyFault = "truncated" // half of the records are missing; count and digest are unchanged
 	ReplyCorrupted ReplyFault = "corrupted" // one value is changed; the digest is not
 	ReplyRepeated  ReplyFault = "repeated"  // each record comes twice; count and digest match
-	ReplyCrossed   ReplyFault = "crossed"   // the reply to the previous call
+	ReplyPrevious  ReplyFault = "crossed"   // the reply to the previous call
 )
 
 // CallFault says how a server fails calls.
@@ -23,7 +23,7 @@
 
 // The call faults. CallNormal stands for none.
 const (
-	CallServed     CallFault = ""
+	CallNormal     CallFault = ""
 	CallHang       CallFault = "hang"        // holds its slot until the caller cancels
 	CallDropBefore CallFault = "drop-before" // closes the connection without running the call
 	CallDropAfter  CallFault = "drop-after"  // runs the call, then closes the connection
--- a/standin/leafserver/journal.go
+++ b/standin/leafserver/journal.go
@@ -9,8 +9,8 @@
 // maxEntries bounds the entries of each kind. Later ones are skipped and counted.
 const maxEntries = 1 << 20
 
-// Served is a search that ran to its end.
-type Served struct {
+// ServedSearch is a search that ran to its end.
+type ServedSearch struct {
 	At      tier.Millis  `json:"at-ms"`
 	Server  string       `json:"server"`
 	Attempt string       `json:"attempt"`
@@ -21,8 +21,8 @@
 	Version tier.Version `json:"version"`
 }
 
-// Booked is a booking that took effect.
-type Booked struct {
+// AppliedBooking is a booking that took effect.
+type AppliedBooking struct {
 	At        tier.Millis `json:"at-ms"`
 	Server    string      `json:"server"`
 	Attempt   string      `json:"attempt"`
@@ -37,8 +37,8 @@
 // told. It is safe for concurrent use.
 type Journal struct {
 	mu      sync.Mutex
-	served  []Served
-	booked  []Booked
+	served  []ServedSearch
+	booked  []AppliedBooking
 	started map[string]int // searches by tag
 	skipped skippedEntries
 }
@@ -50,15 +50,15 @@
 // NewJournal returns an empty journal.
 func NewJournal() *Journal { return &Journal{started: map[string]int{}} }
 
-// Served lists the searches that ran to their end, from the given entry on.
-func (j *Journal) Served(from int) []Served {
+// ServedSearches lists the searches that ran to their end, from the given entry on.
+func (j *Journal) ServedSearches(from int) []ServedSearch {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return copyFrom(j.served, from)
 }
 
-// Booked lists the bookings that took effect, from the given entry on.
-func (j *Journal) Booked(from int) []Booked {
+// AppliedBookings lists the bookings that took effect, from the given entry on.
+func (j *Journal) AppliedBookings(from int) []AppliedBooking {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return copyFrom(j.booked, from)
@@ -70,7 +70,7 @@
 	return j.skipped
 }
 
-func (j *Journal) addServed(s Served) {
+func (j *Journal) addServed(s ServedSearch) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if len(j.served) >= maxEntries {
@@ -80,7 +80,7 @@
 	j.served = append(j.served, s)
 }
 
-func (j *Journal) addBooked(b Booked) {
+func (j *Journal) addBooked(b AppliedBooking) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if len(j.booked) >= maxEntries {
@@ -104,8 +104,8 @@
 	j.started[tag]++
 }
 
-// Started returns those of the tags for which a search began to run.
-func (j *Journal) Started(tags []string) []string {
+// StartedTags returns those of the tags for which a search began to run.
+func (j *Journal) StartedTags(tags []string) []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	out := []string{}
--- a/standin/leafserver/server_test.go
+++ b/standin/leafserver/server_test.go
@@ -121,8 +121,8 @@
 		t.Errorf("a call after the cancellation got %v", code)
 	}
 	c := h.server.Counters()
-	if c.InUseMax != testSlots || c.Shed != 1 || c.Overbooked != 1 || c.Cancelled != testSlots || len(h.fleet.Journal().Served(0)) != 1 {
-		t.Errorf("counters %+v, served %v", c, h.fleet.Journal().Served(0))
+	if c.InUseMax != testSlots || c.Shed != 1 || c.Overbooked != 1 || c.Cancelled != testSlots || len(h.fleet.Journal().ServedSearches(0)) != 1 {
+		t.Errorf("counters %+v, served %v", c, h.fleet.Journal().ServedSearches(0))
 	}
 }
 
@@ -210,7 +210,7 @@
 	h.eventually("the call hangs", func() bool { return h.server.slots.inUse() == 1 })
 	h.setFaults(faultRequest{Down: ptr(true)})
 	_ = g.Wait()
-	h.setFaults(faultRequest{Call: ptr(CallServed)})
+	h.setFaults(faultRequest{Call: ptr(CallNormal)})
 	if _, err := net.Dial("tcp", h.addr); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("connecting to a server that is down: %v", err)
 	}
--- a/standin/leafserver/service.go
+++ b/standin/leafserver/service.go
@@ -128,8 +128,8 @@
 // callFault draws the fault of a call.
 func (s *Server) callFault() CallFault {
 	f := s.faults.get()
-	if f.call == CallServed || !s.chance(f.callFraction) {
-		return CallServed
+	if f.call == CallNormal || !s.chance(f.callFraction) {
+		return CallNormal
 	}
 	return f.call
 }
@@ -195,7 +195,7 @@
 		reported = requested
 	}
 	records := s.records.Shard(s.set, served, q.GetTerm(), h.shard.From(), h.shard.To())
-	s.journal.addServed(Served{
+	s.journal.addServed(ServedSearch{
 		At:      s.clock.Wall(),
 		Server:  s.Name(),
 		Attempt: q.GetAttempt(),
@@ -221,7 +221,7 @@
 func (s *Server) applyBooking(q *backendv1.BookRequest) *backendv1.BookReply {
 	receipt := fmt.Sprintf("%s-%d", s.Name(), s.counters.receipts.Add(1))
 	s.counters.booked.Add(1)
-	s.journal.addBooked(Booked{
+	s.journal.addBooked(AppliedBooking{
 		At:        s.clock.Wall(),
 		Server:    s.Name(),
 		Attempt:   q.GetAttempt(),
@@ -247,7 +247,7 @@
 	previous := s.previousReply
 	s.previousReply = proto.Clone(r).(*backendv1.SearchReply)
 	s.mu.Unlock()
-	if f.reply == ReplyWhole || !s.chance(f.replyFraction) {
+	if f.reply == ReplyIntact || !s.chance(f.replyFraction) {
 		return r
 	}
 	switch f.reply {
@@ -259,7 +259,7 @@
 		}
 	case ReplyRepeated:
 		setRecords(r, append(parseRecords(r.Records), parseRecords(r.Records)...))
-	case ReplyCrossed:
+	case ReplyPrevious:
 		if previous != nil {
 			return previous
 		}
--- a/standin/relay/link.go
+++ b/standin/relay/link.go
@@ -71,8 +71,8 @@
 // Addresses are the address that the link listens at and that of its target.
 func (l *Link) Addresses() (listen, target string) { return l.listen, l.target }
 
-// Set changes the condition of the link and its open connections.
-func (l *Link) Set(c Condition) {
+// SetCondition changes the condition of the link and its open connections.
+func (l *Link) SetCondition(c Condition) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.condition = c
--- a/standin/relay/relay.go
+++ b/standin/relay/relay.go
@@ -44,7 +44,7 @@
 	BothWays    bool         `json:"both-ways,omitempty"`
 	Cut         *Cut         `json:"cut,omitempty"`
 	Delay       *tier.Millis `json:"delay-ms,omitempty"`
-	LoseAnswers *bool        `json:"lose-answers,omitempty"`
+	LoseReplies *bool        `json:"lose-answers,omitempty"`
 }
 
 type linkStatus struct {
@@ -55,7 +55,7 @@
 	Target      string      `json:"target"`
 	Cut         Cut         `json:"cut"`
 	Delay       tier.Millis `json:"delay-ms"`
-	LoseAnswers bool        `json:"lose-answers"`
+	LoseReplies bool        `json:"lose-answers"`
 	Connections int64       `json:"connections"`
 	LostBytes   int64       `json:"lost-bytes"`
 }
@@ -122,8 +122,8 @@
 	return g.Wait()
 }
 
-// Control returns the handler of the control port: GET and POST /links.
-func (r *Relay) Control() http.Handler {
+// ControlHandler returns the handler of the control port: GET and POST /links.
+func (r *Relay) ControlHandler() http.Handler {
 	e := echo.New()
 	e.GET("/links", func(c echo.Context) error { return c.JSON(http.StatusOK, r.status()) })
 	e.POST("/links", r.postLinks)
@@ -142,7 +142,7 @@
 			Target:      l.target,
 			Cut:         c.cut,
 			Delay:       c.delay,
-			LoseAnswers: c.loseReplies,
+			LoseReplies: c.loseReplies,
 			Connections: l.open.Load(),
 			LostBytes:   l.lostBytes.Load(),
 		})
@@ -175,7 +175,7 @@
 			continue
 		}
 		changed++
-		l.Set(q.applyTo(l.Condition()))
+		l.SetCondition(q.applyTo(l.Condition()))
 	}
 	return changed
 }
@@ -200,8 +200,8 @@
 	if q.Delay != nil {
 		c.delay = *q.Delay
 	}
-	if q.LoseAnswers != nil {
-		c.loseReplies = *q.LoseAnswers
+	if q.LoseReplies != nil {
+		c.loseReplies = *q.LoseReplies
 	}
 	return c
 }
--- a/standin/relay/relay_test.go
+++ b/standin/relay/relay_test.go
@@ -106,12 +106,12 @@
 		t.Fatalf("got %q", got)
 	}
 	<-served
-	l.Set(NewCondition(CutStall, 0, false))
+	l.SetCondition(NewCondition(CutStall, 0, false))
 	c.send("during")
 	if got := c.receive(shortTimeout); got != "" || len(served) != 0 {
 		t.Errorf("%q crossed the cut, %d served", got, len(served))
 	}
-	l.Set(NewCondition(CutNone, 0, false))
+	l.SetCondition(NewCondition(CutNone, 0, false))
 	if got := c.receive(longTimeout); got != "during" {
 		t.Errorf("after the link was restored got %q", got)
 	}
@@ -124,7 +124,7 @@
 	old.send("before")
 	old.receive(longTimeout)
 	<-served
-	l.Set(NewCondition(CutReset, 0, false))
+	l.SetCondition(NewCondition(CutReset, 0, false))
 	if got := old.receive(longTimeout); got != "" {
 		t.Errorf("got %q", got)
 	}
@@ -139,7 +139,7 @@
 // and that the reply does not arrive once the link stops losing replies.
 func TestLostRepliesFollowServedRequests(t *testing.T) {
 	l, addr, served := newEcho(t)
-	l.Set(NewCondition(CutNone, 0, true))
+	l.SetCondition(NewCondition(CutNone, 0, true))
 	c := dial(t, addr)
 	c.send("booking")
 	if got := <-served; got != "booking" {
@@ -148,7 +148,7 @@
 	for l.lostBytes.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	l.Set(NewCondition(CutNone, 0, false))
+	l.SetCondition(NewCondition(CutNone, 0, false))
 	if got := c.receive(longTimeout); got != "" {
 		t.Errorf("the lost reply arrived: %q", got)
 	}
--- a/standin/soaker/inject.go
+++ b/standin/soaker/inject.go
@@ -97,9 +97,9 @@
 // latest one is in effect, and the first to end restores the link.
 func (s *Soak) degradeLink(ctx context.Context, vm, description string, l *relay.Link, c relay.Condition, duration tier.Millis) {
 	defer s.history.beginDisturbance(disturbance{vm: vm, description: description})()
-	l.Set(c)
+	l.SetCondition(c)
 	sleep(ctx, duration)
-	l.Set(relay.NewCondition(relay.CutNone, 0, false))
+	l.SetCondition(relay.NewCondition(relay.CutNone, 0, false))
 }
 
 // setMoods has leafs misbehave for a while.
@@ -134,12 +134,12 @@
 				s.storeFaults.Delay = f.delay
 			}
 		case storeLosesReplies:
-			s.storeFaults.LoseAnswers = 0
+			s.storeFaults.LoseReplies = 0
 			if on {
-				s.storeFaults.LoseAnswers = allReplies
+				s.storeFaults.LoseReplies = allReplies
 			}
 		case storeLosesHistory:
-			s.storeServer.Forget()
+			s.storeServer.DropHistory()
 			return
 		}
 		s.storeServer.SetFaults(s.storeFaults)
--- a/standin/storeserver/faults.go
+++ b/standin/storeserver/faults.go
@@ -13,20 +13,20 @@
 	Down bool `json:"down"`
 	// Delay is how long each call waits before it is processed.
 	Delay tier.Millis `json:"delay-ms"`
-	// LoseAnswers is how many of the next writes take effect without a reply; -1 stands for
+	// LoseReplies is how many of the next writes take effect without a reply; -1 stands for
 	// all.
-	LoseAnswers int `json:"lose-answers"`
-	// Stale has reads return the state at the time it was set, and holds back the events of
+	LoseReplies int `json:"lose-answers"`
+	// StaleReads has reads return the state at the time it was set, and holds back the events of
 	// watches.
-	Stale bool `json:"stale"`
+	StaleReads bool `json:"stale"`
 }
 
-// Calls counts the calls to the store, by kind and in total.
-type Calls struct {
-	Kinds         map[string]int64 `json:"kinds"`
+// CallCounts counts the calls to the store, by kind and in total.
+type CallCounts struct {
+	ByKind        map[string]int64 `json:"kinds"`
 	Total         int64            `json:"total"`
 	OpenWatches   int64            `json:"open-watches"`
-	MostInASecond int64            `json:"most-in-a-second"`
+	PeakPerSecond int64            `json:"most-in-a-second"`
 }
 
 // faultInjector holds the faults that are set, and counts calls.
@@ -36,21 +36,21 @@
 	mu            sync.Mutex
 	faults        Faults
 	staleState    keyState
-	calls         Calls
+	calls         CallCounts
 	second        tier.Millis // the current second, which callsInSecond belongs to
 	callsInSecond int64
 	watchBreak    chan struct{} // closed and replaced when watches must end
 }
 
 func newFaultInjector(clock *tier.Clock) *faultInjector {
-	return &faultInjector{clock: clock, calls: Calls{Kinds: map[string]int64{}}, watchBreak: make(chan struct{})}
+	return &faultInjector{clock: clock, calls: CallCounts{ByKind: map[string]int64{}}, watchBreak: make(chan struct{})}
 }
 
 // set replaces the faults. If they make reads stale, reads return current from here on.
 func (f *faultInjector) set(faults Faults, current keyState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if faults.Stale && !f.faults.Stale {
+	if faults.StaleReads && !f.faults.StaleReads {
 		f.staleState = current
 	}
 	f.faults = faults
@@ -75,7 +75,7 @@
 func (f *faultInjector) readState(current keyState) keyState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.faults.Stale {
+	if f.faults.StaleReads {
 		return f.staleState
 	}
 	return current
@@ -92,14 +92,14 @@
 func (f *faultInjector) count(kind string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.calls.Kinds[kind]++
+	f.calls.ByKind[kind]++
 	f.calls.Total++
 	second := f.clock.Now() / tier.Second
 	if second != f.second {
 		f.second, f.callsInSecond = second, 0
 	}
 	f.callsInSecond++
-	f.calls.MostInASecond = max(f.calls.MostInASecond, f.callsInSecond)
+	f.calls.PeakPerSecond = max(f.calls.PeakPerSecond, f.callsInSecond)
 }
 
 func (f *faultInjector) addOpenWatches(n int64) {
@@ -108,13 +108,13 @@
 	f.calls.OpenWatches += n
 }
 
-func (f *faultInjector) callCounts() Calls {
+func (f *faultInjector) callCounts() CallCounts {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	counts := f.calls
-	counts.Kinds = make(map[string]int64, len(f.calls.Kinds))
-	for k, n := range f.calls.Kinds {
-		counts.Kinds[k] = n
+	counts.ByKind = make(map[string]int64, len(f.calls.ByKind))
+	for k, n := range f.calls.ByKind {
+		counts.ByKind[k] = n
 	}
 	return counts
 }
@@ -123,7 +123,7 @@
 func (f *faultInjector) resetCalls() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.calls = Calls{Kinds: map[string]int64{}, OpenWatches: f.calls.OpenWatches}
+	f.calls = CallCounts{ByKind: map[string]int64{}, OpenWatches: f.calls.OpenWatches}
 	f.callsInSecond = 0
 }
 
@@ -148,11 +148,11 @@
 func (f *faultInjector) takeLostReply() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.faults.LoseAnswers == 0 {
+	if f.faults.LoseReplies == 0 {
 		return false
 	}
-	if f.faults.LoseAnswers > 0 {
-		f.faults.LoseAnswers--
+	if f.faults.LoseReplies > 0 {
+		f.faults.LoseReplies--
 	}
 	return true
 }
--- a/standin/storeserver/server.go
+++ b/standin/storeserver/server.go
@@ -51,11 +51,11 @@
 // SetFaults replaces the faults.
 func (s *Server) SetFaults(f Faults) { s.faults.set(f, s.store.snapshot()) }
 
-// Calls returns the counts of calls since the last reset.
-func (s *Server) Calls() Calls { return s.faults.callCounts() }
+// CallCounts returns the counts of calls since the last reset.
+func (s *Server) CallCounts() CallCounts { return s.faults.callCounts() }
 
-// ResetCalls resets the counts of calls.
-func (s *Server) ResetCalls() { s.faults.resetCalls() }
+// ResetCallCounts resets the counts of calls.
+func (s *Server) ResetCallCounts() { s.faults.resetCalls() }
 
 // Save stores a backup of all keys under a name.
 func (s *Server) Save(name string) {
@@ -158,8 +158,8 @@
 
 func after(m tier.Millis) <-chan time.Time { return time.After(m.Duration()) }
 
-// Forget drops the history of changes: watches from an earlier revision end with 410.
-func (s *Server) Forget() {
+// DropHistory drops the history of changes: watches from an earlier revision end with 410.
+func (s *Server) DropHistory() {
 	s.store.mu.Lock()
 	defer s.store.mu.Unlock()
 	s.store.history, s.store.historyStart = nil, s.store.current.revision
--- a/standin/storeserver/watch.go
+++ b/standin/storeserver/watch.go
@@ -60,7 +60,7 @@
 
 // newChanges returns the changes after revision from, or none while reads are stale.
 func (s *Server) newChanges(prefix string, from int64) ([]change, int64, <-chan struct{}, bool) {
-	if s.faults.get().Stale {
+	if s.faults.get().StaleReads {
 		return nil, from, nil, true
 	}
 	return s.store.changesSince(prefix, from)
