--- a/tier/searcher/events.go
+++ b/tier/searcher/events.go
@@ -40,7 +40,7 @@
 	Shed           NotRunReason = iota // the leaf has no capacity
 	WrongServer                        // another server answers at the address
 	NoConnection                       // no connection could be made
-	Declined                           // the leaf rejects this request
+	Declined                           // the leaf rejects the request itself; it is not retried
 	DeadConnection                     // the connection was closed before the request was written
 )
 
@@ -49,7 +49,7 @@
 // String is the reason's name in logs.
 func (r NotRunReason) String() string { return reasonNames[r] }
 
-// Action is what the owner of a search has to do for it.
+// Action is something that a search asks of the code that runs it.
 type Action interface{ action() }
 
 // Send asks for a call to a leaf.
@@ -87,7 +87,7 @@
 // Flush hands on the parts that arrived since the last Flush, in a search for
 // another VM. An empty one only tells that VM that the search continues.
 type Flush struct {
-	Arrived []int  // indexes of all services whose part arrived
+	Arrived []int  // indexes of the services of all these parts
 	Parts   []Part // those that this VM queried itself
 	Shares  []any  // replies of the VMs that queried the others
 }
@@ -127,14 +127,14 @@
 // Values of Cause.
 const (
 	Complete       Cause = "complete"       // every part arrived
-	AtTarget       Cause = "aim-reached"    // answered at the target with the parts that arrived
-	PastTarget     Cause = "past-aim"       // the minimum of parts arrived after the target
+	AtTarget       Cause = "aim-reached"    // answered at the target, or once no further part can arrive
+	PastTarget     Cause = "past-aim"       // answered after the target, once the minimum of parts had arrived
 	LeafFailure    Cause = "leaf-failure"   // a leaf's failure reply is passed on
-	NoLeaf         Cause = "no-leaf"        // too many services have no usable leaf
-	LeafsRefused   Cause = "leafs-refused"  // no leaf ran the request
+	NoLeaf         Cause = "no-leaf"        // no call was made: too many services have no usable leaf
+	LeafsRefused   Cause = "leafs-refused"  // no call that ended has run
 	PartsLost      Cause = "parts-lost"     // too many parts can no longer arrive
-	OutOfTime      Cause = "out-of-time"    // the deadline passed
-	OutcomeUnknown Cause = "outcome-unsure" // a call that must not be repeated brought no reply
+	OutOfTime      Cause = "out-of-time"    // the deadline or the route's timeout passed
+	OutcomeUnknown Cause = "outcome-unsure" // a call that must not be repeated brought no usable reply
 	CallerLeft     Cause = "caller-left"    // the caller has gone
 )
 
--- a/tier/searcher/outcome_test.go
+++ b/tier/searcher/outcome_test.go
@@ -100,7 +100,7 @@
 			budgeter.New(0.2, float64(number("slack", 20)), 1), partitioner.New(member("self")))
 		scheduler.Partitioner().Put(member("other"))
 		options := []TermsOption{WithMinimumParts(1 + number("minimum", len(services))), WithMaxAttempts(1 + number("attempts", 2))}
-		if number("repeatable", 3) > 0 {
+		if number("idempotent", 3) > 0 {
 			options = append(options, Idempotent())
 		}
 		if len(services) == 1 {
--- a/tier/searcher/queue.go
+++ b/tier/searcher/queue.go
@@ -15,8 +15,9 @@
 type queue map[string][]queuedPart
 
 // precedes orders queued parts: first those that can still be answered by their
-// target, then by rank, then by target. The target orders the parts of one search
-// alike in the queues of all services, so that older searches complete first.
+// target, then by rank, then by target. All parts of a search have the same target,
+// so they take the same place in the queues of all services, and older searches
+// complete first.
 func (q queuedPart) precedes(other queuedPart, now tier.Millis) bool {
 	misses, otherMisses := q.missesTarget(now), other.missesTarget(now)
 	if misses != otherMisses {
@@ -129,7 +130,8 @@
 	return woken
 }
 
-// SetUserData stores the owner's reference, by which it recognises a woken search.
+// SetUserData stores a value by which the caller recognises the search when it is
+// woken.
 func (s *Search) SetUserData(data any) { s.userData = data }
 
 // UserData is the value of SetUserData.
--- a/tier/searcher/scheduler.go
+++ b/tier/searcher/scheduler.go
@@ -29,7 +29,8 @@
 	hedgeReserveFactor = 1.2
 	// minHedgeDelay keeps a hedge from being sent together with the first call.
 	minHedgeDelay = 5 * tier.Millisecond
-	// hedgeSlackMs is added to the hedge delay for the granularity of timers.
+	// hedgeSlackMs is added to hedgeLatencyFactor times the expected latency, for the
+	// granularity of timers.
 	hedgeSlackMs = 4.0
 	// retryDelay is the wait before calling a leaf again that shed a call, and
 	// before asking again for budget.
@@ -42,11 +43,11 @@
 	hedgeRetryDelay = 10 * tier.Millisecond
 	// queuePollInterval is how often a queued part looks for a leaf with capacity.
 	queuePollInterval = 40 * tier.Millisecond
-	// minCallTime is the least time before the deadline in which a call is still
-	// sent.
+	// minCallTime is the least time before the deadline with which a call is still
+	// worth sending.
 	minCallTime = 2 * tier.Millisecond
 	// acceptRoundTrips and acceptSlackMs bound how long a VM may take to accept a
-	// share: round trips to it, and milliseconds of processing.
+	// share: round trips to it, plus milliseconds for its processing.
 	acceptRoundTrips = 2.0
 	acceptSlackMs    = 25.0
 	// shareReplyMargin is reserved for both VMs' processing of a share's reply.
@@ -74,9 +75,9 @@
 	return &Scheduler{lister: l, balancer: b, budgeter: budget, partitioner: p, forecaster: forecaster.New(), queue: queue{}}
 }
 
-// ownerCount is an upper bound on the number of VMs that own a service: there is one
-// in each region with a leaf, so at most one for each leaf. It is 0 if this VM is
-// not an owner.
+// ownerCount is an upper bound on the number of VMs that own a service, that is,
+// usually query it: there is one in each region with a leaf, so at most one for each
+// leaf. It is 0 if this VM is not an owner.
 func (sc *Scheduler) ownerCount(now tier.Millis, service string) int {
 	leafs := sc.lister.Leafs(service)
 	leafInRegion := false
--- a/tier/searcher/script_test.go
+++ b/tier/searcher/script_test.go
@@ -49,11 +49,19 @@
 //	budget RATIO SLACK              sets the retry budget
 //	leaf ID SERVICE DC [SLOTS]      registers a leaf; DC a or b is in the home region
 //	peer NAME REGION                adds another VM
-//	search NAME aim AIM end END [minimum N] [attempts N] [once] [peer] [rank N] [share PEER=PART,..] SERVICE ...
-//	                                starts a search with the target AIM and the deadline END;
+//	search NAME target MS deadline MS [minimum N] [attempts N] [once] [peer] [rank N]
+//	    [share PEER=PART,..] SERVICE ...
+//	                                starts a search; its times count from now;
 //	                                once: not idempotent; peer: on behalf of another VM
-//	NAME answer CALL | fail CALL | lose CALL | reset CALL | shed CALL | wrong CALL | refuse CALL
-//	NAME accept SHARE | bring SHARE PART,.. [last] | break SHARE
+//	NAME answer CALL | fail CALL    the leaf replies, or reports a failure
+//	NAME lose CALL | reset CALL     the connection breaks; reset: a new one without a byte
+//	NAME shed CALL                  the leaf has no capacity
+//	NAME wrong CALL                 another server answers at the leaf's address
+//	NAME refuse CALL                no connection can be made
+//	NAME accept SHARE               the other VM accepts its share
+//	NAME report SHARE PART,.. [last]
+//	                                the other VM reports the parts, or - for none
+//	NAME break SHARE                the other VM's stream of reports breaks off
 //	NAME leave                      the caller disconnects
 //	at MS                           advances the clock and runs expired timers
 type script struct {
@@ -123,10 +131,10 @@
 	i := 0
 	for ; i < len(words); i++ {
 		switch words[i] {
-		case "aim":
+		case "target":
 			i++
 			target = tier.Millis(s.number(words[i]))
-		case "end":
+		case "deadline":
 			i++
 			deadline = tier.Millis(s.number(words[i]))
 		case "minimum":
@@ -180,7 +188,7 @@
 	switch words[0] {
 	case "accept":
 		s.print(name, search.ShareAccepted(s.now, index))
-	case "bring":
+	case "report":
 		report := ShareReport{Parts: s.numbers(words[2]), Reply: "share", MayHaveRun: true, Last: len(words) > 3}
 		s.print(name, search.ShareReported(s.now, index, report))
 	case "break":
@@ -240,9 +248,9 @@
 	case Cancel:
 		return fmt.Sprintf("cancel %d", action.Call)
 	case Delegate:
-		return fmt.Sprintf("delegate %d: parts %v to %s, aim %d, end %d", action.Share, action.Parts, action.Member.VM().Name(), action.Target, action.Deadline)
+		return fmt.Sprintf("delegate %d: parts %v to %s, target %d, deadline %d", action.Share, action.Parts, action.Member.VM().Name(), action.Target, action.Deadline)
 	case Recall:
-		return fmt.Sprintf("recall %d, silent %v", action.Share, action.TimedOut)
+		return fmt.Sprintf("recall %d, timed out %v", action.Share, action.TimedOut)
 	case Flush:
 		return fmt.Sprintf("flush %v", action.Arrived)
 	case Finish:
--- a/tier/searcher/searcher.go
+++ b/tier/searcher/searcher.go
@@ -26,9 +26,9 @@
 	ranCalls     int         // ended calls that may have run
 	notRunCalls  int         // ended calls that did not run
 	hedgeAt      tier.Millis // when to send a hedge, or never
-	retryAt      tier.Millis // when to try again, or never
+	retryAt      tier.Millis // when to send again or, if queued, to look for capacity; or never
 	failureReply any
-	nextIsExtra  bool   // a first call was made, here or by another VM
+	nextIsExtra  bool   // a first call was made, or may have been made by another VM
 	shareIndex   int    // the share that it belongs to, or noShare
 	flushed      bool   // handed on by a Flush
 	queued       bool   // it waits for a leaf with capacity
@@ -44,8 +44,8 @@
 	member         partitioner.Member
 	parts          []int
 	sentAt         tier.Millis
-	acceptDeadline tier.Millis // for the acceptance; then its VM counts as unreachable
-	reportDeadline tier.Millis // for the first report; then its VM counts as stuck
+	acceptDeadline tier.Millis // if not accepted by then, its VM counts as unreachable
+	reportDeadline tier.Millis // if not reported on by then, its VM counts as stuck
 	timeAllowed    tier.Millis // for its VM to reply, counted from when it gets the share
 	reported       bool
 	ended          bool
