--- a/tier/balancer/balancer.go
+++ b/tier/balancer/balancer.go
@@ -47,7 +47,8 @@
 	// latency.
 	coldLatencyFactor = 0.6
 	// clipFactor and clipSlackMs bound the effect of one latency on the base
-	// latency, as a multiple of it and a constant.
+	// latency, as a multiple of it and a constant. Silence of a leaf beyond that
+	// bound, with calls in flight, is added to its cost.
 	clipFactor  = 2.0
 	clipSlackMs = 10.0
 )
@@ -76,8 +77,8 @@
 	resetWindow = 600 * tier.Millisecond
 )
 
-// HasCapacity reports whether a leaf may get another call. owner says that this VM owns the
-// leaf's service.
+// HasCapacity reports whether a leaf may get another call. owner says that this VM
+// owns the leaf's service, that is, usually queries it.
 func (b *Balancer) HasCapacity(now tier.Millis, leaf lister.Leaf, owner bool) bool {
 	s, ok := b.leafs[leaf.ID()]
 	if !ok || s.startTime != leaf.StartTime() {
@@ -149,8 +150,8 @@
 	return s
 }
 
-// Registered handles a leaf's registration: it makes a misdirected leaf usable again and
-// starts a cold period.
+// Registered handles a leaf's registration: it makes a misdirected leaf usable again
+// and starts a cold period.
 func (b *Balancer) Registered(now tier.Millis, leaf lister.Leaf) {
 	s := b.stateOf(leaf)
 	s.misdirectedUntil = 0
@@ -167,7 +168,8 @@
 	return b.distance(leaf.DataCentre()) != OtherRegion
 }
 
-// BaseLatency is the latency of a healthy leaf in the leaf's data centre, in milliseconds.
+// BaseLatency is the latency of a healthy leaf in the leaf's data centre, in
+// milliseconds.
 func (b *Balancer) BaseLatency(class string, leaf lister.Leaf) float64 {
 	return b.baseLatency(class, leaf)
 }
@@ -184,8 +186,8 @@
 	return defaultNearLatencyMs
 }
 
-// ExpectedCost is the expected latency of a call to the leaf now, in milliseconds, with
-// the costs of failures and refusals added.
+// ExpectedCost is the expected latency of a call to the leaf now, in milliseconds,
+// with the costs of failures and refusals added.
 func (b *Balancer) ExpectedCost(now tier.Millis, class string, leaf lister.Leaf) float64 {
 	base := b.baseLatency(class, leaf)
 	s, ok := b.leafs[leaf.ID()]
@@ -281,7 +283,7 @@
 }
 
 // Misdirected records a call that another server answered at the leaf's address. The
-// leaf is skipped until it registers again.
+// leaf is skipped until it registers again, or for misdirectedFor.
 func (b *Balancer) Misdirected(now tier.Millis, leaf lister.Leaf) {
 	b.endCall(now, leaf).misdirectedUntil = now + misdirectedFor
 }
--- a/tier/partitioner/partition.go
+++ b/tier/partitioner/partition.go
@@ -33,8 +33,8 @@
 
 // Partition assigns each shard of a request to a VM. A shard with a leaf in this VM's
 // region goes to its owner there. The others go to a gateway in each further region,
-// which partitions them again. locationsOf lists the locations of a shard's leafs; random
-// returns numbers uniform in [0, 1).
+// which partitions them again. locationsOf lists the locations of a shard's leafs;
+// random returns numbers uniform in [0, 1).
 func (p *Partitioner) Partition(class string, shards []string, locationsOf func(string) []Location, random func() float64) []Share {
 	result := partition{shareIndex: map[string]int{}, self: p.self.vm.Name()}
 	var remote []int
@@ -114,9 +114,10 @@
 	p.shares[index].parts = append(p.shares[index].parts, part)
 }
 
-// pickRegion picks a region for shards without a leaf in this one: one that has
-// leafs of most of them, at random with a higher weight for lower latency. It
-// reports false if no shard has a leaf.
+// pickRegion picks a region for shards without a leaf in this one, among the regions
+// with leafs of the most of them, or of at least minShardsFraction as many. The pick
+// is random, with a higher weight for lower latency. It reports false if no shard has
+// a leaf.
 func (p *Partitioner) pickRegion(class string, shards []string, remote []int, locationsOf func(string) []Location, random float64) (string, bool) {
 	count := map[string]int{}
 	maxCount := 0
--- a/tier/partitioner/partitioner.go
+++ b/tier/partitioner/partitioner.go
@@ -1,5 +1,5 @@
-// Package partitioner partitions the shards of a request among the VMs near their leafs.
-// Each leaf is then queried by few VMs, which can track its queue and need few
+// Package partitioner partitions the shards of a request among the VMs near their
+// leafs. Each leaf is then queried by few VMs, which can track its queue and need few
 // connections, and regions exchange merged records instead of complete replies. The
 // VMs need no agreement: any VM may query any shard.
 package partitioner
@@ -90,8 +90,8 @@
 // regionKey identifies a moving average of share latency.
 type regionKey struct{ class, region string }
 
-// Partitioner is the view that one VM has of the others. It is not safe for concurrent
-// use.
+// Partitioner is the view that one VM has of the others. It is not safe for
+// concurrent use.
 type Partitioner struct {
 	self            Member
 	members         map[string]*memberState
@@ -197,9 +197,9 @@
 	return due
 }
 
-// IdleGateways lists the gateways whose connections have been idle for gatewayIdleLimit,
-// each once. Contacting them keeps the connections open: a share that has to open
-// one is delayed by a round trip.
+// IdleGateways lists the gateways whose connections have been idle for
+// gatewayIdleLimit, each once. Contacting them keeps the connections open: a share
+// that has to open one is delayed by a round trip.
 func (p *Partitioner) IdleGateways(now tier.Millis) []Member {
 	var due []Member
 	for _, region := range p.otherRegions() {
@@ -213,8 +213,8 @@
 	return due
 }
 
-// Recovered ends the suspicion of a VM that answered a probe in time. It reports whether
-// the VM was suspected.
+// Recovered ends the suspicion of a VM that answered a probe in time. It reports
+// whether the VM was suspected.
 func (p *Partitioner) Recovered(now tier.Millis, name string) bool {
 	m, ok := p.members[name]
 	if !ok || !m.suspected {
@@ -240,11 +240,11 @@
 }
 
 // watcherCount is how many VMs of the deployment watch the store. The others copy
-// changes from them. With three, one may be down and another one slow.
+// changes from them. With three, one may be down and another one unresponsive.
 const watcherCount = 3
 
-// StoreWatchers lists the VMs that watch the store, chosen by hash among the large ones
-// that are not suspected.
+// StoreWatchers lists the VMs that watch the store, chosen by hash among the large
+// ones that are not suspected.
 func (p *Partitioner) StoreWatchers() []Member {
 	maxCores := 0.0
 	for _, m := range p.members {
@@ -262,7 +262,8 @@
 	return list[:min(watcherCount, len(list))]
 }
 
-// HealthyPeers lists the other VMs that are not suspected, those of the own region first.
+// HealthyPeers lists the other VMs that are not suspected, those of the own region
+// first.
 func (p *Partitioner) HealthyPeers() []Member {
 	var list []Member
 	for name, m := range p.members {
@@ -271,9 +272,9 @@
 		}
 	}
 	sort.Slice(list, func(i, j int) bool {
-		near, other := list[i].region == p.self.region, list[j].region == p.self.region
-		if near != other {
-			return near
+		inRegion, otherInRegion := list[i].region == p.self.region, list[j].region == p.self.region
+		if inRegion != otherInRegion {
+			return inRegion
 		}
 		return list[i].vm.Name() < list[j].vm.Name()
 	})
@@ -291,7 +292,8 @@
 	return defaultRemoteRoundTripMs
 }
 
-// RecordShareLatency records how long the share of a request took that was sent to a region.
+// RecordShareLatency records how long a share took that was sent to a VM of a
+// region.
 func (p *Partitioner) RecordShareLatency(class, region string, took tier.Millis) {
 	key := regionKey{class, region}
 	old, ok := p.regionLatencyMs[key]
--- a/tier/partitioner/partitioner_test.go
+++ b/tier/partitioner/partitioner_test.go
@@ -26,9 +26,9 @@
 	}
 	views := map[string]*Partitioner{}
 	for _, m := range all {
-		s := New(m)
-		s.SetMembers(0, all, false)
-		views[m.VM().Name()] = s
+		p := New(m)
+		p.SetMembers(0, all, false)
+		views[m.VM().Name()] = p
 	}
 	return views
 }
@@ -51,9 +51,9 @@
 func TestEveryShardIsAssignedOnce(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	list := shards(30)
-	for name, s := range newFleet(2, 5) {
+	for name, p := range newFleet(2, 5) {
 		seen := map[int]bool{}
-		for _, share := range s.Partition("class", list, locationsOf, random.Float64) {
+		for _, share := range p.Partition("class", list, locationsOf, random.Float64) {
 			if share.Self() != (share.Member().VM().Name() == name) {
 				t.Errorf("%s: a share reports self %v", name, share.Self())
 			}
@@ -79,11 +79,11 @@
 	views := newFleet(4, 9)
 	owner := map[string]string{}
 	shardsOf := map[string]int{}
-	for _, s := range views {
-		if s.Self().Region() != "r1" {
+	for _, p := range views {
+		if p.Self().Region() != "r1" {
 			continue
 		}
-		for _, share := range s.Partition("class", list, locationsOf, random.Float64) {
+		for _, share := range p.Partition("class", list, locationsOf, random.Float64) {
 			m := share.Member()
 			if m.Cores() < 0.5 {
 				t.Errorf("the small VM %s gets a share", m.VM().Name())
@@ -108,8 +108,8 @@
 		}
 	}
 	owners := 0
-	for _, s := range views {
-		if s.Self().Region() == "r1" && s.Owns(0, list[0], hasDataCentre(locationsOf(list[0]))) {
+	for _, p := range views {
+		if p.Self().Region() == "r1" && p.Owns(0, list[0], hasDataCentre(locationsOf(list[0]))) {
 			owners++
 		}
 	}
@@ -120,34 +120,34 @@
 
 func TestSuspectedVMsGetNoSharesUntilTheyAnswerAProbe(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
-	s := newFleet(3, 0)["r1-strong-0"]
+	p := newFleet(3, 0)["r1-strong-0"]
 	getsShare := func() bool {
-		for _, share := range s.Partition("class", shards(30), locationsOf, random.Float64) {
+		for _, share := range p.Partition("class", shards(30), locationsOf, random.Float64) {
 			if share.Member().VM().Name() == "r1-strong-1" {
 				return true
 			}
 		}
 		return false
 	}
-	s.Failed(1000, "r1-strong-1")
-	if getsShare() || len(s.Probes(1000+firstProbeDelay-1)) != 0 {
+	p.Failed(1000, "r1-strong-1")
+	if getsShare() || len(p.Probes(1000+firstProbeDelay-1)) != 0 {
 		t.Error("a suspected VM gets a share, or is probed at once")
 	}
-	if due := s.Probes(1000 + firstProbeDelay); len(due) != 1 {
+	if due := p.Probes(1000 + firstProbeDelay); len(due) != 1 {
 		t.Fatalf("%d probes are due", len(due))
 	}
-	s.Recovered(1500, "r1-strong-1")
+	p.Recovered(1500, "r1-strong-1")
 	if !getsShare() {
 		t.Error("a VM that answered a probe gets no share")
 	}
-	s.Failed(1600, "r1-strong-1")
-	if len(s.Probes(1600+firstProbeDelay)) != 0 || len(s.Probes(1600+2*firstProbeDelay)) != 1 {
+	p.Failed(1600, "r1-strong-1")
+	if len(p.Probes(1600+firstProbeDelay)) != 0 || len(p.Probes(1600+2*firstProbeDelay)) != 1 {
 		t.Error("a second failure soon after does not double the wait")
 	}
-	for name := range s.members {
-		s.Failed(9000, name)
+	for name := range p.members {
+		p.Failed(9000, name)
 	}
-	for _, share := range s.Partition("class", shards(30), locationsOf, random.Float64) {
+	for _, share := range p.Partition("class", shards(30), locationsOf, random.Float64) {
 		if !share.Self() {
 			t.Errorf("%s gets a share though all other VMs are suspected", share.Member().VM().Name())
 		}
@@ -157,8 +157,8 @@
 func TestOnlyAFewLargeVMsWatchTheStore(t *testing.T) {
 	views := newFleet(4, 21)
 	watching := 0
-	for name, s := range views {
-		for _, m := range s.StoreWatchers() {
+	for name, p := range views {
+		for _, m := range p.StoreWatchers() {
 			if m.VM().Name() == name {
 				watching++
 			}
@@ -173,39 +173,39 @@
 }
 
 func TestMembersSurviveAStoreOutage(t *testing.T) {
-	s := newFleet(2, 0)["r1-strong-0"]
-	s.SetMembers(1000, nil, true)
-	if s.MemberCount() != 6 {
-		t.Errorf("%d VMs known right after an outage, expected 6", s.MemberCount())
+	p := newFleet(2, 0)["r1-strong-0"]
+	p.SetMembers(1000, nil, true)
+	if p.MemberCount() != 6 {
+		t.Errorf("%d VMs known right after an outage, expected 6", p.MemberCount())
 	}
-	s.Tick(1000 + missingMemberTTL)
-	if s.MemberCount() != 1 {
-		t.Errorf("%d VMs known that did not register again", s.MemberCount())
+	p.Tick(1000 + missingMemberTTL)
+	if p.MemberCount() != 1 {
+		t.Errorf("%d VMs known that did not register again", p.MemberCount())
 	}
 }
 
 // TestRemoteSharesUseFewWarmConnections guards against shares that have to open a
-// connection to another region, which delays them by a round trip. Many small VMs
-// with little traffic each send shares to other regions: each has to use a few fixed
-// gateways whose connections are kept open, and the gateways have to be spread over
-// all large VMs.
+// connection to another region, which delays them by a round trip. The leafs of some
+// shards leave in a whole region, and many small VMs with about one request a second
+// each send shares to other regions. Each has to use a few fixed gateways whose
+// connections are kept open, and the gateways have to be spread over all large VMs.
 func TestRemoteSharesUseFewWarmConnections(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	used := map[string]int{}
-	for name, s := range newFleet(8, 12) {
+	for name, p := range newFleet(8, 12) {
 		warm := map[string]bool{}
-		for _, m := range s.IdleGateways(1) {
+		for _, m := range p.IdleGateways(1) {
 			warm[m.VM().Name()] = true
 		}
 		if len(warm) != 2*gatewaysPerRegion {
 			t.Errorf("%s keeps %d connections open", name, len(warm))
 		}
-		if again := s.IdleGateways(2); len(again) > 0 {
+		if again := p.IdleGateways(2); len(again) > 0 {
 			t.Errorf("%s refreshes %d connections again at once", name, len(again))
 		}
 		for range 20 {
-			for _, share := range s.Partition("class", shards(30), locationsOf, random.Float64) {
-				if m := share.Member(); m.Region() != s.Self().Region() {
+			for _, share := range p.Partition("class", shards(30), locationsOf, random.Float64) {
+				if m := share.Member(); m.Region() != p.Self().Region() {
 					used[m.VM().Name()]++
 					if !warm[m.VM().Name()] {
 						t.Errorf("%s sends %s a share without an open connection", name, m.VM().Name())
@@ -213,7 +213,7 @@
 				}
 			}
 		}
-		if again := s.IdleGateways(gatewayIdleLimit + 1); len(again) != 2*gatewaysPerRegion {
+		if again := p.IdleGateways(gatewayIdleLimit + 1); len(again) != 2*gatewaysPerRegion {
 			t.Errorf("%s refreshes %d connections after the idle limit", name, len(again))
 		}
 	}
@@ -222,9 +222,10 @@
 	}
 }
 
-// TestShardsAreAssignedInTheirLeafsDataCentre guards against complete replies of
-// leafs crossing data centres. All VMs have to assign a shard to a VM in its leaf's
-// data centre, and elsewhere in the region only if every VM there is suspected.
+// TestShardsAreAssignedInTheirLeafsDataCentre guards against the complete replies of
+// a hundred shards crossing data centres for each request. All VMs have to assign a
+// shard to a VM in its leaf's data centre, and elsewhere in the region only if every
+// VM there is suspected.
 func TestShardsAreAssignedInTheirLeafsDataCentre(t *testing.T) {
 	var all []Member
 	for i := range 8 {
@@ -233,16 +234,16 @@
 	}
 	locations := func(string) []Location { return []Location{{"r1-1", "r1"}, {"r2-0", "r2"}} }
 	for _, self := range all {
-		s := New(self)
-		s.SetMembers(0, all, false)
+		p := New(self)
+		p.SetMembers(0, all, false)
 		expectDataCentre := func(want string) {
-			for _, share := range s.Partition("class", shards(100), locations, func() float64 { return 0 }) {
+			for _, share := range p.Partition("class", shards(100), locations, func() float64 { return 0 }) {
 				m := share.Member().VM()
 				if m.DataCentre() != want {
 					t.Errorf("%s assigns a share to %s in %s", self.VM().Name(), m.Name(), m.DataCentre())
 				}
 				for _, i := range share.Parts() {
-					if share.Self() != s.Owns(0, shards(100)[i], hasDataCentre(locations(""))) {
+					if share.Self() != p.Owns(0, shards(100)[i], hasDataCentre(locations(""))) {
 						t.Errorf("%s: its own share differs from the shards that it owns", self.VM().Name())
 					}
 				}
@@ -251,7 +252,7 @@
 		expectDataCentre("r1-1")
 		for _, m := range all {
 			if m.VM().DataCentre() == "r1-1" && m.VM().Name() != self.VM().Name() {
-				s.Failed(1, m.VM().Name())
+				p.Failed(1, m.VM().Name())
 			}
 		}
 		if self.VM().DataCentre() == "r1-0" {
