--- a/tier/budgeter/budgeter.go
+++ b/tier/budgeter/budgeter.go
@@ -79,8 +79,8 @@
 	return bk
 }
 
-// CountRequest counts the first call of a request to a service. owners is the number of VMs
-// that own the service, or 0 if this VM is not one of them.
+// CountRequest counts the first call of a request to a service. owners is the number
+// of VMs that own the service, or 0 if this VM is not one of them.
 func (b *Budgeter) CountRequest(service string, owners int) {
 	bk := b.bucket(service)
 	bk.owners = owners
@@ -99,9 +99,9 @@
 	return true
 }
 
-// ForgetUnused drops buckets that have been unused for unusedBucketTTL. It is called with
-// each new configuration. A service that returns earlier keeps its bucket: a full
-// one at each change would exceed the budget.
+// ForgetUnused drops buckets that have been unused for unusedBucketTTL. It is called
+// with each new configuration. A service that returns earlier keeps its bucket: the
+// tokens of a new one at each change would add up to more than the budget.
 func (b *Budgeter) ForgetUnused(now tier.Millis, used func(service string) bool) {
 	for service, bk := range b.buckets {
 		switch {
--- a/tier/budgeter/budgeter_test.go
+++ b/tier/budgeter/budgeter_test.go
@@ -66,8 +66,8 @@
 }
 
 // TestUnusedBucketsExpireWithoutRefilling guards against buckets that pile up as
-// services come and go with configurations, and against a service that gets a full
-// bucket each time it returns.
+// services come and go with configurations, and against a service that gets new
+// tokens each time it returns.
 func TestUnusedBucketsExpireWithoutRefilling(t *testing.T) {
 	b := New(0.2, 54, 10)
 	noneUsed := func(string) bool { return false }
--- a/tier/delayestimator/estimator.go
+++ b/tier/delayestimator/estimator.go
@@ -6,8 +6,9 @@
 import "cicadagrade.example/tier"
 
 const (
-	// retryTimeFraction tells retries from first requests: a caller that retries has
-	// at most this fraction of a first request's time left.
+	// retryTimeFraction tells retries from first requests: a caller that retries after
+	// a refusal or a failure has less than this fraction of a first request's time
+	// left.
 	retryTimeFraction = 0.95
 	// maxTrackedRoutes bounds the routes whose longest time left is remembered.
 	maxTrackedRoutes = 4096
@@ -55,8 +56,8 @@
 // New returns an estimator without observations.
 func New() *Estimator { return &Estimator{maxTimeLeft: map[string]tier.Millis{}} }
 
-// RequestArrived records a request on a connection and returns its estimates. left is the
-// time that the caller has left, if limited. A caller that opens a connection for a
+// RequestArrived records a request on a connection and returns its estimates. left is
+// the time that the caller has left, if limited. A caller that opens a connection for a
 // request has spent a round trip on that.
 func (e *Estimator) RequestArrived(now tier.Millis, conn *Connection, route string, left tier.Millis, limited bool) Arrival {
 	a := Arrival{roundTrip: conn.roundTrip}
--- a/tier/forecaster/forecaster.go
+++ b/tier/forecaster/forecaster.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// LikelyToFail reports whether a request that needs minimum of the shards is likely not
-// to get them. Retries of callers and a fraction of the other requests are tried
+// LikelyToFail reports whether a request that needs minimum of the shards is likely
+// not to get them. Retries of callers and a fraction of the other requests are tried
 // nevertheless; random is uniform in [0, 1).
 func (f *Forecaster) LikelyToFail(now tier.Millis, shards []string, minimum int, isRetry bool, random float64) bool {
 	if len(f.shards) == 0 || isRetry {
--- a/tier/limiter/limiter.go
+++ b/tier/limiter/limiter.go
@@ -13,8 +13,8 @@
 const (
 	DecreaseFactor   = 0.5
 	DecreaseInterval = 100 * tier.Millis(1) // one decrease for each burst of shed calls
-	RoundsToGrow     = 8                    // successful rounds of limit calls per slot of growth
-	MaxRoundsToGrow  = 512                  // the same after repeated bursts of shed calls
+	RoundsToGrow     = 8                    // successful rounds, of as many calls as the limit, before it grows by one
+	MaxRoundsToGrow  = 512                  // upper bound of the same after repeated bursts of shed calls
 	MinPause         = 20 * tier.Millis(1)  // first pause of a server that sheds at a limit of one
 	MaxPause         = 1 * tier.Second
 )
--- a/tier/lister/index.go
+++ b/tier/lister/index.go
@@ -86,7 +86,7 @@
 }
 
 // newer reports whether a replaces b at their common address: one that has not
-// lapsed, then one of a later start, then one received later.
+// lapsed, then one of a later start, then one received later. The key breaks ties.
 func newer(a, b *registration) bool {
 	if a.lapsed != b.lapsed {
 		return b.lapsed
--- a/tier/lister/index_test.go
+++ b/tier/lister/index_test.go
@@ -46,7 +46,7 @@
 			if number("readable", 8) == 0 {
 				return UnreadableEntry(key)
 			}
-			options := []Option{StartedAt(int64(number("born", 3)))}
+			options := []Option{StartedAt(int64(number("start", 3)))}
 			if number("leaving", 4) == 0 {
 				options = append(options, Leaving())
 			}
--- a/tier/lister/leaf.go
+++ b/tier/lister/leaf.go
@@ -40,8 +40,8 @@
 	return func(l *Leaf) { l.coldRemaining = remaining }
 }
 
-// StartedAt sets the Unix time of its start in milliseconds. A registration of the same
-// id with another start time is of a restarted server.
+// StartedAt sets the Unix time of its start in milliseconds. A registration of the
+// same id with another start time is of a restarted server.
 func StartedAt(unixMillis int64) Option { return func(l *Leaf) { l.startTime = unixMillis } }
 
 // ID is the id under which it registered.
@@ -65,8 +65,8 @@
 // ColdRemaining is how much longer it is slow, counted from its registration.
 func (l Leaf) ColdRemaining() tier.Millis { return l.coldRemaining }
 
-// StartTime is the Unix time of its start in milliseconds. It tells a restarted server
-// from the former one with the same id.
+// StartTime is the Unix time of its start in milliseconds. It tells a restarted
+// server from the former one with the same id.
 func (l Leaf) StartTime() int64 { return l.startTime }
 
 // equalIgnoringCold compares all fields but the remaining cold time, which runs out
--- a/tier/ranker/ranker_test.go
+++ b/tier/ranker/ranker_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestKeepsTheTopRecords compares with sorting all records of all parts.
+// TestKeepsTheTopRecords compares the result with sorting the records of all replies
+// and taking the first.
 func TestKeepsTheTopRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(0, 12).Draw(t, "top")
--- a/tier/relayer/relayer.go
+++ b/tier/relayer/relayer.go
@@ -8,8 +8,9 @@
 	"cicadagrade.example/tier/storer"
 )
 
-// historyLength is how many changes are kept at least: some minutes of a
-// deployment's planned restarts. A VM that is further behind gets the whole copy.
+// historyLength is how many changes are kept at least: those of some minutes of
+// planned maintenance of a deployment, such as restarts. A VM that is further behind
+// gets the whole copy.
 const historyLength = 4096
 
 type change struct {
@@ -47,8 +48,8 @@
 }
 
 // Put applies a change that was read together with all changes up to a revision of
-// the store, which never decreases. A notable change is added to the history; others
-// are only seen by VMs that get the whole copy.
+// the store, which never decreases. A notable change, one that other VMs need to learn
+// of, is added to the history. Others are seen only by VMs that get the whole copy.
 func (r *Relayer) Put(v storer.Value, revision int64, notable bool) {
 	if v.Present() {
 		r.items[v.Key()] = v
@@ -76,8 +77,8 @@
 // AdvanceTo records that the store was read up to a revision.
 func (r *Relayer) AdvanceTo(revision int64) { r.revision = max(r.revision, revision) }
 
-// ChangesSince returns the values of the keys that changed after a revision, with revision
-// 0 for a removed key. If whole is true, it returns the whole copy instead, because
+// ChangesSince returns the values of the keys that changed after a revision, with
+// revision 0 for a removed key. If whole is true, it returns the whole copy instead, because
 // the history does not reach back that far.
 func (r *Relayer) ChangesSince(after int64) (list []storer.Value, whole bool) {
 	if after < r.historyStart || after == 0 {
