--- a/cicadagraded/daemon.go
+++ b/cicadagraded/daemon.go
@@ -9,8 +9,8 @@
 	"github.com/oklog/run"
 	"github.com/pkg/errors"
 
-	"cicadagrade.example/cicadagraded/asker"
 	"cicadagrade.example/cicadagraded/booker"
+	"cicadagrade.example/cicadagraded/coordinator"
 	"cicadagrade.example/cicadagraded/exchanger"
 	"cicadagrade.example/cicadagraded/handler"
 	"cicadagrade.example/cicadagraded/locator"
@@ -173,8 +173,8 @@
 	c := &claims{booker: d.booker}
 	f := &forwarded{claims: c, registry: d.registry}
 	server := messenger.NewServer(d.clock, d.registry, f, d.gossip, d.config, d.inflight.enterPeer)
-	d.client = messenger.NewClient(d.self, server, d.clock, messenger.WithDialled(d.settings.dialled), messenger.WithThresholds(d.locator.Threshold))
-	front := asker.New(d.self.DataCentre(), d.clock, d.locator, d.client, c)
+	d.client = messenger.NewClient(d.self, server, d.clock, messenger.WithDialled(d.settings.dialled), messenger.WithThresholds(d.locator.UpdateThreshold))
+	front := coordinator.New(d.self.DataCentre(), d.clock, d.locator, d.client, c)
 	h := handler.New(d.self.Name(), d.clock, d.config, front, d.inflight, d,
 		handler.WithMetrics(m.Handler()),
 		handler.WithEnded(m.RecordRequest),
--- a/cicadagraded/watcher/spread_test.go
+++ b/cicadagraded/watcher/spread_test.go
@@ -132,7 +132,7 @@
 	sort.Float64s(taken)
 	b.ReportMetric(taken[len(taken)/2], "median-ms")
 	b.ReportMetric(taken[len(taken)-1], "worst-ms")
-	b.ReportMetric(float64(server.Calls().Total)/float64(len(taken)), "store-calls/op")
+	b.ReportMetric(float64(server.CallCounts().Total)/float64(len(taken)), "store-calls/op")
 	cancel()
 	_ = group.Wait()
 }
