--- a/cicadagraded/announce.go
+++ b/cicadagraded/announce.go
@@ -9,49 +9,50 @@
 	"cicadagrade.example/cicadagraded/owner"
 )
 
-// ownerPrefix starts the key under which the owner of a set in a data centre
-// announces itself to all VMs. A VM knows only few members of another data
-// centre, so that it can't pick the owner there itself.
-const ownerPrefix = "owner/"
+// ownerKeyPrefix is the prefix of the gossip keys under which the owners of a shard set
+// announce themselves to VMs of other data centres. A VM knows only a few members of another
+// data centre, so it can't work out which of them is the owner.
+const ownerKeyPrefix = "owner/"
 
-// ownerKey is the key of the index-th owner of a set in a data centre.
+// ownerKey returns the gossip key of the index-th owner of a set in a data centre.
 func ownerKey(set, dataCentre string, index int) string {
-	return fmt.Sprintf("%s%s/%s/%d", ownerPrefix, set, dataCentre, index)
+	return fmt.Sprintf("%s%s/%s/%d", ownerKeyPrefix, set, dataCentre, index)
 }
 
-// announce tells VMs of other data centres who owns the set here. Each
-// announcement takes the place of the one before, whoever made it.
-func (c *control) announce(set string, r owner.Report, index int) {
+// announceOwner publishes to VMs of other data centres that this VM owns the set in its own
+// data centre. An announcement replaces the previous one, whichever VM published that.
+func (c *control) announceOwner(set string, r owner.Report, index int) {
 	key := ownerKey(set, c.self.DataCentre(), index)
 	value, err := owner.EncodeAnnouncement(c.gossip.Self(), r)
 	if err == nil {
-		_, last, _, _ := c.gossip.Shared(key)
-		err = c.gossip.Announce(key, uint64(r.Epoch()), max(last+1, uint64(c.clock.Wall())), value)
+		_, lastVersion, _, _ := c.gossip.Shared(key)
+		err = c.gossip.Announce(key, uint64(r.Epoch()), max(lastVersion+1, uint64(c.clock.Wall())), value)
 	}
 	if err != nil {
 		c.logger.Error("announce", "key", key, "error", err)
 	}
 }
 
-// announced notes the owner of a set in another data centre.
-func (c *control) announced(key string, value []byte) {
-	w := strings.Split(key, "/")
-	if len(w) != 3 || w[1] == c.self.DataCentre() {
+// onAnnouncement records the owner of a set in another data centre. The key has no
+// ownerKeyPrefix.
+func (c *control) onAnnouncement(key string, value []byte) {
+	parts := strings.Split(key, "/")
+	if len(parts) != 3 || parts[1] == c.self.DataCentre() {
 		return
 	}
-	index, err := strconv.Atoi(w[2])
+	index, err := strconv.Atoi(parts[2])
 	if err != nil {
 		return
 	}
-	vm, r, err := owner.DecodeAnnouncement(w[1], value)
+	vm, r, err := owner.DecodeAnnouncement(parts[1], value)
 	if err != nil {
 		c.logger.Warn("announcement", "key", key, "error", err)
 		return
 	}
-	c.locator.Announced(w[0], index, vm, r)
+	c.locator.Announced(parts[0], index, vm, r)
 }
 
-// announcementKeys lists the keys of the owners of all sets.
+// announcementKeys lists the gossip keys of all owners of all sets.
 func (c *control) announcementKeys() []string {
 	var keys []string
 	for _, s := range c.sets {
--- a/cicadagraded/bookings.go
+++ b/cicadagraded/bookings.go
@@ -12,14 +12,14 @@
 	"cicadagrade.example/tier/claimer"
 )
 
-// claims runs bookings under the claims of this VM.
-type claims struct{ booker *booker.Booker }
+// bookingClaims runs bookings under idempotency keys that this VM claims.
+type bookingClaims struct{ booker *booker.Booker }
 
-// Mint returns a key that only this life of this VM runs.
-func (c *claims) Mint(ctx context.Context) string { return c.booker.Mint(ctx) }
+// Mint returns a new idempotency key. Only this incarnation of this VM runs bookings under it.
+func (c *bookingClaims) Mint(ctx context.Context) string { return c.booker.Mint(ctx) }
 
-// Book calls send at most once for the booking's key.
-func (c *claims) Book(ctx context.Context, b asker.Booking, send func(context.Context) tier.Outcome) (tier.Outcome, error) {
+// Book calls send at most once for each idempotency key.
+func (c *bookingClaims) Book(ctx context.Context, b asker.Booking, send func(context.Context) tier.Outcome) (tier.Outcome, error) {
 	var opts []booker.RequestOption
 	if b.First() {
 		opts = append(opts, booker.WithFirstSending())
@@ -33,28 +33,28 @@
 	return o, errors.Wrap(err, "claims.Book")
 }
 
-// forwarded runs the bookings that fronts forward to this VM.
-type forwarded struct {
-	claims   *claims
+// forwardedBookings runs the bookings that other entry VMs forward to this one.
+type forwardedBookings struct {
+	claims   *bookingClaims
 	registry *owner.Registry
 }
 
-// Book runs a booking on the owner of its set. A minted key was claimed by the
-// front that minted it, and no one else forwards it.
-func (f *forwarded) Book(ctx context.Context, b asker.Forwarded) (tier.Outcome, error) {
-	send := func(ctx context.Context) tier.Outcome { return sendBooking(ctx, f.registry, b) }
+// Book runs a booking on the owner of its set. A minted key is not claimed again: the VM that
+// minted it has claimed it, and no other VM forwards it.
+func (f *forwardedBookings) Book(ctx context.Context, b asker.Forwarded) (tier.Outcome, error) {
+	send := func(ctx context.Context) tier.Outcome { return runOnOwner(ctx, f.registry, b) }
 	if b.Minted() {
 		return send(ctx), nil
 	}
 	return f.claims.Book(ctx, b.Booking, send)
 }
 
-// sendBooking has the owner of a booking's set run it, once.
-func sendBooking(ctx context.Context, r *owner.Registry, b asker.Forwarded) tier.Outcome {
-	q := owner.NewBooking(b.Profile(), b.Shard(), b.RecordKey(), b.Body(), b.Deadline())
-	switch e := r.Book(ctx, b.Set(), q).(type) {
+// runOnOwner has the owner of the booking's set run it once.
+func runOnOwner(ctx context.Context, r *owner.Registry, b asker.Forwarded) tier.Outcome {
+	booking := owner.NewBooking(b.Profile(), b.Shard(), b.RecordKey(), b.Body(), b.Deadline())
+	switch e := r.Book(ctx, b.Set(), booking).(type) {
 	case *owner.Done:
-		return doneBooking(e)
+		return doneOutcome(e)
 	case *owner.NotRun:
 		return tier.NewRefused(e.Reason(), e.RetryAfter())
 	case *owner.Unsure:
@@ -64,8 +64,9 @@
 	}
 }
 
-// doneBooking tells a booking with a receipt from one whose shard is missing.
-func doneBooking(d *owner.Done) tier.Outcome {
+// doneOutcome returns the outcome of a booking that its owner finished: booked if there is a
+// receipt, refused if no call was made, and unknown otherwise.
+func doneOutcome(d *owner.Done) tier.Outcome {
 	if d.Receipt() != "" {
 		return tier.NewBooked(d.Receipt(), false)
 	}
--- a/cicadagraded/control.go
+++ b/cicadagraded/control.go
@@ -20,39 +20,39 @@
 	"cicadagrade.example/tier/ring"
 )
 
-// Pace and sizes of the control duty.
+// Intervals, sizes and gossip keys of the control loop.
 const (
-	changesSize     = 4096
-	controlInterval = 100 * time.Millisecond
-	// setPrefix starts the gossip key of an owner's report.
-	setPrefix = "set/"
-	// admitPrefix starts the gossip key of an owner's threshold.
-	admitPrefix = "admit/"
-	// indexKeys is how many keys of an index are read again.
-	indexKeys = 128
+	changeBufferSize = 4096
+	controlInterval  = 100 * time.Millisecond
+	// reportKeyPrefix is the prefix of the gossip key of an owner's report; the set's name follows.
+	reportKeyPrefix = "set/"
+	// thresholdKeyPrefix is the prefix of the gossip key of an owner's admission threshold.
+	thresholdKeyPrefix = "admit/"
+	// rereadIndexKeys is the number of configuration index keys that rereadEntries reads.
+	rereadIndexKeys = 128
 )
 
-// control is the duty that brings locator and owners in line with gossip and
+// control keeps the locator and the owners on this VM up to date with gossip and the
 // configuration.
 type control struct {
-	self     tier.VM
-	logger   *log.Logger
-	gossip   *exchanger.Exchanger
-	changes  *ring.Ring[gossiper.Action]
-	config   *watcher.Watcher
-	locator  *locator.Locator
-	registry *owner.Registry
-	members  []tier.VM
-	sets     []*tier.ShardSet
-	dropped  uint64
-	replaced *ring.Ring[tier.VM]
-	joined   bool
-	began    tier.Millis
-	clock    *tier.Clock
-	join     func()
+	self           tier.VM
+	logger         *log.Logger
+	gossip         *exchanger.Exchanger
+	changes        *ring.Ring[gossiper.Action]
+	config         *watcher.Watcher
+	locator        *locator.Locator
+	registry       *owner.Registry
+	members        []tier.VM
+	sets           []*tier.ShardSet
+	droppedChanges uint64
+	replacedBy     *ring.Ring[tier.VM]
+	joined         bool
+	joinWaitStart  tier.Millis
+	clock          *tier.Clock
+	onJoin         func()
 }
 
-// Run follows changes until ctx ends.
+// Run handles gossip changes and syncs periodically until ctx ends.
 func (c *control) Run(ctx context.Context) error {
 	ticker := time.NewTicker(controlInterval)
 	defer ticker.Stop()
@@ -60,8 +60,8 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case a := <-c.changes.Out():
-			c.change(a)
+		case action := <-c.changes.Out():
+			c.onGossipChange(action)
 		case <-ticker.C:
 			if err := c.sync(ctx); err != nil {
 				return errors.Wrap(err, "control.Run")
@@ -70,38 +70,38 @@
 	}
 }
 
-// change notes one change that gossip brought.
-func (c *control) change(a gossiper.Action) {
-	switch a := a.(type) {
+// onGossipChange handles a member or an entry that gossip has changed.
+func (c *control) onGossipChange(action gossiper.Action) {
+	switch a := action.(type) {
 	case *gossiper.MemberChanged:
 		vm := a.VM()
 		c.logger.Info("member", "vm", vm.Name(), "data-centre", vm.DataCentre(), "incarnation", vm.Incarnation(), "state", vm.State())
 	case *gossiper.EntryChanged:
-		c.entry(a.Origin(), a.Key(), a.Value())
+		c.onEntry(a.Origin(), a.Key(), a.Value())
 	}
 }
 
-// entry takes a value that a VM published.
-func (c *control) entry(origin, key string, value []byte) {
+// onEntry handles a gossip entry that another VM has published.
+func (c *control) onEntry(origin, key string, value []byte) {
 	if strings.HasPrefix(key, watcher.IndexKeyPrefix) {
 		if err := c.config.OnIndex(origin, key, value); err != nil {
 			c.logger.Warn("index", "vm", origin, "error", err)
 		}
 		return
 	}
-	if name, ok := strings.CutPrefix(key, ownerPrefix); ok {
-		c.announced(name, value)
+	if name, ok := strings.CutPrefix(key, ownerKeyPrefix); ok {
+		c.onAnnouncement(name, value)
 	}
-	if set, ok := strings.CutPrefix(key, admitPrefix); ok {
-		c.admission(origin, set, value)
+	if set, ok := strings.CutPrefix(key, thresholdKeyPrefix); ok {
+		c.onThreshold(origin, set, value)
 	}
-	if set, ok := strings.CutPrefix(key, setPrefix); ok {
-		c.report(origin, set, value)
+	if set, ok := strings.CutPrefix(key, reportKeyPrefix); ok {
+		c.onReport(origin, set, value)
 	}
 }
 
-// admission notes an owner's threshold.
-func (c *control) admission(origin, set string, value []byte) {
+// onThreshold records an owner's admission threshold.
+func (c *control) onThreshold(origin, set string, value []byte) {
 	t, err := owner.DecodeThreshold(value)
 	if err != nil {
 		c.logger.Warn("threshold", "vm", origin, "set", set, "error", err)
@@ -109,8 +109,8 @@
 	c.locator.Threshold(set, origin, t)
 }
 
-// report notes what an owner's servers hold.
-func (c *control) report(origin, set string, value []byte) {
+// onReport records what an owner's backend servers hold. An empty value withdraws the report.
+func (c *control) onReport(origin, set string, value []byte) {
 	if len(value) == 0 {
 		c.locator.Reported(set, origin, owner.Report{}, false)
 		return
@@ -123,18 +123,19 @@
 	c.locator.Reported(set, origin, r, true)
 }
 
-// sync passes on members and sets, and has the registry follow them.
+// sync passes the current members and sets to the locator, the configuration watcher and the
+// owner registry.
 func (c *control) sync(ctx context.Context) error {
-	if d := c.gossip.DroppedChanges(); d != c.dropped {
-		c.dropped = d
-		c.reread()
+	if dropped := c.gossip.DroppedChanges(); dropped != c.droppedChanges {
+		c.droppedChanges = dropped
+		c.rereadEntries()
 	}
 	if vm, ok := c.gossip.ReplacedBy(); ok {
-		c.replaced.TryPush(vm)
+		c.replacedBy.TryPush(vm)
 	}
 	c.members = c.gossip.Members()
 	c.sets = c.config.Sets()
-	c.config.OnMembers(c.presentNames())
+	c.config.OnMembers(c.liveOrJoiningNames())
 	c.locator.Update(c.sets, c.members, c.gossip.Reachable)
 	if !c.gossip.Fresh() {
 		return nil
@@ -143,29 +144,29 @@
 	return c.registry.Sync(ctx, c.sets, c.ownersOf)
 }
 
-// joinLimit is how long a VM waits for the reports of owners before it joins
-// without them: there may be none.
-const joinLimit = 5 * tier.Second
+// maxJoinWait bounds how long a VM waits for the owners' reports before it joins. There may be
+// no owner that reports.
+const maxJoinWait = 5 * tier.Second
 
-// tryJoin has the VM join once it has heard from peers, has a configuration
-// and knows what the owners of each set report.
+// tryJoin makes the VM join once it has a configuration and the reports of each set's owners.
+// sync calls it only after gossip has heard from peers.
 func (c *control) tryJoin() {
 	if c.joined || !c.config.Ready() {
 		return
 	}
-	if c.began == 0 {
-		c.began = c.clock.Now()
+	if c.joinWaitStart == 0 {
+		c.joinWaitStart = c.clock.Now()
 	}
-	if !c.locator.Informed() && c.clock.Now()-c.began < joinLimit {
+	if !c.locator.Informed() && c.clock.Now()-c.joinWaitStart < maxJoinWait {
 		return
 	}
 	c.joined = true
-	c.join()
+	c.onJoin()
 }
 
-// presentNames lists the VMs of this data centre and of the others that keep
-// the configuration: also joining ones, which wait for it.
-func (c *control) presentNames() (local, remote []string) {
+// liveOrJoiningNames lists the VMs that replicate the configuration, in this data centre and in
+// others. Joining VMs are included because they wait for the configuration.
+func (c *control) liveOrJoiningNames() (local, remote []string) {
 	for _, m := range c.members {
 		if m.State() != tier.VMLive && m.State() != tier.VMJoining {
 			continue
@@ -179,7 +180,7 @@
 	return local, remote
 }
 
-// ownersOf lists the owners of a set in this data centre.
+// ownersOf lists the VMs that own a set in this data centre, none if the set has no servers here.
 func (c *control) ownersOf(s *tier.ShardSet) []tier.VM {
 	if !hasServers(s, c.self.DataCentre()) {
 		return nil
@@ -196,57 +197,58 @@
 	return false
 }
 
-// reread reads every report and index again after changes were dropped.
-func (c *control) reread() {
-	keys := make([]string, 0, 2*len(c.sets)+indexKeys)
+// rereadEntries reads all owner, report, threshold and index entries from gossip after changes
+// were dropped.
+func (c *control) rereadEntries() {
+	keys := make([]string, 0, 2*len(c.sets)+rereadIndexKeys)
 	for _, s := range c.sets {
-		keys = append(keys, setPrefix+s.Name(), admitPrefix+s.Name())
+		keys = append(keys, reportKeyPrefix+s.Name(), thresholdKeyPrefix+s.Name())
 	}
-	for i := range indexKeys {
+	for i := range rereadIndexKeys {
 		keys = append(keys, watcher.IndexKeyPrefix+strconv.Itoa(i))
 	}
 	for _, key := range c.announcementKeys() {
 		if _, _, value, ok := c.gossip.Shared(key); ok {
-			c.entry("", key, value)
+			c.onEntry("", key, value)
 		}
 	}
 	for _, key := range keys {
 		for _, p := range c.gossip.Entries(key) {
-			c.entry(p.VM().Name(), key, p.Value())
+			c.onEntry(p.VM().Name(), key, p.Value())
 		}
 	}
 }
 
-// Report tells this VM and the others what the servers of a set hold.
+// Report publishes what the backend servers of a set hold, to the local locator and to other VMs.
 func (c *control) Report(set string, r owner.Report, index int) {
 	c.locator.Reported(set, c.self.Name(), r, true)
 	value, err := r.Encode()
-	c.publish(setPrefix+set, value, err)
+	c.publish(reportKeyPrefix+set, value, err)
 	if index >= 0 && r.Informed() {
-		c.announce(set, r, index)
+		c.announceOwner(set, r, index)
 	}
 }
 
-// Threshold tells this VM and the others a set's threshold of admission.
+// Threshold publishes a set's admission threshold, to the local locator and to other VMs.
 func (c *control) Threshold(set string, t admitter.Threshold) {
 	c.locator.Threshold(set, c.self.Name(), t)
 	value, err := owner.EncodeThreshold(t)
-	c.publish(admitPrefix+set, value, err)
+	c.publish(thresholdKeyPrefix+set, value, err)
 }
 
-// Withdraw takes back what an owner that ended published.
+// Withdraw removes what an owner published, once it has ended.
 func (c *control) Withdraw(set string) {
 	c.locator.Reported(set, c.self.Name(), owner.Report{}, false)
-	c.publish(setPrefix+set, nil, nil)
+	c.publish(reportKeyPrefix+set, nil, nil)
 	c.Threshold(set, admitter.AdmitAll())
 }
 
-// Backend logs a change of a backend server's state.
+// Backend logs a state change of a backend server.
 func (c *control) Backend(set, server string, s tier.BackendState, reason string) {
 	c.logger.Info("backend", "set", set, "server", server, "state", s, "reason", reason)
 }
 
-// publish writes a value for the other VMs, unless it could not be encoded.
+// publish writes a gossip entry of this VM, or logs err, the error of encoding its value.
 func (c *control) publish(key string, value []byte, err error) {
 	if err == nil {
 		err = c.gossip.Publish(key, value)
--- a/cicadagraded/daemon.go
+++ b/cicadagraded/daemon.go
@@ -25,38 +25,38 @@
 	"cicadagrade.example/tier/ring"
 )
 
-// daemon is one entry VM with its duties.
+// daemon holds the components of one entry VM.
 type daemon struct {
-	settings *settings
-	logger   *log.Logger
-	clock    *tier.Clock
-	self     tier.VM
-	inflight *inflight
-	meter    *meter.Meter
-	gossip   *exchanger.Exchanger
-	seeder   *seeder
-	store    *storeHealth
-	config   *watcher.Watcher
-	booker   *booker.Booker
-	locator  *locator.Locator
-	registry *owner.Registry
-	control  *control
-	client   *messenger.Client
-	api      *http.Server
-	peers    *http.Server
-	replaced *ring.Ring[tier.VM] // who took this VM's name, for the planned stop
-	ctx      context.Context
-	cancel   context.CancelFunc
+	settings    *settings
+	logger      *log.Logger
+	clock       *tier.Clock
+	self        tier.VM
+	inflight    *inflight
+	meter       *meter.Meter
+	gossip      *exchanger.Exchanger
+	seeder      *seeder
+	storeHealth *storeHealth
+	config      *watcher.Watcher
+	booker      *booker.Booker
+	locator     *locator.Locator
+	registry    *owner.Registry
+	control     *control
+	peerClient  *messenger.Client
+	apiServer   *http.Server
+	peerServer  *http.Server
+	replacedBy  *ring.Ring[tier.VM] // the VM that took this VM's name, if any
+	ctx         context.Context
+	cancel      context.CancelFunc
 }
 
-// Bytes of gossip that a VM sends: a second on average, and at once when it has
-// been quiet, as when VMs are replaced one after the other.
+// Limits on the gossip that a VM sends: the average rate, and the burst that is allowed after a
+// quiet time, such as while VMs are replaced one after the other.
 const (
-	gossipRate  = 2400
-	gossipBurst = 192 << 10
+	gossipBytesPerSecond = 2400
+	gossipBurstBytes     = 192 << 10
 )
 
-// newLogger writes one line of key=value pairs for each event.
+// newLogger returns a logger that writes one line of key=value pairs per event.
 func newLogger(w io.Writer, s *settings) *log.Logger {
 	l := log.NewWithOptions(w, log.Options{
 		Level:           s.logLevel,
@@ -67,14 +67,14 @@
 	return l.With("self", s.name)
 }
 
-// newDaemon puts the parts of a VM together; nothing runs yet.
+// newDaemon builds the components of a VM without starting any of them.
 func newDaemon(ctx context.Context, s *settings, clock *tier.Clock, logger *log.Logger) (*daemon, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	d := &daemon{
 		settings: s, logger: logger, clock: clock, ctx: ctx, cancel: cancel,
-		inflight: newInflight(s.maxRequests),
-		locator:  locator.New(clock),
-		replaced: ring.New[tier.VM](1),
+		inflight:   newInflight(s.maxRequests),
+		locator:    locator.New(clock),
+		replacedBy: ring.New[tier.VM](1),
 		self: tier.NewVM(s.name, s.dataCentre, s.peerAdvertise,
 			tier.WithIncarnation(tier.Incarnation(clock.Wall())), tier.WithVMState(tier.VMJoining)),
 	}
@@ -87,35 +87,35 @@
 	return d, nil
 }
 
-// buildControl makes gossip, configuration, claims and owners.
+// buildControl creates gossip, the configuration watcher, the booker and the owner registry.
 func (d *daemon) buildControl() error {
-	changes := ring.New[gossiper.Action](changesSize)
+	changes := ring.New[gossiper.Action](changeBufferSize)
 	gossip, err := exchanger.New(d.self, d.clock,
 		exchanger.WithChanges(changes),
-		exchanger.WithAddresses(d.settings.dial),
+		exchanger.WithAddresses(d.settings.dialOverrides),
 		exchanger.WithGossip(
 			gossiper.WithSeed(uint64(d.self.Incarnation())),
-			gossiper.WithSendRate(gossipRate, gossipBurst)))
+			gossiper.WithSendRate(gossipBytesPerSecond, gossipBurstBytes)))
 	if err != nil {
 		return errors.Wrap(err, "buildControl")
 	}
 	gossip.SetSeeds(d.settings.seeds)
 	d.gossip = gossip
-	d.store = &storeHealth{clock: d.clock, logger: d.logger}
-	store := platform.NewStore(d.settings.dialled(d.settings.storeAddress), platform.WithObserver(d.store.observe))
+	d.storeHealth = &storeHealth{clock: d.clock, logger: d.logger}
+	store := platform.NewStore(d.settings.dialAddress(d.settings.storeAddress), platform.WithObserver(d.storeHealth.observe))
 	d.seeder = &seeder{
 		store: store, key: d.settings.vmListPrefix + d.self.DataCentre(),
 		seeds: d.settings.seeds, gossip: gossip, logger: d.logger,
 	}
 	d.config = watcher.New(d.self, store, d.clock,
-		watcher.WithPeers(d.peer),
+		watcher.WithPeers(d.peerService),
 		watcher.WithPublisher(gossip.Publish),
-		watcher.WithWarnings(d.warn),
-		watcher.WithKeeper(replicator.WithSeeds(d.otherSeeds())))
-	d.booker = booker.New(store, d.self.Name(), d.self.Incarnation(), d.clock, booker.WithLive(d.live))
+		watcher.WithWarnings(d.logAlert),
+		watcher.WithKeeper(replicator.WithSeeds(d.otherSeedCount())))
+	d.booker = booker.New(store, d.self.Name(), d.self.Incarnation(), d.clock, booker.WithLive(d.isLive))
 	d.control = &control{
 		self: d.self, logger: d.logger, gossip: gossip, changes: changes,
-		config: d.config, locator: d.locator, clock: d.clock, join: d.join, replaced: d.replaced,
+		config: d.config, locator: d.locator, clock: d.clock, onJoin: d.join, replacedBy: d.replacedBy,
 	}
 	id := owner.NewIdentity(d.self.Name(), d.self.DataCentre(), d.self.Incarnation())
 	d.registry = owner.NewRegistry(d.ctx, id, d.clock, d.locator.Set, d.control)
@@ -123,29 +123,29 @@
 	return nil
 }
 
-// peer finds the peer service of a VM.
-func (d *daemon) peer(vm string) (watcher.Peer, bool) {
+// peerService returns the peer service of a VM that gossip does not believe dead.
+func (d *daemon) peerService(vm string) (watcher.Peer, bool) {
 	for _, m := range d.gossip.Members() {
 		if m.Name() == vm && m.State() != tier.VMDead {
-			return d.client.Service(m.Address()), true
+			return d.peerClient.Service(m.Address()), true
 		}
 	}
 	return nil, false
 }
 
-// live reports whether a life of a VM is believed to go on. A VM that has not
-// heard from its peers yet believes so of all.
-func (d *daemon) live(vm string, i tier.Incarnation) bool {
+// isLive reports whether an incarnation of a VM is believed to be running. Until gossip has
+// heard from peers, unknown VMs count as running.
+func (d *daemon) isLive(vm string, incarnation tier.Incarnation) bool {
 	for _, m := range d.gossip.Members() {
 		if m.Name() == vm {
-			return m.Incarnation() == i && m.State() != tier.VMDead
+			return m.Incarnation() == incarnation && m.State() != tier.VMDead
 		}
 	}
 	return !d.gossip.Fresh()
 }
 
-// otherSeeds counts the seeds that are not this VM.
-func (d *daemon) otherSeeds() int {
+// otherSeedCount returns the number of seeds other than this VM.
+func (d *daemon) otherSeedCount() int {
 	n := 0
 	for _, a := range d.settings.seeds {
 		if a != d.self.Address() {
@@ -155,62 +155,62 @@
 	return n
 }
 
-// warn logs a trouble of the configuration.
-func (d *daemon) warn(f replicator.Alert) {
-	d.logger.Warn("configuration", "trouble", f.Kind(), "key", f.Served().Key(), "served", f.Served().Revision(), "seen", f.Offered().Revision(), "source", f.Source())
+// logAlert logs a configuration problem that needs an operator.
+func (d *daemon) logAlert(a replicator.Alert) {
+	d.logger.Warn("configuration", "trouble", a.Kind(), "key", a.Served().Key(), "served", a.Served().Revision(), "seen", a.Offered().Revision(), "source", a.Source())
 }
 
-// buildServers makes the front and the servers of callers and peers.
+// buildServers creates the front, and the HTTP servers for callers and for other VMs.
 func (d *daemon) buildServers() error {
 	m, err := meter.New()
 	if err != nil {
 		return errors.Wrap(err, "buildServers")
 	}
 	d.meter = m
-	if err := d.observe(); err != nil {
+	if err := d.registerGauges(); err != nil {
 		return errors.Wrap(err, "buildServers")
 	}
-	c := &claims{booker: d.booker}
-	f := &forwarded{claims: c, registry: d.registry}
-	server := messenger.NewServer(d.clock, d.registry, f, d.gossip, d.config, d.inflight.enterPeer)
-	d.client = messenger.NewClient(d.self, server, d.clock, messenger.WithDialled(d.settings.dialled), messenger.WithThresholds(d.locator.Threshold))
-	front := asker.New(d.self.DataCentre(), d.clock, d.locator, d.client, c)
+	claims := &bookingClaims{booker: d.booker}
+	forwarded := &forwardedBookings{claims: claims, registry: d.registry}
+	server := messenger.NewServer(d.clock, d.registry, forwarded, d.gossip, d.config, d.inflight.beginPeer)
+	d.peerClient = messenger.NewClient(d.self, server, d.clock, messenger.WithDialled(d.settings.dialAddress), messenger.WithThresholds(d.locator.Threshold))
+	front := asker.New(d.self.DataCentre(), d.clock, d.locator, d.peerClient, claims)
 	h := handler.New(d.self.Name(), d.clock, d.config, front, d.inflight, d,
 		handler.WithMetrics(m.Handler()),
 		handler.WithEnded(m.RecordRequest),
 		handler.WithMaxBody(int64(d.settings.maxBodyBytes)))
-	d.api = &http.Server{Addr: d.settings.apiAddress, Handler: h.Routes(), ReadHeaderTimeout: headerTimeout.Duration(), IdleTimeout: idleTimeout.Duration()}
+	d.apiServer = &http.Server{Addr: d.settings.apiAddress, Handler: h.Routes(), ReadHeaderTimeout: headerTimeout.Duration(), IdleTimeout: idleTimeout.Duration()}
 	protocols := &http.Protocols{}
 	protocols.SetHTTP1(true)
 	protocols.SetUnencryptedHTTP2(true)
-	d.peers = &http.Server{Addr: d.settings.peerAddress, Handler: server.Handler(), Protocols: protocols, ReadHeaderTimeout: headerTimeout.Duration()}
+	d.peerServer = &http.Server{Addr: d.settings.peerAddress, Handler: server.Handler(), Protocols: protocols, ReadHeaderTimeout: headerTimeout.Duration()}
 	return nil
 }
 
-// Bounds of the servers' connections.
+// Timeouts of the servers' connections.
 const (
-	headerTimeout = 5 * tier.Second // to read a request's header
-	idleTimeout   = 2 * tier.Minute // between a caller's requests
+	headerTimeout = 5 * tier.Second // for reading a request's header
+	idleTimeout   = 2 * tier.Minute // between two requests of a caller
 )
 
-// run runs every duty until the planned stop is over or one of them fails.
+// run runs all components until the graceful shutdown is finished or one of them fails.
 func (d *daemon) run() error {
 	defer d.cancel()
 	var g run.Group
-	d.addDuty(&g, d.gossip.Run)
-	d.addDuty(&g, d.seeder.Run)
-	d.addDuty(&g, d.config.Run)
-	d.addDuty(&g, d.booker.Run)
-	d.addDuty(&g, d.control.Run)
-	d.addServer(&g, d.api)
-	d.addServer(&g, d.peers)
+	d.addTask(&g, d.gossip.Run)
+	d.addTask(&g, d.seeder.Run)
+	d.addTask(&g, d.config.Run)
+	d.addTask(&g, d.booker.Run)
+	d.addTask(&g, d.control.Run)
+	d.addServer(&g, d.apiServer)
+	d.addServer(&g, d.peerServer)
 	s := &stopper{
 		logger: d.logger, clock: d.clock, gossip: d.gossip, inflight: d.inflight, booker: d.booker,
-		servers:     []*http.Server{d.api, d.peers},
-		replaced:    d.replaced,
+		servers:     []*http.Server{d.apiServer, d.peerServer},
+		replacedBy:  d.replacedBy,
 		balancerLag: d.settings.balancerLag, stopLimit: d.settings.stopLimit,
 	}
-	d.addDuty(&g, s.Run)
+	d.addTask(&g, s.Run)
 	d.logger.Info("started", "data-centre", d.self.DataCentre(), "api", d.settings.apiAddress, "peer", d.settings.peerAddress, "incarnation", d.self.Incarnation())
 	err := g.Run()
 	d.cancel()
@@ -220,22 +220,23 @@
 	return errors.Wrap(err, "daemon.run")
 }
 
-// join has the VM own sets and take callers' requests, unless a planned stop
+// join makes the VM live, so that it owns sets and accepts callers' requests, unless a shutdown
 // has begun.
 func (d *daemon) join() {
-	if d.inflight.join() {
+	if d.inflight.markReady() {
 		d.gossip.SetState(tier.VMLive)
 		d.logger.Info("joined")
 	}
 }
 
-// addDuty adds a duty that ends when its context does.
-func (d *daemon) addDuty(g *run.Group, duty func(context.Context) error) {
+// addTask adds a function to the run group; it has to return when its context ends.
+func (d *daemon) addTask(g *run.Group, task func(context.Context) error) {
 	ctx, cancel := context.WithCancel(d.ctx)
-	g.Add(func() error { return duty(ctx) }, func(error) { cancel() })
+	g.Add(func() error { return task(ctx) }, func(error) { cancel() })
 }
 
-// addServer adds a server; the planned stop shuts it down first.
+// addServer adds an HTTP server to the run group. The server's function returns only when the
+// group ends: a graceful shutdown closes the server before that.
 func (d *daemon) addServer(g *run.Group, h *http.Server) {
 	stopped := make(chan struct{})
 	g.Add(func() error {
--- a/cicadagraded/front.go
+++ b/cicadagraded/front.go
@@ -21,37 +21,37 @@
 	"cicadagrade.example/tier"
 )
 
-const frontHelp = `Runs an entry VM on the users' platform: takes callers' requests, asks the leafs
-of the route's services, and answers with what they say.
+const frontHelp = `Runs an entry VM on the users' platform: accepts callers' requests, calls the leafs
+of the route's services, and combines their replies into the answer.
 
 The settings come from the platform's file, whose path is in the environment
-variable CICADAGRADE_CONFIG. A bad or missing field ends the process with exit
-code 2 and a message that names the field, its value and what is allowed; unknown
-fields are ignored. Routes and leafs come from the platform's store.
+variable CICADAGRADE_CONFIG. An invalid or missing field ends the process with
+exit code 2 and a message that names the field, its value and what is allowed;
+unknown fields are ignored. Routes and leafs come from the platform's store.
 
-SIGTERM starts a planned stop: the readiness check fails, requests go on being
-taken until the balancer has noticed, what is in flight is finished, and the
-process exits with code 0 within the platform's grace period. SIGHUP reads the
-settings again.`
+SIGTERM starts a graceful shutdown: the readiness check fails, new requests are
+accepted until the load balancer has noticed, requests in flight are finished,
+and the process exits with code 0 within the platform's grace period. SIGHUP
+reloads the settings.`
 
-// Times of a planned stop.
+// Durations of a graceful shutdown, timeouts and limits.
 const (
-	// balancerLag is how long the platform's balancer takes to see a failed
-	// readiness check: two misses, a second apart, and a margin.
+	// balancerLag is how long the platform's load balancer takes to notice a failed readiness
+	// check: two failed checks, a second apart, and a margin.
 	balancerLag = 2500 * tier.Millisecond
-	// stopMargin is kept from the grace period for the end of the process.
-	stopMargin = 400 * tier.Millisecond
-	// headerTime bounds the reading of a header from the balancer, another VM or
-	// a reader of metrics; idleTime the pause between two. Callers have the
-	// configuration's limits.
-	headerTime = 10 * time.Second
-	idleTime   = 120 * time.Second
-	// memoryShare is the part of the memory limit at which the collector
-	// starts to work harder.
-	memoryShare = 0.6
+	// exitMargin is the part of the grace period that is reserved for the exit of the process.
+	exitMargin = 400 * tier.Millisecond
+	// frontHeaderTimeout bounds reading a request header from the load balancer, another VM or
+	// a metrics scraper, and frontIdleTimeout the pause between two requests. The limits for
+	// callers come from the configuration.
+	frontHeaderTimeout = 10 * time.Second
+	frontIdleTimeout   = 120 * time.Second
+	// memoryLimitRatio is the Go runtime's memory limit as a fraction of the VM's limit. Above
+	// it, the garbage collector runs more often.
+	memoryLimitRatio = 0.6
 )
 
-// defaultMetricsPort is the port that the deploy file names.
+// defaultMetricsPort matches the port in the deploy file.
 const defaultMetricsPort = 9464
 
 func frontCommand() *cobra.Command {
@@ -74,16 +74,16 @@
 			return errors.Wrap(front(c.Context(), s, metricsPort), "front")
 		},
 	}
-	c.Flags().IntVar(&metricsPort, "metrics-port", defaultMetricsPort, "port of the metrics, on the VM's address")
+	c.Flags().IntVar(&metricsPort, "metrics-port", defaultMetricsPort, "port on the VM's address that serves metrics")
 	return c
 }
 
-// front serves until a planned stop.
+// front runs an entry VM until its graceful shutdown is finished.
 func front(ctx context.Context, s *platform.Settings, metricsPort int) error {
 	if ctx == nil {
 		ctx = context.Background()
 	}
-	debug.SetMemoryLimit(int64(float64(s.MemoryMB()) * memoryShare * (1 << 20)))
+	debug.SetMemoryLimit(int64(float64(s.MemoryMB()) * memoryLimitRatio * (1 << 20)))
 	clock := tier.NewClock()
 	log := eventlog.New(os.Stdout, clock, "vm", s.Name())
 	log.Info("starting", "callers", s.CallerAddress(), "readiness", s.ReadinessAddress(),
@@ -93,58 +93,58 @@
 		return errors.Wrap(err, "front")
 	}
 
-	callers, err := net.Listen("tcp", s.CallerAddress())
+	callerListener, err := net.Listen("tcp", s.CallerAddress())
 	if err != nil {
 		return errors.Wrap(err, "front")
 	}
-	readiness, err := net.Listen("tcp", s.ReadinessAddress())
+	readinessListener, err := net.Listen("tcp", s.ReadinessAddress())
 	if err != nil {
 		return errors.Wrap(err, "front")
 	}
-	others, err := net.Listen("tcp", s.PeerAddress())
+	peerListener, err := net.Listen("tcp", s.PeerAddress())
 	if err != nil {
 		return errors.Wrap(err, "front")
 	}
-	meters, err := net.Listen("tcp", net.JoinHostPort(s.IPAddress(), strconv.Itoa(metricsPort)))
+	metricsListener, err := net.Listen("tcp", net.JoinHostPort(s.IPAddress(), strconv.Itoa(metricsPort)))
 	if err != nil {
 		return errors.Wrap(err, "front")
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var g run.Group
-	metrics := &http.Server{Handler: e.MetricsHandler(), ReadHeaderTimeout: headerTime, IdleTimeout: idleTime}
-	addServer(&g, metrics, meters)
+	metricsServer := &http.Server{Handler: e.MetricsHandler(), ReadHeaderTimeout: frontHeaderTimeout, IdleTimeout: frontIdleTimeout}
+	addServer(&g, metricsServer, metricsListener)
 	g.Add(func() error { return log.Run(ctx) }, func(error) { cancel() })
 	g.Add(func() error { return e.RunRefresh(ctx) }, func(error) { cancel() })
 	g.Add(func() error { return e.RunRegistration(ctx) }, func(error) { cancel() })
 	g.Add(func() error { return e.RunProbes(ctx) }, func(error) { cancel() })
-	peer := &http.Server{Handler: e.PeerHandler(), Protocols: entry.PeerProtocols(), ReadHeaderTimeout: headerTime, IdleTimeout: idleTime}
-	addServer(&g, peer, others)
-	server := entry.NewCallerServer(e)
-	addCallers(&g, server, callers)
-	check := &http.Server{Handler: e.ReadinessHandler(), ReadHeaderTimeout: headerTime, IdleTimeout: idleTime}
-	addServer(&g, check, readiness)
+	peerServer := &http.Server{Handler: e.PeerHandler(), Protocols: entry.PeerProtocols(), ReadHeaderTimeout: frontHeaderTimeout, IdleTimeout: frontIdleTimeout}
+	addServer(&g, peerServer, peerListener)
+	callerServer := entry.NewCallerServer(e)
+	addCallerServer(&g, callerServer, callerListener)
+	readinessServer := &http.Server{Handler: e.ReadinessHandler(), ReadHeaderTimeout: frontHeaderTimeout, IdleTimeout: frontIdleTimeout}
+	addServer(&g, readinessServer, readinessListener)
 	g.Add(func() error { return watchSettings(ctx, e, log) }, func(error) { cancel() })
-	g.Add(func() error { return waitForStop(ctx, e, server, callers, s) }, func(error) { cancel() })
-	if err := g.Run(); err != nil && !errors.Is(err, errStopped) {
+	g.Add(func() error { return waitForShutdown(ctx, e, callerServer, callerListener, s) }, func(error) { cancel() })
+	if err := g.Run(); err != nil && !errors.Is(err, errShutdownDone) {
 		return errors.Wrap(err, "front")
 	}
 	e.Close()
 	return nil
 }
 
-// settingsInterval is how often the settings file is looked at: it may change
-// without a signal.
+// settingsInterval is how often the settings file is checked for changes: it may change without
+// a signal.
 const settingsInterval = 2 * time.Second
 
-// watchSettings reads the settings again on SIGHUP, or when the file has
-// changed. A file that can't be used leaves the settings as they are.
+// watchSettings reloads the settings on SIGHUP or when the file has changed. An invalid file
+// leaves the settings unchanged.
 func watchSettings(ctx context.Context, e *entry.Entry, log *eventlog.Log) error {
 	path := os.Getenv(platform.SettingsVariable)
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	defer signal.Stop(hangup)
-	changed := modified(path)
+	lastModified := modTime(path)
 	ticker := time.NewTicker(settingsInterval)
 	defer ticker.Stop()
 	for {
@@ -154,12 +154,12 @@
 			return nil
 		case <-hangup:
 		case <-ticker.C:
-			if modified(path).Equal(changed) {
+			if modTime(path).Equal(lastModified) {
 				continue
 			}
 			cause = "file changed"
 		}
-		changed = modified(path)
+		lastModified = modTime(path)
 		s, err := platform.LoadSettings(path)
 		if err != nil {
 			log.Warn("settings-kept", "cause", cause, "error", err)
@@ -170,20 +170,20 @@
 	}
 }
 
-// modified is when the file was last written, or zero if that can't be told.
-func modified(path string) time.Time {
-	i, err := os.Stat(path)
+// modTime returns the file's modification time, or zero if it can't be read.
+func modTime(path string) time.Time {
+	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
 	}
-	return i.ModTime()
+	return info.ModTime()
 }
 
-// errStopped ends the group after a planned stop.
-var errStopped = errors.New("stopped as planned")
+// errShutdownDone ends the run group after a graceful shutdown.
+var errShutdownDone = errors.New("graceful shutdown finished")
 
-// addServer serves until the group ends: a planned stop shuts the server down
-// first, which must not end the group while requests are in flight.
+// addServer adds an HTTP server to the run group. Its function returns only when the group ends:
+// a graceful shutdown closes the server earlier, while requests are still in flight.
 func addServer(g *run.Group, s *http.Server, l net.Listener) {
 	ended := make(chan struct{})
 	g.Add(func() error {
@@ -198,23 +198,25 @@
 	})
 }
 
-// addCallers serves callers until the group ends.
-func addCallers(g *run.Group, c *entry.CallerServer, l net.Listener) {
+// addCallerServer adds the callers' server to the run group.
+func addCallerServer(g *run.Group, c *entry.CallerServer, l net.Listener) {
 	ended := make(chan struct{})
 	g.Add(func() error {
 		if err := c.Serve(l); err != nil {
-			return errors.Wrap(err, "addCallers")
+			return errors.Wrap(err, "addCallerServer")
 		}
 		<-ended
 		return nil
 	}, func(error) {
-		_ = l.Close() // a planned stop has closed it already
+		_ = l.Close() // a graceful shutdown has closed it already
 		c.Close()
 		close(ended)
 	})
 }
 
-func waitForStop(ctx context.Context, e *entry.Entry, server *entry.CallerServer, l net.Listener, s *platform.Settings) error {
+// waitForShutdown waits for a signal and shuts the VM down gracefully. It returns
+// errShutdownDone.
+func waitForShutdown(ctx context.Context, e *entry.Entry, server *entry.CallerServer, l net.Listener, s *platform.Settings) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(signals)
@@ -229,14 +231,14 @@
 		return nil
 	case <-time.After(balancerLag.Duration()):
 	}
-	left := s.GracePeriod() - balancerLag - stopMargin
-	stop, cancel := context.WithTimeout(ctx, max(left, 0).Duration())
+	remaining := s.GracePeriod() - balancerLag - exitMargin
+	shutdownCtx, cancel := context.WithTimeout(ctx, max(remaining, 0).Duration())
 	defer cancel()
 	if err := l.Close(); err != nil {
-		return errors.Wrap(err, "waitForStop")
+		return errors.Wrap(err, "waitForShutdown")
 	}
-	if err := server.Shutdown(stop); err != nil {
+	if err := server.Shutdown(shutdownCtx); err != nil {
 		e.LogUnfinishedRequests(err)
 	}
-	return errStopped
+	return errShutdownDone
 }
--- a/cicadagraded/inflight.go
+++ b/cicadagraded/inflight.go
@@ -7,99 +7,99 @@
 	"cicadagrade.example/tier"
 )
 
-// stopPoll is how often a planned stop looks whether it is over.
-const stopPoll = 20 * tier.Millis(1)
+// stopPollInterval is how often a graceful shutdown checks whether requests are in flight.
+const stopPollInterval = 20 * tier.Millis(1)
 
-// inflight lists requests in flight, bounds those of callers, and says
-// whether the balancer may send more.
+// inflight tracks the requests in flight, limits those of callers, and holds whether the VM is
+// ready for more from the load balancer.
 type inflight struct {
-	most  int
-	ready atomic.Bool
+	maxCallers int
+	ready      atomic.Bool
 
 	mu      sync.Mutex
 	leaving bool
-	last    uint64
+	lastID  uint64
 	callers int
-	open    map[uint64]string
+	names   map[uint64]string
 }
 
-func newInflight(most int) *inflight {
-	return &inflight{most: most, open: map[uint64]string{}}
+func newInflight(maxCallers int) *inflight {
+	return &inflight{maxCallers: maxCallers, names: map[uint64]string{}}
 }
 
-// Enter counts a caller's request in, unless there are too many. The
-// name is for the log line of a stop that has to cut it off.
+// Enter registers a caller's request, unless there are too many; end removes it. The name is
+// logged if a shutdown has to abandon the request.
 func (f *inflight) Enter(name string) (end func(), ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.callers >= f.most {
+	if f.callers >= f.maxCallers {
 		return nil, false
 	}
 	f.callers++
-	n := f.add(name)
-	return func() { f.end(n, 1) }, true
+	id := f.add(name)
+	return func() { f.remove(id, 1) }, true
 }
 
-// enterPeer counts a peer's request in.
-func (f *inflight) enterPeer(name string) (end func()) {
+// beginPeer registers a request of another VM; end removes it.
+func (f *inflight) beginPeer(name string) (end func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	n := f.add(name)
-	return func() { f.end(n, 0) }
+	id := f.add(name)
+	return func() { f.remove(id, 0) }
 }
 
 func (f *inflight) add(name string) uint64 {
-	f.last++
-	f.open[f.last] = name
-	return f.last
+	f.lastID++
+	f.names[f.lastID] = name
+	return f.lastID
 }
 
-func (f *inflight) end(n uint64, callers int) {
+func (f *inflight) remove(id uint64, callers int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.open, n)
+	delete(f.names, id)
 	f.callers -= callers
 }
 
-// join has the balancer send work, unless the VM leaves.
-func (f *inflight) join() bool {
+// markReady makes the readiness check succeed, unless the VM is leaving. It reports whether it did.
+func (f *inflight) markReady() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.ready.Store(!f.leaving)
 	return !f.leaving
 }
 
-// leave has the balancer send no more work.
-func (f *inflight) leave() {
+// markLeaving makes the readiness check fail for good.
+func (f *inflight) markLeaving() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.leaving = true
 	f.ready.Store(false)
 }
 
-// Ready reports whether the balancer may send work here.
+// Ready reports whether the load balancer may send requests to this VM.
 func (f *inflight) Ready() bool { return f.ready.Load() }
 
 // idle reports whether nothing is in flight.
 func (f *inflight) idle() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.open) == 0
+	return len(f.names) == 0
 }
 
-// count says how many callers' requests, and how many in all, are in flight.
-func (f *inflight) count() (callers, all int) {
+// counts returns the number of requests in flight, from callers and in total.
+func (f *inflight) counts() (callers, total int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.callers, len(f.open)
+	return f.callers, len(f.names)
 }
 
-// list names each request in flight.
-func (f *inflight) list() []string {
+// requestNames lists the names of the requests in flight.
+func (f *inflight) requestNames() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := make([]string, 0, len(f.open))
-	for _, name := range f.open {
+	out := make([]string, 0, len(f.names))
+	for _, name := range f.names {
 		out = append(out, name)
 	}
 	return out
--- a/cicadagraded/main.go
+++ b/cicadagraded/main.go
@@ -1,5 +1,5 @@
-// Command cicadagraded is the daemon of the query tier: it runs on each entry
-// VM, takes callers' requests and answers them from the backend servers.
+// Command cicadagraded is the daemon of the query tier. It runs on each entry VM, accepts
+// callers' requests, and answers them by querying the backend servers.
 package main
 
 import "os"
--- a/cicadagraded/observe.go
+++ b/cicadagraded/observe.go
@@ -12,91 +12,90 @@
 )
 
 const (
-	// ownersAge is how old the owners' status may be that gauges show.
-	ownersAge = tier.Second
-	// statusTimeout bounds the wait for a duty's answer.
+	// maxStatusAge is how long the gauges reuse the owners' status that was read last.
+	maxStatusAge = tier.Second
+	// statusTimeout bounds the wait for the status of the owners or the booker.
 	statusTimeout = tier.Second
 	permille      = 1000
 )
 
-// gauge is one row of the table of gauges.
+// gauge describes a gauge and how its points are read.
 type gauge struct {
 	name        string
 	description string
-	read        func(*observer) []meter.Point
+	read        func(*gaugeReader) []meter.Point
 }
 
-// gaugeTable lists every gauge. docs/operators/running.md is checked against
-// it by a test. Values that only grow count since the start of the process,
-// those of an owner since it took the set over.
+// gaugeTable lists every gauge. A test checks docs/operators/running.md against it. Values that
+// only grow count from the start of the process, or from when an owner took over its set.
 func gaugeTable() []gauge {
 	return []gauge{
-		{"cicadagrade.members", "VMs known, by data centre and state", (*observer).members},
-		{"cicadagrade.inflight", "requests in flight, from callers and from other VMs", (*observer).inflight},
-		{"cicadagrade.owned", "1 for each set that this VM owns in its own view, 0 for others that it runs", perOwner(ownedPoint)},
-		{"cicadagrade.parts", "parts of searches and bookings that wait or run, by set", perOwner(partsPoint)},
-		{"cicadagrade.queue", "parts that wait, by set and rank", perRank(queuePoint)},
-		{"cicadagrade.queue.wait.ms", "time until the queue is empty at the measured rate, by set and rank", perRank(waitPoint)},
-		{"cicadagrade.admitted.permille", "thousandths of the requests that owners let through, by set and rank", perRank(admittedPoint)},
-		{"cicadagrade.parts.refused", "parts refused, by set and rank", perRank(refusedPoint)},
-		{"cicadagrade.slots.used", "slots of backend servers that calls hold, by set", perOwner(usedPoint)},
-		{"cicadagrade.slots.limit", "slots of backend servers that calls may hold, by set", perOwner(limitPoint)},
-		{"cicadagrade.backends", "backend servers, by set and state", (*observer).backends},
-		{"cicadagrade.hedge.tokens.permille", "thousandths of hedge tokens left, by set", perOwner(tokensPoint)},
-		{"cicadagrade.leaf.calls", "leaf calls made, by set", perOwner(callsPoint)},
-		{"cicadagrade.leaf.calls.extra", "leaf calls that were hedges or retries, by set", perOwner(extraPoint)},
-		{"cicadagrade.leaf.calls.failed", "leaf calls without a usable reply, by set", perOwner(failedPoint)},
-		{"cicadagrade.leaf.calls.not.run", "leaf calls that a backend server did not run, by set", perOwner(notRunPoint)},
-		{"cicadagrade.replies.rejected", "replies that did not match their call, by set", perOwner(rejectedPoint)},
-		{"cicadagrade.gossip.bytes", "bytes of gossip, by direction, headers estimated", (*observer).gossipBytes},
-		{"cicadagrade.gossip.exchanges", "exchanges of gossip begun, and how many failed", (*observer).gossipExchanges},
-		{"cicadagrade.configuration.epoch", "epoch of each document in force", (*observer).epochs},
-		{"cicadagrade.configuration.revision", "revision of each document in force", (*observer).revisions},
-		{"cicadagrade.configuration.warnings", "warnings of the configuration, of all VMs", (*observer).warnings},
-		{"cicadagrade.configuration.watcher", "1 if this VM watches the store for its data centre", (*observer).watcher},
-		{"cicadagrade.configuration.calls", "reads and watches of the store, and fetches from other VMs", (*observer).configurationCalls},
-		{"cicadagrade.claims", "claims of callers' own keys: pages read and written, writes that met another, store calls that failed, bookings sent", (*observer).claims},
+		{"cicadagrade.members", "known VMs, by data centre and state", (*gaugeReader).members},
+		{"cicadagrade.inflight", "requests in flight, from callers and from other VMs", (*gaugeReader).inflight},
+		{"cicadagrade.owned", "1 for each set that this VM considers itself the owner of, 0 for other sets that it still runs", perOwner(ownedValue)},
+		{"cicadagrade.parts", "queued and running parts of searches and bookings, by set", perOwner(partsValue)},
+		{"cicadagrade.queue", "queued parts, by set and rank", perRank(queuedValue)},
+		{"cicadagrade.queue.wait.ms", "time to drain the queue at the measured rate, in milliseconds, by set and rank", perRank(drainTimeValue)},
+		{"cicadagrade.admitted.permille", "fraction of the requests that owners admit, in thousandths, by set and rank", perRank(admittedValue)},
+		{"cicadagrade.parts.refused", "refused parts, by set and rank", perRank(refusedValue)},
+		{"cicadagrade.slots.used", "slots of backend servers in use, by set", perOwner(usedSlotsValue)},
+		{"cicadagrade.slots.limit", "limit of the slots of backend servers in use at once, by set", perOwner(slotLimitValue)},
+		{"cicadagrade.backends", "backend servers, by set and state", (*gaugeReader).backends},
+		{"cicadagrade.hedge.tokens.permille", "hedge tokens left, in thousandths of a token, by set", perOwner(hedgeTokensValue)},
+		{"cicadagrade.leaf.calls", "leaf calls made, by set", perOwner(callsValue)},
+		{"cicadagrade.leaf.calls.extra", "leaf calls that were hedges or retries, by set", perOwner(extraCallsValue)},
+		{"cicadagrade.leaf.calls.failed", "leaf calls without a usable reply, by set", perOwner(failedCallsValue)},
+		{"cicadagrade.leaf.calls.not.run", "leaf calls that a backend server did not run, by set", perOwner(notRunCallsValue)},
+		{"cicadagrade.replies.rejected", "replies rejected because they did not match their call, by set", perOwner(rejectedRepliesValue)},
+		{"cicadagrade.gossip.bytes", "gossip bytes, by direction; headers are estimated", (*gaugeReader).gossipBytes},
+		{"cicadagrade.gossip.exchanges", "gossip exchanges started, and how many of them failed", (*gaugeReader).gossipExchanges},
+		{"cicadagrade.configuration.epoch", "epoch of each configuration document in force", (*gaugeReader).epochs},
+		{"cicadagrade.configuration.revision", "revision of each configuration document in force", (*gaugeReader).revisions},
+		{"cicadagrade.configuration.warnings", "configuration warnings, from all VMs", (*gaugeReader).warnings},
+		{"cicadagrade.configuration.watcher", "1 if this VM watches the store for its data centre", (*gaugeReader).watcher},
+		{"cicadagrade.configuration.calls", "calls for configuration documents: reads and watches of the store, fetches from other VMs", (*gaugeReader).configurationCalls},
+		{"cicadagrade.claims", "claims of callers' own idempotency keys: pages read and written, conflicting writes, failed store calls, bookings sent", (*gaugeReader).claims},
 	}
 }
 
-// observer reads the daemon when the metrics are read.
-type observer struct {
-	daemon *daemon
-	mu     sync.Mutex
-	read   bool
-	at     tier.Millis
-	list   []owner.Status
+// gaugeReader reads the values of the gauges from the daemon when the metrics are scraped.
+type gaugeReader struct {
+	daemon   *daemon
+	mu       sync.Mutex
+	loaded   bool
+	loadedAt tier.Millis
+	statuses []owner.Status
 }
 
-// observe registers every gauge.
-func (d *daemon) observe() error {
-	o := &observer{daemon: d}
+// registerGauges registers every gauge with the meter.
+func (d *daemon) registerGauges() error {
+	o := &gaugeReader{daemon: d}
 	for _, g := range gaugeTable() {
 		if err := d.meter.RegisterGauge(g.name, g.description, func() []meter.Point { return g.read(o) }); err != nil {
-			return errors.Wrap(err, "daemon.observe")
+			return errors.Wrap(err, "daemon.registerGauges")
 		}
 	}
 	return nil
 }
 
-// owners reads the owners' status once for all gauges of a reading.
-func (o *observer) owners() []owner.Status {
+// owners returns the owners' status, which is read once for all gauges of a scrape.
+func (o *gaugeReader) owners() []owner.Status {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.daemon.clock.Now()
-	if o.read && now-o.at < ownersAge {
-		return o.list
+	if o.loaded && now-o.loadedAt < maxStatusAge {
+		return o.statuses
 	}
 	ctx, cancel := context.WithTimeout(o.daemon.ctx, statusTimeout.Duration())
 	defer cancel()
-	o.list = o.daemon.registry.Statuses(ctx)
-	o.read, o.at = true, now
-	return o.list
+	o.statuses = o.daemon.registry.Statuses(ctx)
+	o.loaded, o.loadedAt = true, now
+	return o.statuses
 }
 
-// perOwner reads a value of each set that this VM runs.
-func perOwner(value func(owner.Status) int64) func(*observer) []meter.Point {
-	return func(o *observer) []meter.Point {
+// perOwner returns a reader of a gauge with one value per set that this VM runs.
+func perOwner(value func(owner.Status) int64) func(*gaugeReader) []meter.Point {
+	return func(o *gaugeReader) []meter.Point {
 		var out []meter.Point
 		for _, s := range o.owners() {
 			out = append(out, meter.NewPoint(value(s), "set", s.Set()))
@@ -105,9 +104,9 @@
 	}
 }
 
-// perRank reads a value of each rank of each set that this VM runs.
-func perRank(value func(owner.Status, tier.Rank) int64) func(*observer) []meter.Point {
-	return func(o *observer) []meter.Point {
+// perRank returns a reader of a gauge with one value per set that this VM runs and rank.
+func perRank(value func(owner.Status, tier.Rank) int64) func(*gaugeReader) []meter.Point {
+	return func(o *gaugeReader) []meter.Point {
 		var out []meter.Point
 		for _, s := range o.owners() {
 			for _, r := range tier.Ranks {
@@ -118,16 +117,16 @@
 	}
 }
 
-func ownedPoint(s owner.Status) int64    { return flag(s.Owned) }
-func partsPoint(s owner.Status) int64    { return int64(s.Parts()) }
-func tokensPoint(s owner.Status) int64   { return int64(s.Core().HedgeTokens() * permille) }
-func callsPoint(s owner.Status) int64    { return int64(s.Core().Counters().Calls()) }
-func extraPoint(s owner.Status) int64    { return int64(s.Core().Counters().ExtraCalls()) }
-func failedPoint(s owner.Status) int64   { return int64(s.Core().Counters().FailedCalls()) }
-func notRunPoint(s owner.Status) int64   { return int64(s.Core().Counters().NotRunCalls()) }
-func rejectedPoint(s owner.Status) int64 { return int64(s.Rejected()) }
+func ownedValue(s owner.Status) int64           { return boolToInt(s.Owned) }
+func partsValue(s owner.Status) int64           { return int64(s.Parts()) }
+func hedgeTokensValue(s owner.Status) int64     { return int64(s.Core().HedgeTokens() * permille) }
+func callsValue(s owner.Status) int64           { return int64(s.Core().Counters().Calls()) }
+func extraCallsValue(s owner.Status) int64      { return int64(s.Core().Counters().ExtraCalls()) }
+func failedCallsValue(s owner.Status) int64     { return int64(s.Core().Counters().FailedCalls()) }
+func notRunCallsValue(s owner.Status) int64     { return int64(s.Core().Counters().NotRunCalls()) }
+func rejectedRepliesValue(s owner.Status) int64 { return int64(s.Rejected()) }
 
-func usedPoint(s owner.Status) int64 {
+func usedSlotsValue(s owner.Status) int64 {
 	n := 0
 	for _, b := range s.Core().Servers() {
 		n += b.UsedSlots()
@@ -135,7 +134,7 @@
 	return int64(n)
 }
 
-func limitPoint(s owner.Status) int64 {
+func slotLimitValue(s owner.Status) int64 {
 	n := 0
 	for _, b := range s.Core().Servers() {
 		n += b.SlotLimit()
@@ -143,34 +142,34 @@
 	return int64(n)
 }
 
-func queuePoint(s owner.Status, r tier.Rank) int64 { return int64(s.Core().Queued(r)) }
-func waitPoint(s owner.Status, r tier.Rank) int64  { return int64(s.Core().DrainTime(r)) }
+func queuedValue(s owner.Status, r tier.Rank) int64    { return int64(s.Core().Queued(r)) }
+func drainTimeValue(s owner.Status, r tier.Rank) int64 { return int64(s.Core().DrainTime(r)) }
 
-func admittedPoint(s owner.Status, r tier.Rank) int64 {
+func admittedValue(s owner.Status, r tier.Rank) int64 {
 	return int64(s.Core().Threshold().Fraction(r) * permille)
 }
 
-func refusedPoint(s owner.Status, r tier.Rank) int64 {
+func refusedValue(s owner.Status, r tier.Rank) int64 {
 	return int64(s.Core().Counters().Refused(r))
 }
 
-func flag(on bool) int64 {
+func boolToInt(on bool) int64 {
 	if on {
 		return 1
 	}
 	return 0
 }
 
-// memberKey names the VMs of a data centre in a state.
-type memberKey struct {
+// memberGroup identifies the VMs of a data centre that are in the same state.
+type memberGroup struct {
 	dataCentre string
 	state      tier.VMState
 }
 
-func (o *observer) members() []meter.Point {
-	counts := map[memberKey]int64{}
+func (o *gaugeReader) members() []meter.Point {
+	counts := map[memberGroup]int64{}
 	for _, m := range o.daemon.gossip.Members() {
-		counts[memberKey{m.DataCentre(), m.State()}]++
+		counts[memberGroup{m.DataCentre(), m.State()}]++
 	}
 	var out []meter.Point
 	for k, n := range counts {
@@ -179,15 +178,15 @@
 	return out
 }
 
-func (o *observer) inflight() []meter.Point {
-	callers, all := o.daemon.inflight.count()
+func (o *gaugeReader) inflight() []meter.Point {
+	callers, total := o.daemon.inflight.counts()
 	return []meter.Point{
 		meter.NewPoint(int64(callers), "from", "callers"),
-		meter.NewPoint(int64(all-callers), "from", "vms"),
+		meter.NewPoint(int64(total-callers), "from", "vms"),
 	}
 }
 
-func (o *observer) backends() []meter.Point {
+func (o *gaugeReader) backends() []meter.Point {
 	var out []meter.Point
 	for _, s := range o.owners() {
 		counts := map[tier.BackendState]int64{}
@@ -201,7 +200,7 @@
 	return out
 }
 
-func (o *observer) gossipBytes() []meter.Point {
+func (o *gaugeReader) gossipBytes() []meter.Point {
 	t := o.daemon.gossip.Traffic()
 	return []meter.Point{
 		meter.NewPoint(int64(t.Sent()), "direction", "sent"),
@@ -209,7 +208,7 @@
 	}
 }
 
-func (o *observer) gossipExchanges() []meter.Point {
+func (o *gaugeReader) gossipExchanges() []meter.Point {
 	t := o.daemon.gossip.Traffic()
 	return []meter.Point{
 		meter.NewPoint(int64(t.Exchanges()), "which", "begun"),
@@ -217,7 +216,7 @@
 	}
 }
 
-func (o *observer) epochs() []meter.Point {
+func (o *gaugeReader) epochs() []meter.Point {
 	var out []meter.Point
 	for _, r := range o.daemon.config.Status().Documents() {
 		out = append(out, meter.NewPoint(int64(r.Epoch()), "key", r.Key()))
@@ -225,7 +224,7 @@
 	return out
 }
 
-func (o *observer) revisions() []meter.Point {
+func (o *gaugeReader) revisions() []meter.Point {
 	var out []meter.Point
 	for _, r := range o.daemon.config.Status().Documents() {
 		out = append(out, meter.NewPoint(int64(r.Revision()), "key", r.Key()))
@@ -233,15 +232,15 @@
 	return out
 }
 
-func (o *observer) warnings() []meter.Point {
+func (o *gaugeReader) warnings() []meter.Point {
 	return []meter.Point{meter.NewPoint(int64(len(o.daemon.config.Warnings())))}
 }
 
-func (o *observer) watcher() []meter.Point {
-	return []meter.Point{meter.NewPoint(flag(o.daemon.config.Status().Watcher()))}
+func (o *gaugeReader) watcher() []meter.Point {
+	return []meter.Point{meter.NewPoint(boolToInt(o.daemon.config.Status().Watcher()))}
 }
 
-func (o *observer) configurationCalls() []meter.Point {
+func (o *gaugeReader) configurationCalls() []meter.Point {
 	c := o.daemon.config.Status().Counts()
 	return []meter.Point{
 		meter.NewPoint(int64(c.Lists()), "call", "read"),
@@ -250,7 +249,7 @@
 	}
 }
 
-func (o *observer) claims() []meter.Point {
+func (o *gaugeReader) claims() []meter.Point {
 	ctx, cancel := context.WithTimeout(o.daemon.ctx, statusTimeout.Duration())
 	defer cancel()
 	n, ok := o.daemon.booker.Counters(ctx)
--- a/cicadagraded/pages_test.go
+++ b/cicadagraded/pages_test.go
@@ -17,16 +17,16 @@
 
 const runningPage = "../docs/operators/running.md"
 
-// settingRows are the rows of the settings table in the operators' page.
+// settingRows returns the rows that the operators' page should have for the settings.
 func settingRows() []string {
 	var rows []string
 	for _, t := range settingsTable() {
-		rows = append(rows, fmt.Sprintf("| `--%s` | `%s` | %s | %s | %s |", t.flag, t.env(), t.initial, t.allowed, t.usage))
+		rows = append(rows, fmt.Sprintf("| `--%s` | `%s` | %s | %s | %s |", t.flag, t.env(), t.defaultValue, t.allowed, t.usage))
 	}
 	return rows
 }
 
-// gaugeRows are the rows of the gauges in the operators' page.
+// gaugeRows returns the rows that the operators' page should have for the gauges.
 func gaugeRows() []string {
 	var rows []string
 	for _, g := range gaugeTable() {
@@ -35,10 +35,10 @@
 	return rows
 }
 
-// promName is a gauge's name in the Prometheus format.
+// promName returns a gauge's name in the Prometheus format.
 func promName(name string) string { return strings.ReplaceAll(name, ".", "_") }
 
-// rowsOf lists the rows of a page's tables that start with a prefix.
+// rowsOf returns the table rows of a page that start with a prefix.
 func rowsOf(page, prefix string) []string {
 	var rows []string
 	for line := range strings.Lines(page) {
@@ -91,11 +91,11 @@
 	}
 }
 
-// newIdleDaemon is a daemon of which nothing runs.
+// newIdleDaemon returns a daemon of which no component runs.
 func newIdleDaemon(t *testing.T) *daemon {
 	t.Helper()
 	flags := pflag.NewFlagSet("serve", pflag.ContinueOnError)
-	register(flags)
+	registerFlags(flags)
 	if err := flags.Parse([]string{"--name", "caxias-1", "--data-centre", "serra-caxias"}); err != nil {
 		t.Fatal(err)
 	}
--- a/cicadagraded/root.go
+++ b/cicadagraded/root.go
@@ -10,9 +10,9 @@
 	"cicadagrade.example/tier"
 )
 
-const rootHelp = `cicadagraded runs on each entry VM. It takes callers' searches and bookings,
-has the owners of the shard sets run them on the backend servers, and answers
-from one snapshot with true coverage.`
+const rootHelp = `cicadagraded runs on each entry VM. It accepts callers' searches and bookings and
+has the owners of the shard sets run them on the backend servers. An answer comes
+from one snapshot and states which shards it covers.`
 
 // Exit codes.
 const (
@@ -43,7 +43,7 @@
 	return exitOK
 }
 
-// exitCode tells bad settings from other failures.
+// exitCode returns exitSettings for invalid settings or flags, and exitFailed otherwise.
 func exitCode(err error) int {
 	var invalid *tier.InvalidError
 	if errors.As(err, &invalid) {
--- a/cicadagraded/root_test.go
+++ b/cicadagraded/root_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Bad flags end like bad settings: the exit code tells them from failures.
+// Invalid flags have the same exit code as invalid settings, which differs from other failures.
 func TestExitCodes(t *testing.T) {
 	old := os.Args
 	defer func() { os.Args = old }()
--- a/cicadagraded/seeder.go
+++ b/cicadagraded/seeder.go
@@ -14,17 +14,16 @@
 	"cicadagrade.example/tier/storer"
 )
 
-// Pace of the reads of the platform's list of VMs.
+// Intervals and timeout of the reads of the platform's list of VMs.
 const (
-	startSpread   = 10 * tier.Second // of the first read, when all VMs start at once
-	firstSeedWait = 1 * tier.Second
-	lastSeedWait  = 60 * tier.Second
-	seedTimeout   = 2 * tier.Second
+	maxStartDelay   = 10 * tier.Second // spreads the first reads when all VMs start at once
+	minSeedInterval = 1 * tier.Second
+	maxSeedInterval = 60 * tier.Second
+	listReadTimeout = 2 * tier.Second
 )
 
-// seeder is the duty that reads the platform's list of VMs of this data
-// centre while no peer is known. The list lags, so it only tells gossip where
-// to look.
+// seeder reads the platform's list of VMs of this data centre while no peer is known. The list
+// may be out of date, so it only gives gossip addresses to contact.
 type seeder struct {
 	store  storer.Store
 	key    string
@@ -33,7 +32,7 @@
 	logger *log.Logger
 }
 
-// vmList is the platform's list of a data centre's VMs.
+// vmList is the stored form of the platform's list of a data centre's VMs.
 type vmList struct {
 	VMs []listedVM `json:"vms"`
 }
@@ -44,28 +43,27 @@
 	State   string `json:"state"` // live or leaving
 }
 
-// Run reads the list whenever this VM is alone, less often each time, until
-// ctx ends.
+// Run reads the list while no peer is known, at intervals that double each time, until ctx ends.
 func (s *seeder) Run(ctx context.Context) error {
-	wait := firstSeedWait
-	if !paused(ctx, jittered(startSpread)) {
+	interval := minSeedInterval
+	if !sleep(ctx, jitter(maxStartDelay)) {
 		return nil
 	}
 	for {
-		if s.alone() {
-			s.read(ctx)
-			wait = min(2*wait, lastSeedWait)
+		if s.isAlone() {
+			s.readVMList(ctx)
+			interval = min(2*interval, maxSeedInterval)
 		} else {
-			wait = firstSeedWait
+			interval = minSeedInterval
 		}
-		if !paused(ctx, jittered(wait)) {
+		if !sleep(ctx, jitter(interval)) {
 			return nil
 		}
 	}
 }
 
-// paused waits, and reports whether it could before ctx ended.
-func paused(ctx context.Context, m tier.Millis) bool {
+// sleep waits for a duration. It returns false if ctx ended before.
+func sleep(ctx context.Context, m tier.Millis) bool {
 	timer := time.NewTimer(m.Duration())
 	defer timer.Stop()
 	select {
@@ -76,11 +74,11 @@
 	}
 }
 
-// jittered is a time between half of m and m.
-func jittered(m tier.Millis) tier.Millis { return m/2 + tier.Millis(rand.Int64N(int64(m/2)+1)) }
+// jitter returns a random duration between m/2 and m.
+func jitter(m tier.Millis) tier.Millis { return m/2 + tier.Millis(rand.Int64N(int64(m/2)+1)) }
 
-// alone reports whether no other VM is known to live.
-func (s *seeder) alone() bool {
+// isAlone reports whether gossip knows no other VM that is not dead.
+func (s *seeder) isAlone() bool {
 	for _, m := range s.gossip.Members() {
 		if m.Name() != s.gossip.Self().Name() && m.State() != tier.VMDead {
 			return false
@@ -89,14 +87,14 @@
 	return true
 }
 
-func (s *seeder) read(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, seedTimeout.Duration())
+func (s *seeder) readVMList(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, listReadTimeout.Duration())
 	defer cancel()
-	v, err := s.store.Get(ctx, s.key)
-	if err != nil || !v.Present() {
+	value, err := s.store.Get(ctx, s.key)
+	if err != nil || !value.Present() {
 		return
 	}
-	addresses, err := decodeVMList(v.Data())
+	addresses, err := decodeVMList(value.Data())
 	if err != nil {
 		s.logger.Warn("vm-list", "key", s.key, "error", err)
 		return
@@ -104,15 +102,15 @@
 	s.gossip.SetSeeds(append(addresses, s.seeds...))
 }
 
-// decodeVMList lists the addresses of the VMs in the platform's list that it
-// does not say to be leaving.
+// decodeVMList returns the valid addresses of the VMs in the platform's list, except of VMs that
+// are leaving.
 func decodeVMList(b []byte) ([]string, error) {
-	var l vmList
-	if err := json.Unmarshal(b, &l); err != nil {
+	var list vmList
+	if err := json.Unmarshal(b, &list); err != nil {
 		return nil, errors.Wrap(err, "decodeVMList")
 	}
 	var out []string
-	for _, v := range l.VMs {
+	for _, v := range list.VMs {
 		if v.State != "leaving" && validAddress(v.Address) {
 			out = append(out, v.Address)
 		}
--- a/cicadagraded/seeder_test.go
+++ b/cicadagraded/seeder_test.go
@@ -14,7 +14,7 @@
 		t.Errorf("got %v, %v", got, err)
 	}
 	if _, err := decodeVMList([]byte(`{"vms":`)); err == nil {
-		t.Error("a cut list is taken")
+		t.Error("a truncated list is accepted")
 	}
 }
 
--- a/cicadagraded/serve.go
+++ b/cicadagraded/serve.go
@@ -10,19 +10,19 @@
 	"cicadagrade.example/tier"
 )
 
-const serveHelp = `Runs an entry VM: serves callers, talks to the other entry VMs, and owns its
-share of the shard sets of its data centre.
+const serveHelp = `Runs an entry VM: serves callers, communicates with the other entry VMs, and
+owns its share of the shard sets of its data centre.
 
-Every setting is a flag, or the environment variable named beside it; the flag
-goes first. All settings are checked at the start: a bad one ends the process
-with exit code 2 and one message that names each bad setting, its value and
-what is allowed.
+Every setting is a flag or the environment variable named beside it; the flag
+takes precedence. All settings are checked at the start: if any is invalid, the
+process exits with code 2 and one message that names each invalid setting, its
+value and what is allowed.
 
-SIGTERM or an interrupt starts a planned stop: the VM says that it is leaving,
-fails its readiness check, goes on accepting work until the balancer's lag has
-passed, finishes all that is in flight and exits with code 0. A second signal,
-or the stop limit, ends the waiting: the process logs each request that it cuts
-off and exits with code 1.`
+SIGTERM or an interrupt starts a graceful shutdown: the VM tells its peers that
+it is leaving, fails its readiness check, accepts new requests until the load
+balancer's lag has passed, finishes all requests in flight and exits with code
+0. A second signal, or reaching the stop limit, ends the wait: the process logs
+each request that it abandons and exits with code 1.`
 
 func serveCommand() *cobra.Command {
 	c := &cobra.Command{
@@ -38,11 +38,11 @@
 			return serve(c.Context(), s)
 		},
 	}
-	register(c.Flags())
+	registerFlags(c.Flags())
 	return c
 }
 
-// serve runs the daemon until a planned stop.
+// serve runs the daemon until its graceful shutdown is finished.
 func serve(ctx context.Context, s *settings) error {
 	d, err := newDaemon(ctx, s, tier.NewClock(), newLogger(os.Stderr, s))
 	if err != nil {
--- a/cicadagraded/settings.go
+++ b/cicadagraded/settings.go
@@ -13,7 +13,7 @@
 	"cicadagrade.example/tier"
 )
 
-// Bounds of the settings.
+// Defaults and upper bounds of the settings.
 const (
 	defaultBalancerLag  = 3 * tier.Second
 	maxBalancerLag      = 5 * tier.Minute
@@ -26,7 +26,7 @@
 	envPrefix           = "CICADAGRADED_"
 )
 
-// settings is what a VM learns at its start from flags and environment.
+// settings holds the configuration of a VM from flags and environment variables.
 type settings struct {
 	name          string
 	dataCentre    string
@@ -36,7 +36,7 @@
 	storeAddress  string
 	vmListPrefix  string
 	seeds         []string
-	dial          map[string]string
+	dialOverrides map[string]string
 	balancerLag   tier.Millis
 	stopLimit     tier.Millis
 	maxBodyBytes  int
@@ -44,44 +44,43 @@
 	logLevel      log.Level
 }
 
-// setting is one row of the settings table.
+// setting describes a setting and how its value is parsed.
 type setting struct {
-	flag    string
-	usage   string
-	initial string
-	allowed string
-	set     func(s *settings, value string) bool
+	flag         string
+	usage        string
+	defaultValue string
+	allowed      string
+	parse        func(s *settings, value string) bool
 }
 
-// env is the environment variable that holds the setting.
+// env returns the name of the setting's environment variable.
 func (t setting) env() string {
 	return envPrefix + strings.ToUpper(strings.ReplaceAll(t.flag, "-", "_"))
 }
 
-// settingsTable lists every setting. docs/operators/running.md is checked
-// against it by a test.
+// settingsTable lists every setting. A test checks docs/operators/running.md against it.
 func settingsTable() []setting {
 	return []setting{
 		{"name", "name of this VM, unique in the deployment", "", "a kebab-case name of at most 63 characters", setName(func(s *settings) *string { return &s.name })},
 		{"data-centre", "data centre that this VM runs in", "", "a kebab-case name of at most 63 characters", setName(func(s *settings) *string { return &s.dataCentre })},
-		{"api-address", "where callers reach this VM", "127.0.0.1:7070", addressAllowed, setAddress(func(s *settings) *string { return &s.apiAddress })},
-		{"peer-address", "where this VM listens for other VMs", "127.0.0.1:7071", addressAllowed, setAddress(func(s *settings) *string { return &s.peerAddress })},
-		{"peer-advertise", "where other VMs reach this VM; empty: peer-address", "", "empty, or " + addressAllowed, setOptional(setAddress(func(s *settings) *string { return &s.peerAdvertise }))},
-		{"store", "the platform's metadata store", "127.0.0.1:2379", addressAllowed, setAddress(func(s *settings) *string { return &s.storeAddress })},
-		{"vm-list-prefix", "start of the store's key of the platform's list of VMs; the data centre's name follows", "platform/vms/", "1 to 256 bytes", setText(256, func(s *settings) *string { return &s.vmListPrefix })},
-		{"seeds", "peer addresses of some other VMs, separated by commas", "", "empty, or IP numbers with ports, separated by commas", setSeeds},
-		{"dial", "other addresses to dial in place of those of VMs and the store, such as a relay's", "", "empty, or pairs ADDRESS=ADDRESS of IP numbers with ports, separated by commas", setDial},
-		{"balancer-lag-ms", "how long the platform's balancer may still send work after readiness fails", millisText(defaultBalancerLag), "0 to 300000", setMillis(0, maxBalancerLag, func(s *settings) *tier.Millis { return &s.balancerLag })},
-		{"stop-limit-ms", "how long a planned stop waits for work in flight", millisText(defaultStopLimit), "1000 to 1800000", setMillis(tier.Second, maxStopLimit, func(s *settings) *tier.Millis { return &s.stopLimit })},
-		{"max-body-bytes", "largest body of a caller's request", strconv.Itoa(defaultMaxBodyBytes), "1024 to 1048576", setInt(1024, maxMaxBodyBytes, func(s *settings) *int { return &s.maxBodyBytes })},
-		{"max-requests", "most callers' requests in flight at once", strconv.Itoa(defaultMaxRequests), "1 to 1048576", setInt(1, maxMaxRequests, func(s *settings) *int { return &s.maxRequests })},
-		{"log-level", "least level that is logged", "info", "debug, info, warn or error", setLogLevel},
+		{"api-address", "address on which this VM listens for callers", "127.0.0.1:7070", addressAllowed, setAddress(func(s *settings) *string { return &s.apiAddress })},
+		{"peer-address", "address on which this VM listens for other VMs", "127.0.0.1:7071", addressAllowed, setAddress(func(s *settings) *string { return &s.peerAddress })},
+		{"peer-advertise", "address at which other VMs reach this VM; empty: peer-address", "", "empty, or " + addressAllowed, setOptional(setAddress(func(s *settings) *string { return &s.peerAdvertise }))},
+		{"store", "address of the platform's metadata store", "127.0.0.1:2379", addressAllowed, setAddress(func(s *settings) *string { return &s.storeAddress })},
+		{"vm-list-prefix", "prefix of the store key that holds the platform's list of VMs; the data centre's name is appended", "platform/vms/", "1 to 256 bytes", setString(256, func(s *settings) *string { return &s.vmListPrefix })},
+		{"seeds", "peer addresses of some other VMs, separated by commas", "", "empty, or IP addresses with ports, separated by commas", setSeeds},
+		{"dial", "addresses to dial instead of those of VMs and the store, such as a relay's", "", "empty, or pairs ADDRESS=REPLACEMENT of IP addresses with ports, separated by commas", setDialOverrides},
+		{"balancer-lag-ms", "how long the platform's load balancer may still send requests after the readiness check fails, in milliseconds", formatMillis(defaultBalancerLag), "0 to 300000", setMillis(0, maxBalancerLag, func(s *settings) *tier.Millis { return &s.balancerLag })},
+		{"stop-limit-ms", "how long a graceful shutdown waits for requests in flight, in milliseconds", formatMillis(defaultStopLimit), "1000 to 1800000", setMillis(tier.Second, maxStopLimit, func(s *settings) *tier.Millis { return &s.stopLimit })},
+		{"max-body-bytes", "maximum size of the body of a caller's request, in bytes", strconv.Itoa(defaultMaxBodyBytes), "1024 to 1048576", setInt(1024, maxMaxBodyBytes, func(s *settings) *int { return &s.maxBodyBytes })},
+		{"max-requests", "maximum number of callers' requests in flight at once", strconv.Itoa(defaultMaxRequests), "1 to 1048576", setInt(1, maxMaxRequests, func(s *settings) *int { return &s.maxRequests })},
+		{"log-level", "minimum level that is logged", "info", "debug, info, warn or error", setLogLevel},
 	}
 }
 
-const addressAllowed = "an IP number and port, such as 127.0.0.1:7070"
+const addressAllowed = "an IP address and port, such as 127.0.0.1:7070"
 
-func millisText(m tier.Millis) string { return strconv.FormatInt(int64(m), 10) }
+func formatMillis(m tier.Millis) string { return strconv.FormatInt(int64(m), 10) }
 
 func setName(field func(*settings) *string) func(*settings, string) bool {
 	return func(s *settings, v string) bool {
@@ -90,10 +89,10 @@
 	}
 }
 
-func setText(most int, field func(*settings) *string) func(*settings, string) bool {
+func setString(maxBytes int, field func(*settings) *string) func(*settings, string) bool {
 	return func(s *settings, v string) bool {
 		*field(s) = v
-		return len(v) >= 1 && len(v) <= most
+		return len(v) >= 1 && len(v) <= maxBytes
 	}
 }
 
@@ -104,8 +103,8 @@
 	}
 }
 
-func setOptional(set func(*settings, string) bool) func(*settings, string) bool {
-	return func(s *settings, v string) bool { return v == "" || set(s, v) }
+func setOptional(parse func(*settings, string) bool) func(*settings, string) bool {
+	return func(s *settings, v string) bool { return v == "" || parse(s, v) }
 }
 
 func setSeeds(s *settings, v string) bool {
@@ -121,8 +120,8 @@
 	return true
 }
 
-func setDial(s *settings, v string) bool {
-	s.dial = map[string]string{}
+func setDialOverrides(s *settings, v string) bool {
+	s.dialOverrides = map[string]string{}
 	if v == "" {
 		return true
 	}
@@ -131,62 +130,63 @@
 		if !ok || !validAddress(from) || !validAddress(to) {
 			return false
 		}
-		s.dial[from] = to
+		s.dialOverrides[from] = to
 	}
 	return true
 }
 
-// dialled is the address to dial in place of another.
-func (s *settings) dialled(address string) string {
-	if to, ok := s.dial[address]; ok {
+// dialAddress returns the address to dial instead of address: its override, or itself.
+func (s *settings) dialAddress(address string) string {
+	if to, ok := s.dialOverrides[address]; ok {
 		return to
 	}
 	return address
 }
 
-func setMillis(low, high tier.Millis, field func(*settings) *tier.Millis) func(*settings, string) bool {
+func setMillis(minimum, maximum tier.Millis, field func(*settings) *tier.Millis) func(*settings, string) bool {
 	return func(s *settings, v string) bool {
 		n, err := strconv.ParseInt(v, 10, 64)
 		*field(s) = tier.Millis(n)
-		return err == nil && tier.Millis(n) >= low && tier.Millis(n) <= high
+		return err == nil && tier.Millis(n) >= minimum && tier.Millis(n) <= maximum
 	}
 }
 
-func setInt(low, high int, field func(*settings) *int) func(*settings, string) bool {
+func setInt(minimum, maximum int, field func(*settings) *int) func(*settings, string) bool {
 	return func(s *settings, v string) bool {
 		n, err := strconv.Atoi(v)
 		*field(s) = n
-		return err == nil && n >= low && n <= high
+		return err == nil && n >= minimum && n <= maximum
 	}
 }
 
 func setLogLevel(s *settings, v string) bool {
-	l, err := log.ParseLevel(v)
-	s.logLevel = l
-	return err == nil && l <= log.ErrorLevel
+	level, err := log.ParseLevel(v)
+	s.logLevel = level
+	return err == nil && level <= log.ErrorLevel
 }
 
 func validAddress(v string) bool {
-	a, err := netip.ParseAddrPort(v)
-	return err == nil && a.Port() > 0
+	addrPort, err := netip.ParseAddrPort(v)
+	return err == nil && addrPort.Port() > 0
 }
 
-// register adds a flag for each setting; the environment gives its default.
-func register(flags *pflag.FlagSet) {
+// registerFlags adds a flag for each setting. loadSettings falls back to the environment for
+// flags that were not given.
+func registerFlags(flags *pflag.FlagSet) {
 	for _, t := range settingsTable() {
 		usage := fmt.Sprintf("%s; %s (environment: %s)", t.usage, t.allowed, t.env())
-		flags.String(t.flag, t.initial, usage)
+		flags.String(t.flag, t.defaultValue, usage)
 	}
 }
 
-// loadSettings reads every setting, the flag before the environment, and
-// reports all bad ones in one *tier.InvalidError.
+// loadSettings reads every setting; a flag takes precedence over the environment variable. It
+// reports all invalid settings in one *tier.InvalidError.
 func loadSettings(flags *pflag.FlagSet) (*settings, error) {
 	s := &settings{}
 	var problems []tier.FieldProblem
 	for _, t := range settingsTable() {
 		value, source := lookUp(flags, t)
-		if !t.set(s, value) {
+		if !t.parse(s, value) {
 			problems = append(problems, tier.NewFieldProblem(source, value, t.allowed))
 		}
 	}
@@ -199,7 +199,7 @@
 	return s, tier.NewInvalidError("settings", problems)
 }
 
-// lookUp returns a setting's value and where it came from.
+// lookUp returns a setting's value, and the flag or environment variable it came from.
 func lookUp(flags *pflag.FlagSet, t setting) (value, source string) {
 	f := flags.Lookup(t.flag)
 	if f.Changed {
@@ -208,5 +208,5 @@
 	if v, ok := os.LookupEnv(t.env()); ok {
 		return v, t.env()
 	}
-	return t.initial, "--" + t.flag
+	return t.defaultValue, "--" + t.flag
 }
--- a/cicadagraded/settings_test.go
+++ b/cicadagraded/settings_test.go
@@ -9,19 +9,19 @@
 	"cicadagrade.example/tier"
 )
 
-func load(t *testing.T, args ...string) (*settings, error) {
+func loadArgs(t *testing.T, args ...string) (*settings, error) {
 	t.Helper()
 	flags := pflag.NewFlagSet("serve", pflag.ContinueOnError)
-	register(flags)
+	registerFlags(flags)
 	if err := flags.Parse(args); err != nil {
 		t.Fatal(err)
 	}
 	return loadSettings(flags)
 }
 
-func TestSettingsNameEachBadOne(t *testing.T) {
+func TestLoadSettingsReportsEachInvalidSetting(t *testing.T) {
 	t.Setenv("CICADAGRADED_STORE", "store.example:2379")
-	_, err := load(t, "--name", "Caxias 1", "--data-centre", "serra-caxias", "--stop-limit-ms", "5")
+	_, err := loadArgs(t, "--name", "Caxias 1", "--data-centre", "serra-caxias", "--stop-limit-ms", "5")
 	var invalid *tier.InvalidError
 	if !errors.As(err, &invalid) {
 		t.Fatalf("got %v, want *tier.InvalidError", err)
@@ -41,9 +41,9 @@
 	}
 }
 
-func TestSettingsPreferFlags(t *testing.T) {
+func TestFlagsTakePrecedence(t *testing.T) {
 	t.Setenv("CICADAGRADED_NAME", "from-environment")
-	s, err := load(t, "--name", "from-flag", "--data-centre", "serra-caxias")
+	s, err := loadArgs(t, "--name", "from-flag", "--data-centre", "serra-caxias")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,15 +55,15 @@
 	}
 }
 
-func TestStopLimitOutlastsLagAndDeadlines(t *testing.T) {
-	s, err := load(t, "--name", "a", "--data-centre", "b")
+func TestStopLimitExceedsLagAndDeadlines(t *testing.T) {
+	s, err := loadArgs(t, "--name", "a", "--data-centre", "b")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s.stopLimit < tier.MaxDeadlineAllowed+s.balancerLag {
-		t.Errorf("a planned stop cuts requests off after %d ms", s.stopLimit)
+		t.Errorf("a graceful shutdown abandons requests after %d ms", s.stopLimit)
 	}
-	_, err = load(t, "--name", "a", "--data-centre", "b", "--stop-limit-ms", "3000", "--balancer-lag-ms", "3000")
+	_, err = loadArgs(t, "--name", "a", "--data-centre", "b", "--stop-limit-ms", "3000", "--balancer-lag-ms", "3000")
 	var invalid *tier.InvalidError
 	if !errors.As(err, &invalid) || invalid.Problems()[0].Path() != "stop-limit-ms" {
 		t.Errorf("got %v, want a problem with stop-limit-ms", err)
--- a/cicadagraded/status.go
+++ b/cicadagraded/status.go
@@ -8,19 +8,19 @@
 	"cicadagrade.example/tier"
 )
 
-// Self is this VM as its peers know it.
+// Self returns this VM as gossip announces it.
 func (d *daemon) Self() tier.VM { return d.gossip.Self() }
 
-// Members lists the VMs known.
+// Members lists the VMs that gossip knows.
 func (d *daemon) Members() []tier.VM { return d.gossip.Members() }
 
-// Reachable reports whether a data centre answers.
+// Reachable reports whether VMs of a data centre respond.
 func (d *daemon) Reachable(dataCentre string) bool { return d.gossip.Reachable(dataCentre) }
 
-// Owners lists the owners that run on this VM.
+// Owners returns the status of the owners that run on this VM.
 func (d *daemon) Owners(ctx context.Context) []owner.Status { return d.registry.Statuses(ctx) }
 
-// Documents lists the configuration documents in force here.
+// Documents lists the configuration documents in force on this VM.
 func (d *daemon) Documents() []handler.Document {
 	var out []handler.Document
 	for _, r := range d.config.Status().Documents() {
@@ -29,5 +29,5 @@
 	return out
 }
 
-// Warnings lists what an operator should look at.
-func (d *daemon) Warnings() []string { return append(d.store.warnings(), d.config.Warnings()...) }
+// Warnings lists the conditions that need an operator's attention.
+func (d *daemon) Warnings() []string { return append(d.storeHealth.warnings(), d.config.Warnings()...) }
--- a/cicadagraded/stop.go
+++ b/cicadagraded/stop.go
@@ -17,7 +17,7 @@
 	"cicadagrade.example/tier/ring"
 )
 
-// stopper is the duty that waits for a signal and stops the VM as planned.
+// stopper shuts the VM down gracefully after a signal, or when another VM has taken its name.
 type stopper struct {
 	logger      *log.Logger
 	clock       *tier.Clock
@@ -27,10 +27,10 @@
 	servers     []*http.Server
 	balancerLag tier.Millis
 	stopLimit   tier.Millis
-	replaced    *ring.Ring[tier.VM] // who took this VM's name
+	replacedBy  *ring.Ring[tier.VM] // the VM that took this VM's name
 }
 
-// Run returns once the VM may exit. A second signal ends the waiting.
+// Run returns once the process may exit. A second signal ends the wait for requests in flight.
 func (s *stopper) Run(ctx context.Context) error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
@@ -40,17 +40,17 @@
 		return nil
 	case <-signals:
 		return errors.Wrap(s.stop(ctx, signals), "stopper.Run")
-	case vm := <-s.replaced.Out():
-		return errors.Wrap(s.yield(ctx, signals, vm), "stopper.Run")
+	case vm := <-s.replacedBy.Out():
+		return errors.Wrap(s.stopReplaced(ctx, signals, vm), "stopper.Run")
 	}
 }
 
-// yield stops this VM as planned after another took its name, and sends no more
-// bookings.
-func (s *stopper) yield(ctx context.Context, signals <-chan os.Signal, by tier.VM) error {
+// stopReplaced shuts this VM down after another VM has taken its name. It first fences the
+// booker, so that no more bookings are sent.
+func (s *stopper) stopReplaced(ctx context.Context, signals <-chan os.Signal, by tier.VM) error {
 	s.logger.Error("replaced", "by", by.Address(), "incarnation", by.Incarnation())
 	if err := s.booker.Fence(ctx); err != nil {
-		return errors.Wrap(err, "stopper.yield")
+		return errors.Wrap(err, "stopper.stopReplaced")
 	}
 	if err := s.stop(ctx, signals); err != nil {
 		return err
@@ -58,41 +58,41 @@
 	return errors.WithStack(&replacedError{by: by})
 }
 
-// replacedError says that another VM runs under this one's name.
+// replacedError reports that another VM runs under this VM's name.
 type replacedError struct{ by tier.VM }
 
 func (e *replacedError) Error() string { return "replaced by the VM at " + e.by.Address() }
 
-// stop tells peers and the balancer, goes on accepting until both have heard,
-// and waits for what is in flight.
+// stop announces to peers and the load balancer that the VM is leaving, keeps accepting requests
+// until the balancer's lag has passed, and waits for the requests in flight.
 func (s *stopper) stop(ctx context.Context, signals <-chan os.Signal) error {
-	began := s.clock.Now()
+	start := s.clock.Now()
 	s.logger.Info("stopping", "balancer-lag-ms", s.balancerLag, "limit-ms", s.stopLimit)
-	s.inflight.leave()
+	s.inflight.markLeaving()
 	s.gossip.SetState(tier.VMLeaving)
-	ticker := time.NewTicker(stopPoll.Duration())
+	ticker := time.NewTicker(stopPollInterval.Duration())
 	defer ticker.Stop()
 	for {
-		waited := s.clock.Now() - began
+		waited := s.clock.Now() - start
 		if waited >= s.balancerLag && s.inflight.idle() {
 			s.logger.Info("stopped", "took-ms", waited)
 			return s.shutdown(ctx)
 		}
 		if waited >= s.stopLimit {
-			return s.cut("limit")
+			return s.abandonRequests("limit")
 		}
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-signals:
-			return s.cut("second signal")
+			return s.abandonRequests("second signal")
 		case <-ticker.C:
 		}
 	}
 }
 
-// shutdown closes the servers, so that a request that came last is still
-// answered, and records the outcomes of bookings.
+// shutdown closes the servers gracefully, so that requests that arrived last are still answered,
+// and records the outcomes of bookings.
 func (s *stopper) shutdown(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, s.stopLimit.Duration())
 	defer cancel()
@@ -105,28 +105,28 @@
 	return nil
 }
 
-// flushLimit bounds the wait for the store at the end of a planned stop.
-const flushLimit = 5 * tier.Second
+// flushTimeout bounds the wait for the store at the end of a graceful shutdown.
+const flushTimeout = 5 * tier.Second
 
-// flush records the outcomes of bookings. Those that the store does not take
-// are unknown to whoever asks again with the same key.
+// flush writes the outcomes of bookings to the store. A caller that repeats an idempotency key
+// whose outcome was not written is told that the outcome is unknown.
 func (s *stopper) flush(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, flushLimit.Duration())
+	ctx, cancel := context.WithTimeout(ctx, flushTimeout.Duration())
 	defer cancel()
 	if err := s.booker.Flush(ctx); err != nil {
 		s.logger.Warn("outcomes not recorded", "error", err)
 	}
 }
 
-// cut ends the stop with work in flight and logs each request that it cuts.
-func (s *stopper) cut(reason string) error {
-	for _, r := range s.inflight.list() {
-		s.logger.Error("cut", "reason", reason, "request", r)
+// abandonRequests ends the shutdown with requests in flight and logs each of them.
+func (s *stopper) abandonRequests(reason string) error {
+	for _, name := range s.inflight.requestNames() {
+		s.logger.Error("cut", "reason", reason, "request", name)
 	}
-	return errors.WithStack(&cutError{reason: reason})
+	return errors.WithStack(&unfinishedError{reason: reason})
 }
 
-// cutError says that a planned stop cut off requests in flight.
-type cutError struct{ reason string }
+// unfinishedError reports that a shutdown abandoned requests in flight.
+type unfinishedError struct{ reason string }
 
-func (e *cutError) Error() string { return "stopped with requests in flight: " + e.reason }
+func (e *unfinishedError) Error() string { return "stopped with requests in flight: " + e.reason }
--- a/cicadagraded/storehealth.go
+++ b/cicadagraded/storehealth.go
@@ -12,10 +12,10 @@
 	"cicadagrade.example/tier/storer"
 )
 
-// storeWarnAfter is how long the store fails before status warns of it.
-const storeWarnAfter = 3 * tier.Second
+// storeWarningDelay is how long the store has to fail before the status shows a warning.
+const storeWarningDelay = 3 * tier.Second
 
-// storeHealth watches how the calls of the store end, for logs and status.
+// storeHealth tracks whether calls to the store succeed, for the log and the status.
 type storeHealth struct {
 	clock  *tier.Clock
 	logger *log.Logger
@@ -25,8 +25,8 @@
 	since   tier.Millis
 }
 
-// observe notes the end of a call. A conflict is an answer like any other, and
-// a call that this VM gave up itself says nothing.
+// observe records the result of a store call. A conflict counts as success because the store has
+// answered, and a call that this VM cancelled is ignored.
 func (h *storeHealth) observe(call string, err error) {
 	var conflict *storer.ConflictError
 	if errors.Is(err, context.Canceled) {
@@ -47,13 +47,13 @@
 	h.failing, h.since = failed, now
 }
 
-// warnings says so when the store has failed for a while.
+// warnings returns a warning if the store has been failing for at least storeWarningDelay.
 func (h *storeHealth) warnings() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	failed := h.clock.Now() - h.since
-	if !h.failing || failed < storeWarnAfter {
+	elapsed := h.clock.Now() - h.since
+	if !h.failing || elapsed < storeWarningDelay {
 		return nil
 	}
-	return []string{fmt.Sprintf("store: no call has succeeded for %d s; the configuration stays as it is, bookings with callers' own keys are not run", failed/tier.Second)}
+	return []string{fmt.Sprintf("store: no call has succeeded for %d s; the configuration stays as it is, bookings with callers' own keys are not run", elapsed/tier.Second)}
 }
--- a/cicadagraded/storehealth_test.go
+++ b/cicadagraded/storehealth_test.go
@@ -15,17 +15,17 @@
 	var out bytes.Buffer
 	clock := tier.NewManualClock(0)
 	h := &storeHealth{clock: clock.Clock(), logger: log.New(&out)}
-	lost := storer.NewUnavailableError("get", errors.New("connection refused"))
+	unavailable := storer.NewUnavailableError("get", errors.New("connection refused"))
 	conflict := storer.NewConflictError(storer.NewValue("key", nil, 7))
 	for _, c := range []struct {
 		err      error
 		after    tier.Millis
 		warnings int
 	}{
-		{nil, storeWarnAfter, 0},
-		{lost, storeWarnAfter - 1, 0},
-		{lost, 1, 1},
-		{conflict, storeWarnAfter, 0},
+		{nil, storeWarningDelay, 0},
+		{unavailable, storeWarningDelay - 1, 0},
+		{unavailable, 1, 1},
+		{conflict, storeWarningDelay, 0},
 	} {
 		h.observe("get", c.err)
 		clock.Advance(c.after)
