--- a/cicadagraded/bookings.go
+++ b/cicadagraded/bookings.go
@@ -30,7 +30,7 @@
 	if errors.As(err, &reused) {
 		err = asker.NewKeyReusedError(reused.Key())
 	}
-	return o, errors.Wrap(err, "claims.Book")
+	return o, errors.Wrap(err, "bookingClaims.Book")
 }
 
 // forwardedBookings runs the bookings that other entry VMs forward to this one.
--- a/cicadagraded/handler/bench_test.go
+++ b/cicadagraded/handler/bench_test.go
@@ -9,8 +9,8 @@
 	"cicadagrade.example/tier"
 )
 
-// BenchmarkAnswer is the cost of writing an answer of 110 shards, by the
-// number of its records of 100 bytes.
+// BenchmarkAnswer measures encoding the response to a search over 110 shards, by the number of
+// records of 100 bytes.
 func BenchmarkAnswer(b *testing.B) {
 	for _, n := range []int{1, 10, 100, 1000} {
 		b.Run(fmt.Sprintf("records=%d", n), func(b *testing.B) {
@@ -26,7 +26,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				var w searchResponse
-				w.fill(o)
+				w.fillResult(o)
 				if _, err := json.Marshal(w); err != nil {
 					b.Fatal(err)
 				}
--- a/cicadagraded/handler/book.go
+++ b/cicadagraded/handler/book.go
@@ -12,14 +12,14 @@
 func (h *Handler) book(c echo.Context) error {
 	started := h.clock.Now()
 	var q bookRequest
-	if err := h.read(c, &q); err != nil {
+	if err := h.readBody(c, &q); err != nil {
 		return err
 	}
 	c.Set(requestIDKey, q.RequestID)
-	c.Set(earlierKey, q.IdempotencyKey != "" && !q.FirstSending)
-	end, ok := h.admission.Enter("book " + q.RequestID)
+	c.Set(earlierSendingKey, q.IdempotencyKey != "" && !q.FirstSending)
+	end, ok := h.tracker.Enter("book " + q.RequestID)
 	if !ok {
-		return errors.WithStack(&busyError{})
+		return errors.WithStack(&overloadError{})
 	}
 	defer end()
 	if err := q.validate(); err != nil {
@@ -29,35 +29,36 @@
 	if err != nil {
 		return errors.Wrap(err, "Handler.book")
 	}
-	b := asker.NewBooking(q.RequestID, p, q.Set, q.RecordKey, q.Body, h.deadline(p, q.DeadlineMs), asker.WithIdempotencyKey(q.IdempotencyKey, q.FirstSending))
-	r, err := h.front.Book(c.Request().Context(), b)
+	b := asker.NewBooking(q.RequestID, p, q.Set, q.RecordKey, q.Body, h.absoluteDeadline(p, q.DeadlineMs), asker.WithIdempotencyKey(q.IdempotencyKey, q.FirstSending))
+	receipt, err := h.front.Book(c.Request().Context(), b)
 	if err != nil {
 		return errors.Wrap(err, "Handler.book")
 	}
 	w := bookResponse{
-		common:         common{RequestID: q.RequestID, Rank: p.Rank().String()},
-		IdempotencyKey: r.IdempotencyKey(),
+		commonFields:   commonFields{RequestID: q.RequestID, Rank: p.Rank().String()},
+		IdempotencyKey: receipt.IdempotencyKey(),
 	}
-	status := h.describe(c, &w.common, r.Outcome())
-	if o, ok := r.Outcome().(*tier.Booked); ok {
+	status := h.fillOutcome(c, &w.commonFields, receipt.Outcome())
+	if o, ok := receipt.Outcome().(*tier.Booked); ok {
 		w.Receipt = o.Receipt()
 		w.Repeated = o.Repeated()
 	}
-	if epoch, shard, ok := r.Where(); ok {
+	if epoch, shard, ok := receipt.Where(); ok {
 		w.Snapshot = wireSnapshot(tier.NewSnapshot(epoch, 0))
 		w.Coverage = wireCoverage(tier.NewCoverage([]string{shard}, nil))
 	}
-	h.ended("book", w.Rank, w.Outcome, h.clock.Now()-started)
+	h.observeRequest("book", w.Rank, w.Outcome, h.clock.Now()-started)
 	return c.JSON(status, w)
 }
 
+// validate returns a *tier.InvalidError that lists all invalid fields.
 func (q *bookRequest) validate() error {
-	l := checkCommon(q.RequestID, q.Profile, q.Set, q.DeadlineMs)
-	if len(q.RecordKey) == 0 || len(q.RecordKey) > maxRecordKey {
-		l = append(l, tier.NewFieldProblem("record-key", shorten(q.RecordKey), "1 to 256 bytes"))
+	problems := validateCommon(q.RequestID, q.Profile, q.Set, q.DeadlineMs)
+	if len(q.RecordKey) == 0 || len(q.RecordKey) > maxRecordKeyBytes {
+		problems = append(problems, tier.NewFieldProblem("record-key", truncate(q.RecordKey), "1 to 256 bytes"))
 	}
-	if len(q.Body) > maxBookedBody {
-		l = append(l, tier.NewFieldProblem("body", shorten(q.Body), "at most 32768 bytes"))
+	if len(q.Body) > maxBookingBodyBytes {
+		problems = append(problems, tier.NewFieldProblem("body", truncate(q.Body), "at most 32768 bytes"))
 	}
-	return tier.NewInvalidError("request", l)
+	return tier.NewInvalidError("request", problems)
 }
--- a/cicadagraded/handler/connection_test.go
+++ b/cicadagraded/handler/connection_test.go
@@ -18,16 +18,16 @@
 
 const shortBodyTimeout = 50 * tier.Millis(1)
 
-// slowFront takes longer than the body's timeout, and tells whether the
-// caller was taken for gone meanwhile.
-type slowFront struct{ gone chan bool }
+// slowFront takes longer than the body timeout, and reports whether the request's context was
+// cancelled meanwhile.
+type slowFront struct{ cancelled chan bool }
 
 func (f slowFront) Search(ctx context.Context, _ asker.Search) asker.Answer {
 	select {
 	case <-ctx.Done():
-		f.gone <- true
+		f.cancelled <- true
 	case <-time.After(3 * shortBodyTimeout.Duration()):
-		f.gone <- false
+		f.cancelled <- false
 	}
 	return asker.Answer{}
 }
@@ -36,7 +36,7 @@
 	return asker.Receipt{}, nil
 }
 
-func startSlow(t *testing.T) (*httptest.Server, slowFront) {
+func startSlowServer(t *testing.T) (*httptest.Server, slowFront) {
 	t.Helper()
 	docs, err := parser.ParseProfiles([]byte(`{"profiles":[{"name":"gate"}]}`))
 	if err != nil {
@@ -48,28 +48,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{s: &session{}, clock: tier.NewManualClock(0), docs: docs, set: set}
-	f := slowFront{gone: make(chan bool, 1)}
-	s := httptest.NewServer(New("vm-1", tier.NewClock(), w, f, w, nil, WithBodyTimeout(shortBodyTimeout)).Routes())
+	cluster := &fakeCluster{session: &session{}, clock: tier.NewManualClock(0), profiles: docs, set: set}
+	f := slowFront{cancelled: make(chan bool, 1)}
+	s := httptest.NewServer(New("vm-1", tier.NewClock(), cluster, f, cluster, nil, WithBodyTimeout(shortBodyTimeout)).Routes())
 	t.Cleanup(s.Close)
 	return s, f
 }
 
-func TestLongRequestOutlivesTheBodyTimeout(t *testing.T) {
-	s, f := startSlow(t)
+func TestBodyTimeoutDoesNotCancelRequest(t *testing.T) {
+	s, f := startSlowServer(t)
 	body := `{"request-id":"r","profile":"gate","set":"portao","term":"t"}`
 	reply, err := http.Post(s.URL+"/v1/search", "application/json", strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = reply.Body.Close()
-	if <-f.gone {
-		t.Error("the caller was taken for gone")
+	if <-f.cancelled {
+		t.Error("the request was cancelled although the caller was still connected")
 	}
 }
 
-func TestSlowBodyIsGivenUp(t *testing.T) {
-	s, _ := startSlow(t)
+func TestSlowBodyTimesOut(t *testing.T) {
+	s, _ := startSlowServer(t)
 	c, err := net.Dial("tcp", s.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -81,8 +81,8 @@
 	}
 }
 
-func TestBadFramingIsMalformed(t *testing.T) {
-	s, _ := startSlow(t)
+func TestInvalidFramingIsMalformed(t *testing.T) {
+	s, _ := startSlowServer(t)
 	c, err := net.Dial("tcp", s.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
--- a/cicadagraded/handler/errors.go
+++ b/cicadagraded/handler/errors.go
@@ -11,59 +11,59 @@
 	"cicadagrade.example/tier"
 )
 
-// notFoundError says that a profile or set does not exist.
+// notFoundError reports that a profile or set does not exist.
 type notFoundError struct{ kind, name string }
 
 func (e *notFoundError) Error() string { return "there is no " + e.kind + " " + e.name }
 
-// noConfigurationError says that this VM has no configuration yet.
+// noConfigurationError reports that this VM has no configuration yet.
 type noConfigurationError struct{}
 
 func (*noConfigurationError) Error() string { return "this VM has no configuration yet" }
 
-// busyError says that this VM has as many requests in flight as it takes.
-type busyError struct{}
+// overloadError reports that this VM has reached its limit of requests in flight.
+type overloadError struct{}
 
-func (*busyError) Error() string { return "this VM has as many requests in flight as it takes" }
+func (*overloadError) Error() string { return "this VM has as many requests in flight as it takes" }
 
-// busyRetryAfter is when a caller may try again after a busyError.
-const busyRetryAfter = 200 * tier.Millis(1)
+// overloadRetryAfter is how long a caller should wait after an overloadError.
+const overloadRetryAfter = 200 * tier.Millis(1)
 
-// writeError answers a request that was not accepted.
+// writeError writes the response to a request that was not accepted.
 func (h *Handler) writeError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
 	}
-	w := errorResponse{common: common{VM: h.vm, Outcome: outcomeRefused}}
+	w := errorResponse{commonFields: commonFields{VM: h.vm, Outcome: outcomeRefused}}
 	w.RequestID, _ = c.Get(requestIDKey).(string)
-	status := describeError(err, &w)
-	if earlier, _ := c.Get(earlierKey).(bool); earlier && w.Reason != "" {
+	status := fillError(err, &w)
+	if mayHaveRun, _ := c.Get(earlierSendingKey).(bool); mayHaveRun && w.Reason != "" {
 		w.Outcome = outcomeUnknown
 		w.Reason = string(tier.UnknownEarlier)
 	}
-	setRetryAfter(c, w.RetryAfterMs)
+	setRetryAfterHeader(c, w.RetryAfterMs)
 	_ = c.JSON(status, w)
 }
 
-// Keys of what a handler notes for error responses: the request id, and
-// whether an earlier sending of the same booking may have run.
+// Keys of the context values that writeError reads: the request id, and whether the same booking
+// may have been sent, and run, before.
 const (
-	requestIDKey = "request-id"
-	earlierKey   = "earlier"
+	requestIDKey      = "request-id"
+	earlierSendingKey = "earlier"
 )
 
-// describeError picks the status code and fills the body.
-func describeError(err error, w *errorResponse) int {
+// fillError fills the response's error and returns its status code.
+func fillError(err error, w *errorResponse) int {
 	w.Error.Message = errors.Cause(err).Error()
 	var (
 		invalid   *tier.InvalidError
 		malformed *malformedError
-		missing   *notFoundError
+		notFound  *notFoundError
 		tooLarge  *http.MaxBytesError
 		reused    *asker.KeyReusedError
 		noConfig  *noConfigurationError
-		busy      *busyError
-		routed    *echo.HTTPError
+		overload  *overloadError
+		httpErr   *echo.HTTPError
 	)
 	switch {
 	case errors.As(err, &invalid):
@@ -83,8 +83,8 @@
 		w.Error.Code = "malformed-body"
 		w.Error.Message = malformed.Error()
 		return http.StatusBadRequest
-	case errors.As(err, &missing):
-		w.Error.Code = "unknown-" + missing.kind
+	case errors.As(err, &notFound):
+		w.Error.Code = "unknown-" + notFound.kind
 		return http.StatusNotFound
 	case errors.As(err, &reused):
 		w.Error.Code = "idempotency-key-reused"
@@ -93,15 +93,15 @@
 		w.Error.Code = "no-configuration"
 		w.Reason = string(tier.RefuseNoConfig)
 		return http.StatusServiceUnavailable
-	case errors.As(err, &busy):
+	case errors.As(err, &overload):
 		w.Error.Code = "too-many-requests"
 		w.Reason = string(tier.RefuseOverload)
-		w.RetryAfterMs = busyRetryAfter
+		w.RetryAfterMs = overloadRetryAfter
 		return http.StatusTooManyRequests
-	case errors.As(err, &routed):
+	case errors.As(err, &httpErr):
 		w.Error.Code = "no-such-route"
-		w.Error.Message = http.StatusText(routed.Code)
-		return routed.Code
+		w.Error.Message = http.StatusText(httpErr.Code)
+		return httpErr.Code
 	default:
 		w.Error.Code = "internal"
 		return http.StatusInternalServerError
--- a/cicadagraded/handler/handler.go
+++ b/cicadagraded/handler/handler.go
@@ -1,4 +1,4 @@
-// Package handler serves callers and operators over HTTP with JSON bodies.
+// Package handler serves the HTTP API with JSON bodies for callers and operators.
 package handler
 
 import (
@@ -15,15 +15,15 @@
 	"cicadagrade.example/tier"
 )
 
-// Bounds of callers' fields.
+// Limits on the size of the fields of callers' requests.
 const (
-	maxRequestID  = 128
-	maxTerm       = 1024
-	maxRecordKey  = 256
-	maxBookedBody = 32 << 10
+	maxRequestIDBytes   = 128
+	maxTermBytes        = 1024
+	maxRecordKeyBytes   = 256
+	maxBookingBodyBytes = 32 << 10
 )
 
-// Configuration is what the handlers read of the operators' documents.
+// Configuration gives access to the configuration in force.
 type Configuration interface {
 	Profile(name string) (*tier.Profile, bool)
 	Set(name string) (*tier.ShardSet, bool)
@@ -31,49 +31,49 @@
 	Ready() bool
 }
 
-// Front runs callers' requests.
+// Front runs callers' searches and bookings.
 type Front interface {
 	Search(ctx context.Context, s asker.Search) asker.Answer
 	Book(ctx context.Context, b asker.Booking) (asker.Receipt, error)
 }
 
-// Admission bounds callers' requests in flight, and counts them.
+// Admission tracks and limits callers' requests in flight.
 type Admission interface {
-	// Enter reports whether another request may start; end is called when it
-	// is over. The name is for logs.
+	// Enter registers a request and reports whether it may run; end must be called when it is
+	// finished. The name is for logs.
 	Enter(name string) (end func(), ok bool)
-	// Ready reports whether the balancer may send work here.
+	// Ready reports whether the load balancer may send requests to this VM.
 	Ready() bool
 }
 
-// Handler serves one VM's callers.
+// Handler serves the HTTP API of one VM.
 type Handler struct {
-	vm        string
-	clock     *tier.Clock
-	config    Configuration
-	front     Front
-	admission Admission
-	status    StatusSource
-	metrics   http.Handler
-	ended     func(route, rank, outcome string, took tier.Millis)
-	maxBody   int64
+	vm             string
+	clock          *tier.Clock
+	config         Configuration
+	front          Front
+	tracker        Admission
+	status         StatusSource
+	metrics        http.Handler
+	observeRequest func(route, rank, outcome string, took tier.Millis)
+	maxBodyBytes   int64
 
 	bodyTimeout tier.Millis
 }
 
-// Option sets one part of a handler.
+// Option configures a handler.
 type Option func(*Handler)
 
-// WithMetrics sets what GET /metrics serves.
+// WithMetrics sets the handler of GET /metrics.
 func WithMetrics(m http.Handler) Option { return func(h *Handler) { h.metrics = m } }
 
-// WithEnded sets what is told of each request that ended.
+// WithEnded sets a function that is called when a search or a booking has ended.
 func WithEnded(f func(route, rank, outcome string, took tier.Millis)) Option {
-	return func(h *Handler) { h.ended = f }
+	return func(h *Handler) { h.observeRequest = f }
 }
 
-// WithMaxBody sets the largest body of a request, in bytes.
-func WithMaxBody(n int64) Option { return func(h *Handler) { h.maxBody = n } }
+// WithMaxBody limits the size of request bodies, in bytes.
+func WithMaxBody(n int64) Option { return func(h *Handler) { h.maxBodyBytes = n } }
 
 // WithBodyTimeout bounds the reading of a request's body.
 func WithBodyTimeout(m tier.Millis) Option { return func(h *Handler) { h.bodyTimeout = m } }
@@ -81,10 +81,10 @@
 // New returns the handler of the named VM.
 func New(vm string, clock *tier.Clock, config Configuration, front Front, admission Admission, status StatusSource, opts ...Option) *Handler {
 	h := &Handler{
-		vm: vm, clock: clock, config: config, front: front, admission: admission, status: status,
-		metrics: http.NotFoundHandler(),
-		ended:   func(string, string, string, tier.Millis) {},
-		maxBody: 64 << 10,
+		vm: vm, clock: clock, config: config, front: front, tracker: admission, status: status,
+		metrics:        http.NotFoundHandler(),
+		observeRequest: func(string, string, string, tier.Millis) {},
+		maxBodyBytes:   64 << 10,
 
 		bodyTimeout: 10 * tier.Second,
 	}
@@ -102,13 +102,14 @@
 	e.POST("/v1/book", h.book)
 	e.GET("/v1/status", h.showStatus)
 	e.GET("/healthz/live", func(c echo.Context) error { return c.String(http.StatusOK, "live\n") })
-	e.GET("/healthz/ready", h.ready)
+	e.GET("/healthz/ready", h.showReadiness)
 	e.GET("/metrics", echo.WrapHandler(h.metrics))
 	return e
 }
 
-func (h *Handler) ready(c echo.Context) error {
-	if !h.admission.Ready() {
+// showReadiness serves GET /healthz/ready.
+func (h *Handler) showReadiness(c echo.Context) error {
+	if !h.tracker.Ready() {
 		return c.String(http.StatusServiceUnavailable, "leaving\n")
 	}
 	if !h.config.Ready() {
@@ -117,48 +118,48 @@
 	return c.String(http.StatusOK, "ready\n")
 }
 
-// read decodes the request's body into a wire type. Once the body is there the
-// connection's deadline is lifted: the server would take its end for a caller
-// who has gone.
-func (h *Handler) read(c echo.Context, into any) error {
+// readBody decodes the request's body into a wire type. It clears the connection's read deadline
+// after the body has been read: otherwise the server would cancel the request's context when the
+// deadline passes, as if the caller had disconnected.
+func (h *Handler) readBody(c echo.Context, into any) error {
 	r := c.Request()
 	conn := http.NewResponseController(c.Response())
 	_ = conn.SetReadDeadline(time.Now().Add(h.bodyTimeout.Duration()))
-	r.Body = http.MaxBytesReader(c.Response(), r.Body, h.maxBody)
+	r.Body = http.MaxBytesReader(c.Response(), r.Body, h.maxBodyBytes)
 	if err := decode(r.Body, into); err != nil {
-		return errors.Wrap(err, "Handler.read")
+		return errors.Wrap(err, "Handler.readBody")
 	}
 	_ = conn.SetReadDeadline(time.Time{})
 	return nil
 }
 
-// deadline is the absolute deadline of a request under its profile.
-func (h *Handler) deadline(p *tier.Profile, asked *tier.Millis) tier.Millis {
+// absoluteDeadline returns the time by which a request has to be answered. requested is the
+// deadline in the request, nil for the profile's default.
+func (h *Handler) absoluteDeadline(p *tier.Profile, requested *tier.Millis) tier.Millis {
 	d := p.Deadline()
-	if asked != nil {
-		d = min(*asked, p.MaxDeadline())
+	if requested != nil {
+		d = min(*requested, p.MaxDeadline())
 	}
 	return h.clock.Now() + d
 }
 
-// setRetryAfter tells the caller when to come back, in whole seconds as the
-// header wants it.
-func setRetryAfter(c echo.Context, m tier.Millis) {
+// setRetryAfterHeader sets the Retry-After header, rounded up to whole seconds.
+func setRetryAfterHeader(c echo.Context, m tier.Millis) {
 	if m > 0 {
 		s := int64(math.Ceil(float64(m) / float64(tier.Second)))
 		c.Response().Header().Set("Retry-After", strconv.FormatInt(s, 10))
 	}
 }
 
-// outcomeNames of the API.
+// Names of outcomes in the API.
 const (
 	outcomeAnswered = "answered"
 	outcomeRefused  = "refused-not-run"
 	outcomeUnknown  = "unknown"
 )
 
-// describe fills the common part of a response and picks its status code.
-func (h *Handler) describe(c echo.Context, w *common, o tier.Outcome) int {
+// fillOutcome fills the common fields of a response from an outcome and returns its status code.
+func (h *Handler) fillOutcome(c echo.Context, w *commonFields, o tier.Outcome) int {
 	w.VM = h.vm
 	switch o := o.(type) {
 	case *tier.Answered, *tier.Booked:
@@ -168,14 +169,14 @@
 		w.Outcome = outcomeRefused
 		w.Reason = string(o.Reason())
 		w.RetryAfterMs = retryAfter(o)
-		setRetryAfter(c, w.RetryAfterMs)
+		setRetryAfterHeader(c, w.RetryAfterMs)
 		return refusedStatus(o.Reason())
 	case *tier.Unknown:
 		w.Outcome = outcomeUnknown
 		w.Reason = string(o.Reason())
 		if r, ok := o.Refusal(); ok {
 			w.RetryAfterMs = r.RetryAfter()
-			setRetryAfter(c, r.RetryAfter())
+			setRetryAfterHeader(c, r.RetryAfter())
 		}
 		return unknownStatus(o.Reason())
 	default:
@@ -184,23 +185,22 @@
 	}
 }
 
-// retryAfter is when to come back after a refusal. Where nobody could run the
-// request, and no time can be told, that is when failures are noticed at the
-// latest.
+// retryAfter returns how long a caller should wait after a refusal. If nothing could run the
+// request and the refusal gives no time, it is the time within which failures are detected.
 func retryAfter(r *tier.Refused) tier.Millis {
 	if r.RetryAfter() > 0 {
 		return r.RetryAfter()
 	}
 	switch r.Reason() {
 	case tier.RefuseUnreachable, tier.RefuseNoReplica, tier.RefuseNoOwner, tier.RefuseNoConfig, tier.RefuseNoStore, tier.RefuseByServer:
-		return lostRetryAfter
+		return unreachableRetryAfter
 	default:
 		return 0
 	}
 }
 
-// lostRetryAfter is when to come back while something can't be reached.
-const lostRetryAfter = 2 * tier.Second
+// unreachableRetryAfter is how long a caller should wait while a needed component is unreachable.
+const unreachableRetryAfter = 2 * tier.Second
 
 func refusedStatus(r tier.RefuseReason) int {
 	switch r {
--- a/cicadagraded/handler/search.go
+++ b/cicadagraded/handler/search.go
@@ -14,13 +14,13 @@
 func (h *Handler) search(c echo.Context) error {
 	started := h.clock.Now()
 	var q searchRequest
-	if err := h.read(c, &q); err != nil {
+	if err := h.readBody(c, &q); err != nil {
 		return err
 	}
 	c.Set(requestIDKey, q.RequestID)
-	end, ok := h.admission.Enter("search " + q.RequestID)
+	end, ok := h.tracker.Enter("search " + q.RequestID)
 	if !ok {
-		return errors.WithStack(&busyError{})
+		return errors.WithStack(&overloadError{})
 	}
 	defer end()
 	if err := q.validate(); err != nil {
@@ -30,23 +30,23 @@
 	if err != nil {
 		return errors.Wrap(err, "Handler.search")
 	}
-	s := asker.NewSearch(q.RequestID, p, q.Set, q.Term, h.deadline(p, q.DeadlineMs))
+	s := asker.NewSearch(q.RequestID, p, q.Set, q.Term, h.absoluteDeadline(p, q.DeadlineMs))
 	a := h.front.Search(c.Request().Context(), s)
 	w := searchResponse{
-		common:         common{RequestID: q.RequestID, Rank: p.Rank().String()},
+		commonFields:   commonFields{RequestID: q.RequestID, Rank: p.Rank().String()},
 		Records:        []record{},
 		Digest:         tier.Digest(nil),
 		LeafCalls:      a.LeafCalls(),
 		ExtraLeafCalls: a.ExtraCalls(),
 	}
-	status := h.describe(c, &w.common, a.Outcome())
-	w.fill(a.Outcome())
-	h.ended("search", w.Rank, w.Outcome, h.clock.Now()-started)
+	status := h.fillOutcome(c, &w.commonFields, a.Outcome())
+	w.fillResult(a.Outcome())
+	h.observeRequest("search", w.Rank, w.Outcome, h.clock.Now()-started)
 	return c.JSON(status, w)
 }
 
-// fill adds what the outcome knows of snapshot, coverage and records.
-func (w *searchResponse) fill(o tier.Outcome) {
+// fillResult sets snapshot, coverage and records as far as the outcome has them.
+func (w *searchResponse) fillResult(o tier.Outcome) {
 	switch o := o.(type) {
 	case *tier.Answered:
 		w.Snapshot = wireSnapshot(o.Snapshot())
@@ -62,7 +62,7 @@
 	}
 }
 
-// lookUp finds the profile and checks that the set exists.
+// lookUp returns the profile, and an error unless the profile and the set exist.
 func (h *Handler) lookUp(profile, set string) (*tier.Profile, error) {
 	if !h.config.Ready() {
 		return nil, &noConfigurationError{}
@@ -77,37 +77,38 @@
 	return p, nil
 }
 
+// validate returns a *tier.InvalidError that lists all invalid fields.
 func (q *searchRequest) validate() error {
-	l := checkCommon(q.RequestID, q.Profile, q.Set, q.DeadlineMs)
-	if len(q.Term) == 0 || len(q.Term) > maxTerm {
-		l = append(l, tier.NewFieldProblem("term", shorten(q.Term), "1 to 1024 bytes"))
+	problems := validateCommon(q.RequestID, q.Profile, q.Set, q.DeadlineMs)
+	if len(q.Term) == 0 || len(q.Term) > maxTermBytes {
+		problems = append(problems, tier.NewFieldProblem("term", truncate(q.Term), "1 to 1024 bytes"))
 	}
-	return tier.NewInvalidError("request", l)
+	return tier.NewInvalidError("request", problems)
 }
 
-// checkCommon checks the fields that searches and bookings share.
-func checkCommon(id, profile, set string, deadline *tier.Millis) []tier.FieldProblem {
-	var l []tier.FieldProblem
-	if len(id) == 0 || len(id) > maxRequestID {
-		l = append(l, tier.NewFieldProblem("request-id", shorten(id), "1 to 128 bytes"))
+// validateCommon lists the invalid ones of the fields that searches and bookings share.
+func validateCommon(id, profile, set string, deadline *tier.Millis) []tier.FieldProblem {
+	var problems []tier.FieldProblem
+	if len(id) == 0 || len(id) > maxRequestIDBytes {
+		problems = append(problems, tier.NewFieldProblem("request-id", truncate(id), "1 to 128 bytes"))
 	}
 	if !tier.ValidName(profile) {
-		l = append(l, tier.NewFieldProblem("profile", shorten(profile), "the name of a profile"))
+		problems = append(problems, tier.NewFieldProblem("profile", truncate(profile), "the name of a profile"))
 	}
 	if !tier.ValidName(set) {
-		l = append(l, tier.NewFieldProblem("set", shorten(set), "the name of a shard set"))
+		problems = append(problems, tier.NewFieldProblem("set", truncate(set), "the name of a shard set"))
 	}
 	if deadline != nil && *deadline < 1 {
-		l = append(l, tier.NewFieldProblem("deadline-ms", strconv.FormatInt(int64(*deadline), 10), "at least 1"))
+		problems = append(problems, tier.NewFieldProblem("deadline-ms", strconv.FormatInt(int64(*deadline), 10), "at least 1"))
 	}
-	return l
+	return problems
 }
 
-// shorten keeps error messages small whatever a caller sent.
-func shorten(s string) string {
-	const most = 64
-	if len(s) > most {
-		return s[:most] + "..."
+// truncate shortens a caller's value for an error message.
+func truncate(s string) string {
+	const maxBytes = 64
+	if len(s) > maxBytes {
+		return s[:maxBytes] + "..."
 	}
 	return s
 }
--- a/cicadagraded/handler/session_test.go
+++ b/cicadagraded/handler/session_test.go
@@ -24,7 +24,8 @@
 	"cicadagrade.example/tier/parser"
 )
 
-// session is a scripted session: documents, what the VM believes, and steps.
+// session is a scripted session: configuration, reachable data centres, versions of the shards
+// and steps.
 type session struct {
 	Home      string                               `json:"home"`
 	Profiles  json.RawMessage                      `json:"profiles"`
@@ -34,55 +35,55 @@
 	Steps     []sessionStep                        `json:"steps"`
 }
 
-// sessionStep is one request with what the owners of each data centre do.
+// sessionStep is one request, with the behaviour of the owners by data centre.
 type sessionStep struct {
-	About    string                 `json:"about"`
-	Path     string                 `json:"path"`
-	Body     string                 `json:"body"`
-	Admit    *tier.Millis           `json:"refuse-admission-ms"`
-	Busy     bool                   `json:"busy"`
-	Unloaded bool                   `json:"no-configuration"`
-	Owners   map[string]ownerScript `json:"owners"`
+	About             string                 `json:"about"`
+	Path              string                 `json:"path"`
+	Body              string                 `json:"body"`
+	RefuseAdmissionMs *tier.Millis           `json:"refuse-admission-ms"`
+	Busy              bool                   `json:"busy"`
+	NoConfiguration   bool                   `json:"no-configuration"`
+	Owners            map[string]ownerScript `json:"owners"`
 }
 
-// ownerScript is what the owners in a data centre answer.
+// ownerScript is the behaviour of the owners in a data centre.
 type ownerScript struct {
-	Takes       tier.Millis                  `json:"takes-ms"`
-	Unreachable bool                         `json:"unreachable"`
-	Lost        bool                         `json:"lost"`
-	Refuse      string                       `json:"refuse"`
-	RetryAfter  tier.Millis                  `json:"retry-after-ms"`
-	Records     map[string]map[string]string `json:"records"`
-	Misses      map[string]tier.MissReason   `json:"misses"`
-	Receipt     string                       `json:"receipt"`
-	Repeated    bool                         `json:"repeated"`
-	Unknown     string                       `json:"unknown"`
-	Reused      bool                         `json:"reused"`
+	Latency       tier.Millis                  `json:"takes-ms"`
+	Unreachable   bool                         `json:"unreachable"`
+	ReplyLost     bool                         `json:"lost"`
+	RefuseReason  string                       `json:"refuse"`
+	RetryAfter    tier.Millis                  `json:"retry-after-ms"`
+	Records       map[string]map[string]string `json:"records"`
+	Misses        map[string]tier.MissReason   `json:"misses"`
+	Receipt       string                       `json:"receipt"`
+	Repeated      bool                         `json:"repeated"`
+	UnknownReason string                       `json:"unknown"`
+	KeyReused     bool                         `json:"reused"`
 }
 
-// world plays everything around the handlers of one VM.
-type world struct {
-	mu    sync.Mutex
-	s     *session
-	step  sessionStep
-	clock *tier.ManualClock
-	docs  *parser.ProfilesDocument
-	set   *tier.ShardSet
-	asked []string
+// fakeCluster fakes everything that the handlers of one VM depend on.
+type fakeCluster struct {
+	mu       sync.Mutex
+	session  *session
+	step     sessionStep
+	clock    *tier.ManualClock
+	profiles *parser.ProfilesDocument
+	set      *tier.ShardSet
+	calls    []string
 }
 
-func (w *world) Profile(name string) (*tier.Profile, bool) { return w.docs.Profile(name) }
+func (c *fakeCluster) Profile(name string) (*tier.Profile, bool) { return c.profiles.Profile(name) }
 
-func (w *world) Set(name string) (*tier.ShardSet, bool) { return w.set, name == w.set.Name() }
+func (c *fakeCluster) Set(name string) (*tier.ShardSet, bool) { return c.set, name == c.set.Name() }
 
-func (w *world) Ready() bool { return !w.step.Unloaded }
+func (c *fakeCluster) Ready() bool { return !c.step.NoConfiguration }
 
-func (w *world) Versions(_, dataCentre, shard string) (tier.Epoch, []tier.Version) {
-	return w.set.Epoch(), w.s.Versions[dataCentre][shard]
+func (c *fakeCluster) Versions(_, dataCentre, shard string) (tier.Epoch, []tier.Version) {
+	return c.set.Epoch(), c.session.Versions[dataCentre][shard]
 }
 
-func (w *world) Reachable(dataCentre string) bool {
-	for _, d := range w.s.Reachable {
+func (c *fakeCluster) Reachable(dataCentre string) bool {
+	for _, d := range c.session.Reachable {
 		if d == dataCentre {
 			return true
 		}
@@ -90,36 +91,36 @@
 	return false
 }
 
-func (w *world) Owners(_, dataCentre string, _ uint64) []tier.VM {
+func (c *fakeCluster) Owners(_, dataCentre string, _ uint64) []tier.VM {
 	return []tier.VM{tier.NewVM(dataCentre+"-1", dataCentre, "127.0.0.1:1")}
 }
 
-func (w *world) Failed(string) {}
+func (c *fakeCluster) Failed(string) {}
 
-func (w *world) Answered(string) {}
+func (c *fakeCluster) Answered(string) {}
 
-func (w *world) Admit(string, tier.Rank) (tier.Millis, bool) {
-	if w.step.Admit != nil {
-		return *w.step.Admit, false
+func (c *fakeCluster) Admit(string, tier.Rank) (tier.Millis, bool) {
+	if c.step.RefuseAdmissionMs != nil {
+		return *c.step.RefuseAdmissionMs, false
 	}
 	return 0, true
 }
 
-func (w *world) Enter(string) (func(), bool) { return func() {}, !w.step.Busy }
+func (c *fakeCluster) Enter(string) (func(), bool) { return func() {}, !c.step.Busy }
 
-func (w *world) Ask(_ context.Context, vm tier.VM, _ string, s owner.Search) (owner.End, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	o := w.step.Owners[vm.DataCentre()]
-	w.asked = append(w.asked, fmt.Sprintf("ask %s at %s: %s", vm.Name(), s.Snapshot(), strings.Join(s.Shards(), " ")))
-	w.clock.Advance(o.Takes)
+func (c *fakeCluster) Ask(_ context.Context, vm tier.VM, _ string, s owner.Search) (owner.End, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	o := c.step.Owners[vm.DataCentre()]
+	c.calls = append(c.calls, fmt.Sprintf("ask %s at %s: %s", vm.Name(), s.Snapshot(), strings.Join(s.Shards(), " ")))
+	c.clock.Advance(o.Latency)
 	switch {
 	case o.Unreachable:
 		return nil, asker.NewNotSentError(errors.New("refused"))
-	case o.Lost:
+	case o.ReplyLost:
 		return nil, errors.New("connection reset")
-	case o.Refuse != "":
-		return owner.NewNotRun(tier.RefuseReason(o.Refuse), o.RetryAfter), nil
+	case o.RefuseReason != "":
+		return owner.NewNotRun(tier.RefuseReason(o.RefuseReason), o.RetryAfter), nil
 	}
 	var results []merger.ShardResult
 	for _, shard := range s.Shards() {
@@ -140,37 +141,37 @@
 	return merger.NewShardResult(shard, records)
 }
 
-func (w *world) Book(_ context.Context, vm tier.VM, b asker.Forwarded) (tier.Outcome, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	o := w.step.Owners[vm.DataCentre()]
-	w.asked = append(w.asked, fmt.Sprintf("book %s on %s key %s minted %t", vm.Name(), b.Shard(), b.IdempotencyKey(), b.Minted()))
+func (c *fakeCluster) Book(_ context.Context, vm tier.VM, b asker.Forwarded) (tier.Outcome, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	o := c.step.Owners[vm.DataCentre()]
+	c.calls = append(c.calls, fmt.Sprintf("book %s on %s key %s minted %t", vm.Name(), b.Shard(), b.IdempotencyKey(), b.Minted()))
 	switch {
 	case o.Unreachable:
 		return nil, asker.NewNotSentError(errors.New("refused"))
-	case o.Lost:
+	case o.ReplyLost:
 		return nil, errors.New("connection reset")
-	case o.Reused:
+	case o.KeyReused:
 		return nil, asker.NewKeyReusedError(b.IdempotencyKey())
-	case o.Refuse != "":
-		return tier.NewRefused(tier.RefuseReason(o.Refuse), o.RetryAfter), nil
-	case o.Unknown != "":
-		return tier.NewUnknown(tier.UnknownReason(o.Unknown)), nil
+	case o.RefuseReason != "":
+		return tier.NewRefused(tier.RefuseReason(o.RefuseReason), o.RetryAfter), nil
+	case o.UnknownReason != "":
+		return tier.NewUnknown(tier.UnknownReason(o.UnknownReason)), nil
 	}
 	return tier.NewBooked(o.Receipt, o.Repeated), nil
 }
 
-// minter plays the claims of this VM: every minted key is new.
-type minter struct{}
+// fakeClaims fakes the claims of this VM: every minted key is new.
+type fakeClaims struct{}
 
-func (minter) Mint(context.Context) string { return "minted/vm-1/5/1" }
+func (fakeClaims) Mint(context.Context) string { return "minted/vm-1/5/1" }
 
-func (minter) Book(ctx context.Context, _ asker.Booking, send func(context.Context) tier.Outcome) (tier.Outcome, error) {
+func (fakeClaims) Book(ctx context.Context, _ asker.Booking, send func(context.Context) tier.Outcome) (tier.Outcome, error) {
 	return send(ctx), nil
 }
 
-// TestSessions plays each script of testdata/sessions through the real
-// handlers, front, planner and merger and compares the whole session.
+// TestSessions runs each script of testdata/sessions against the real handlers, front, planner
+// and merger, and compares requests and responses with a golden file.
 func TestSessions(t *testing.T) {
 	files, err := filepath.Glob("testdata/sessions/*.json")
 	if err != nil || len(files) < 5 {
@@ -180,47 +181,47 @@
 		name := strings.TrimSuffix(filepath.Base(f), ".json")
 		t.Run(name, func(t *testing.T) {
 			golden := goldie.New(t, goldie.WithFixtureDir("testdata/sessions"))
-			golden.Assert(t, name, play(t, f))
+			golden.Assert(t, name, runSession(t, f))
 		})
 	}
 }
 
-func play(t *testing.T, file string) []byte {
+func runSession(t *testing.T, file string) []byte {
 	t.Helper()
 	b, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{s: &session{}, clock: tier.NewManualClock(0)}
-	if err := json.Unmarshal(b, w.s); err != nil {
+	c := &fakeCluster{session: &session{}, clock: tier.NewManualClock(0)}
+	if err := json.Unmarshal(b, c.session); err != nil {
 		t.Fatal(err)
 	}
-	if w.docs, err = parser.ParseProfiles(w.s.Profiles); err != nil {
+	if c.profiles, err = parser.ParseProfiles(c.session.Profiles); err != nil {
 		t.Fatal(err)
 	}
-	d, err := parser.ParseSet(w.s.Set)
+	d, err := parser.ParseSet(c.session.Set)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.set = d.Set()
-	front := asker.New(w.s.Home, w.clock.Clock(), w, w, minter{})
-	routes := New("vm-1", w.clock.Clock(), w, front, w, nil, WithMaxBody(2048)).Routes()
+	c.set = d.Set()
+	front := asker.New(c.session.Home, c.clock.Clock(), c, c, fakeClaims{})
+	routes := New("vm-1", c.clock.Clock(), c, front, c, nil, WithMaxBody(2048)).Routes()
 	var out bytes.Buffer
-	for _, step := range w.s.Steps {
-		w.step, w.asked = step, nil
-		w.request(routes, &out)
+	for _, step := range c.session.Steps {
+		c.step, c.calls = step, nil
+		c.runStep(routes, &out)
 	}
 	return out.Bytes()
 }
 
-// request sends one step's request and writes down the whole exchange.
-func (w *world) request(routes http.Handler, out *bytes.Buffer) {
-	body := w.step.Body
-	fmt.Fprintf(out, "# %s\nPOST %s\n%s\n", w.step.About, w.step.Path, shorten(body))
+// runStep sends the request of the current step and writes the calls to owners and the response.
+func (c *fakeCluster) runStep(routes http.Handler, out *bytes.Buffer) {
+	body := c.step.Body
+	fmt.Fprintf(out, "# %s\nPOST %s\n%s\n", c.step.About, c.step.Path, truncate(body))
 	reply := httptest.NewRecorder()
-	routes.ServeHTTP(reply, httptest.NewRequest(http.MethodPost, w.step.Path, strings.NewReader(body)))
-	sort.Strings(w.asked)
-	for _, a := range w.asked {
+	routes.ServeHTTP(reply, httptest.NewRequest(http.MethodPost, c.step.Path, strings.NewReader(body)))
+	sort.Strings(c.calls)
+	for _, a := range c.calls {
 		fmt.Fprintf(out, "  %s\n", a)
 	}
 	fmt.Fprintf(out, "%d", reply.Code)
--- a/cicadagraded/handler/status.go
+++ b/cicadagraded/handler/status.go
@@ -10,7 +10,7 @@
 	"cicadagrade.example/tier"
 )
 
-// Document is a configuration document in force on this VM.
+// Document describes a configuration document in force on this VM.
 type Document struct {
 	key      string
 	epoch    uint64
@@ -18,23 +18,23 @@
 	digest   string
 }
 
-// NewDocument returns the state of a document.
+// NewDocument returns the description of a document.
 func NewDocument(key string, epoch, revision uint64, digest string) Document {
 	return Document{key: key, epoch: epoch, revision: revision, digest: digest}
 }
 
-// StatusSource is what the status endpoint shows.
+// StatusSource provides what the status endpoint shows.
 type StatusSource interface {
 	Self() tier.VM
 	Members() []tier.VM
 	Reachable(dataCentre string) bool
 	Owners(ctx context.Context) []owner.Status
 	Documents() []Document
-	// Warnings lists what an operator should look at.
+	// Warnings lists the conditions that need an operator's attention.
 	Warnings() []string
 }
 
-// statusResponse is the answer of GET /v1/status.
+// statusResponse is the response of GET /v1/status.
 type statusResponse struct {
 	VM            string           `json:"vm"`
 	DataCentre    string           `json:"data-centre"`
@@ -48,40 +48,40 @@
 }
 
 type memberStatus struct {
-	VM          string           `json:"vm"`
-	DataCentre  string           `json:"data-centre"`
-	Address     string           `json:"address"`
-	Incarnation tier.Incarnation `json:"incarnation"`
-	State       string           `json:"state"`
-	Reachable   bool             `json:"data-centre-reachable"`
+	VM                  string           `json:"vm"`
+	DataCentre          string           `json:"data-centre"`
+	Address             string           `json:"address"`
+	Incarnation         tier.Incarnation `json:"incarnation"`
+	State               string           `json:"state"`
+	DataCentreReachable bool             `json:"data-centre-reachable"`
 }
 
 type ownerStatus struct {
-	Set            string          `json:"set"`
-	Owned          bool            `json:"owned"`
-	Epoch          tier.Epoch      `json:"epoch"`
-	Parts          int             `json:"parts"`
-	HedgeTokens    float64         `json:"hedge-tokens"`
-	LeafCalls      int             `json:"leaf-calls"`
-	ExtraLeafCalls int             `json:"extra-leaf-calls"`
-	Rejected       uint64          `json:"rejected-replies"`
-	Ranks          []rankStatus    `json:"ranks"`
-	Servers        []backendStatus `json:"servers"`
+	Set             string          `json:"set"`
+	Owned           bool            `json:"owned"`
+	Epoch           tier.Epoch      `json:"epoch"`
+	Parts           int             `json:"parts"`
+	HedgeTokens     float64         `json:"hedge-tokens"`
+	LeafCalls       int             `json:"leaf-calls"`
+	ExtraLeafCalls  int             `json:"extra-leaf-calls"`
+	RejectedReplies uint64          `json:"rejected-replies"`
+	Ranks           []rankStatus    `json:"ranks"`
+	Servers         []backendStatus `json:"servers"`
 }
 
 type rankStatus struct {
-	Rank    string      `json:"rank"`
-	Queued  int         `json:"queued"`
-	WaitMs  tier.Millis `json:"wait-ms"`
-	Admit   float64     `json:"admitted-fraction"`
-	Refused int         `json:"refused"`
+	Rank             string      `json:"rank"`
+	Queued           int         `json:"queued"`
+	WaitMs           tier.Millis `json:"wait-ms"`
+	AdmittedFraction float64     `json:"admitted-fraction"`
+	Refused          int         `json:"refused"`
 }
 
 type backendStatus struct {
 	Server    string      `json:"server"`
 	State     string      `json:"state"`
-	Used      int         `json:"slots-used"`
-	Limit     int         `json:"slots-limit"`
+	UsedSlots int         `json:"slots-used"`
+	SlotLimit int         `json:"slots-limit"`
 	LatencyMs tier.Millis `json:"latency-ms"`
 }
 
@@ -101,7 +101,7 @@
 		DataCentre:    self.DataCentre(),
 		Incarnation:   self.Incarnation(),
 		State:         self.State().String(),
-		Ready:         h.admission.Ready() && h.config.Ready(),
+		Ready:         h.tracker.Ready() && h.config.Ready(),
 		Members:       []memberStatus{},
 		Owners:        []ownerStatus{},
 		Configuration: []documentStatus{},
@@ -111,7 +111,7 @@
 		w.Members = append(w.Members, memberStatus{
 			VM: m.Name(), DataCentre: m.DataCentre(), Address: m.Address(),
 			Incarnation: m.Incarnation(), State: m.State().String(),
-			Reachable: s.Reachable(m.DataCentre()),
+			DataCentreReachable: s.Reachable(m.DataCentre()),
 		})
 	}
 	for _, o := range s.Owners(c.Request().Context()) {
@@ -125,22 +125,22 @@
 
 func wireOwner(o owner.Status) ownerStatus {
 	core := o.Core()
-	n := core.Counters()
+	counters := core.Counters()
 	w := ownerStatus{
 		Set: o.Set(), Owned: o.Owned, Epoch: o.Epoch(), Parts: o.Parts(),
-		HedgeTokens: core.HedgeTokens(), LeafCalls: n.Calls(), ExtraLeafCalls: n.ExtraCalls(),
-		Rejected: o.Rejected(), Ranks: []rankStatus{}, Servers: []backendStatus{},
+		HedgeTokens: core.HedgeTokens(), LeafCalls: counters.Calls(), ExtraLeafCalls: counters.ExtraCalls(),
+		RejectedReplies: o.Rejected(), Ranks: []rankStatus{}, Servers: []backendStatus{},
 	}
 	for _, r := range tier.Ranks {
 		w.Ranks = append(w.Ranks, rankStatus{
 			Rank: r.String(), Queued: core.Queued(r), WaitMs: core.DrainTime(r),
-			Admit: core.Threshold().Fraction(r), Refused: n.Refused(r),
+			AdmittedFraction: core.Threshold().Fraction(r), Refused: counters.Refused(r),
 		})
 	}
 	for _, b := range core.Servers() {
 		w.Servers = append(w.Servers, backendStatus{
-			Server: b.Name(), State: b.State().String(), Used: b.UsedSlots(),
-			Limit: b.SlotLimit(), LatencyMs: b.Latency(),
+			Server: b.Name(), State: b.State().String(), UsedSlots: b.UsedSlots(),
+			SlotLimit: b.SlotLimit(), LatencyMs: b.Latency(),
 		})
 	}
 	return w
--- a/cicadagraded/handler/wire.go
+++ b/cicadagraded/handler/wire.go
@@ -33,8 +33,8 @@
 	DeadlineMs     *tier.Millis `json:"deadline-ms"`
 }
 
-// common is what every response states.
-type common struct {
+// commonFields are the fields that every response to a search or booking has.
+type commonFields struct {
 	RequestID    string      `json:"request-id"`
 	Outcome      string      `json:"outcome"`
 	Reason       string      `json:"reason,omitempty"`
@@ -43,9 +43,9 @@
 	RetryAfterMs tier.Millis `json:"retry-after-ms,omitempty"`
 }
 
-// searchResponse is the answer to a search.
+// searchResponse is the response to a search.
 type searchResponse struct {
-	common
+	commonFields
 	Snapshot       *snapshot `json:"snapshot,omitempty"`
 	Coverage       *coverage `json:"coverage,omitempty"`
 	Records        []record  `json:"records"`
@@ -55,9 +55,9 @@
 	ExtraLeafCalls int       `json:"extra-leaf-calls"`
 }
 
-// bookResponse is the answer to a booking.
+// bookResponse is the response to a booking.
 type bookResponse struct {
-	common
+	commonFields
 	Snapshot       *snapshot `json:"snapshot,omitempty"`
 	Coverage       *coverage `json:"coverage,omitempty"`
 	IdempotencyKey string    `json:"idempotency-key,omitempty"`
@@ -71,12 +71,12 @@
 }
 
 type coverage struct {
-	Covered  []string `json:"covered"`
-	Missing  []miss   `json:"missing"`
-	Fraction float64  `json:"fraction"`
+	Covered  []string       `json:"covered"`
+	Missing  []missingShard `json:"missing"`
+	Fraction float64        `json:"fraction"`
 }
 
-type miss struct {
+type missingShard struct {
 	Shard  string `json:"shard"`
 	Reason string `json:"reason"`
 }
@@ -86,10 +86,9 @@
 	Value string `json:"value"`
 }
 
-// errorResponse is the answer to a request that was not accepted. It was not
-// run.
+// errorResponse is the response to a request that was not accepted. This VM has not run it.
 type errorResponse struct {
-	common
+	commonFields
 	Error errorBody `json:"error"`
 }
 
@@ -105,9 +104,8 @@
 	Allowed string `json:"allowed"`
 }
 
-// decode reads exactly one JSON object without unknown fields. A body that is
-// too long, or does not come in time, has an error of its own; any other that
-// can't be read is badly framed or cut short.
+// decode reads exactly one JSON object without unknown fields. It returns the read error for a
+// body that is too long or arrives too slowly, and a *malformedError for any other failure.
 func decode(r io.Reader, into any) error {
 	body, err := io.ReadAll(r)
 	var large *http.MaxBytesError
@@ -128,7 +126,7 @@
 	return nil
 }
 
-// malformedError says that a body is not the JSON object asked for.
+// malformedError reports a body that is not the expected JSON object.
 type malformedError struct{ cause error }
 
 func (e *malformedError) Error() string { return "malformed body: " + e.cause.Error() }
@@ -140,12 +138,12 @@
 }
 
 func wireCoverage(c tier.Coverage) *coverage {
-	w := &coverage{Covered: c.Covered(), Missing: []miss{}, Fraction: c.Fraction()}
+	w := &coverage{Covered: c.Covered(), Missing: []missingShard{}, Fraction: c.Fraction()}
 	if w.Covered == nil {
 		w.Covered = []string{}
 	}
 	for _, m := range c.Missing() {
-		w.Missing = append(w.Missing, miss{Shard: m.Shard(), Reason: string(m.Reason())})
+		w.Missing = append(w.Missing, missingShard{Shard: m.Shard(), Reason: string(m.Reason())})
 	}
 	return w
 }
--- a/cicadagraded/messenger/client.go
+++ b/cicadagraded/messenger/client.go
@@ -1,5 +1,5 @@
-// Package messenger carries requests between entry VMs over Connect: the
-// client that a front uses and the handler that owners answer with.
+// Package messenger carries requests between entry VMs over Connect. Its Client sends searches and
+// bookings to the VMs that own a shard set, and its Server handles those from other VMs.
 package messenger
 
 import (
@@ -20,7 +20,7 @@
 	"cicadagrade.example/tier/admitter"
 )
 
-// Limits of the connections between VMs.
+// Limits and timeouts of the connections between VMs.
 const (
 	connectTimeout = 500 * time.Millisecond
 	maxReplyBytes  = 64 << 20
@@ -28,40 +28,40 @@
 	pingTimeout    = 1 * time.Second
 )
 
-// Client sends requests to other VMs, and to this one without a connection.
+// Client sends requests to other VMs. Requests to this VM are direct calls without a connection.
 type Client struct {
-	self      tier.VM
-	local     *Server
-	clock     *tier.Clock
-	http      *http.Client
-	dialled   func(address string) string
-	heard     func(set, vm string, t admitter.Threshold)
-	mu        sync.Mutex
-	byAddress map[string]peerv1connect.PeerServiceClient
+	self        tier.VM
+	local       *Server
+	clock       *tier.Clock
+	http        *http.Client
+	dialAddress func(address string) string
+	onThreshold func(set, vm string, t admitter.Threshold)
+	mu          sync.Mutex
+	byAddress   map[string]peerv1connect.PeerServiceClient
 }
 
-// Option sets one part of a client.
+// Option configures a Client.
 type Option func(*Client)
 
-// WithDialled sets the address that is dialled in place of a VM's own.
-func WithDialled(f func(address string) string) Option { return func(c *Client) { c.dialled = f } }
+// WithDialled sets a function that returns the address to dial for a VM's address.
+func WithDialled(f func(address string) string) Option { return func(c *Client) { c.dialAddress = f } }
 
-// WithThresholds has heard told the threshold of admission that an owner gives
+// WithThresholds sets a function that is called with the owner's admission threshold that comes
 // with each reply.
-func WithThresholds(heard func(set, vm string, t admitter.Threshold)) Option {
-	return func(c *Client) { c.heard = heard }
+func WithThresholds(f func(set, vm string, t admitter.Threshold)) Option {
+	return func(c *Client) { c.onThreshold = f }
 }
 
-// NewClient returns the client of a VM, whose own requests go to local.
+// NewClient returns the client of the VM self; requests to self go to local.
 func NewClient(self tier.VM, local *Server, clock *tier.Clock, opts ...Option) *Client {
 	c := &Client{
-		self:      self,
-		local:     local,
-		clock:     clock,
-		http:      NewHTTPClient(),
-		dialled:   func(address string) string { return address },
-		heard:     func(string, string, admitter.Threshold) {},
-		byAddress: map[string]peerv1connect.PeerServiceClient{},
+		self:        self,
+		local:       local,
+		clock:       clock,
+		http:        NewHTTPClient(),
+		dialAddress: func(address string) string { return address },
+		onThreshold: func(string, string, admitter.Threshold) {},
+		byAddress:   map[string]peerv1connect.PeerServiceClient{},
 	}
 	for _, o := range opts {
 		o(c)
@@ -82,44 +82,44 @@
 	}}
 }
 
-// Service is the peer service of the VM at an address.
+// Service returns a client of the peer service of the VM at an address.
 func (c *Client) Service(address string) peerv1connect.PeerServiceClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s, ok := c.byAddress[address]
 	if !ok {
-		s = peerv1connect.NewPeerServiceClient(c.http, "http://"+c.dialled(address), connect.WithReadMaxBytes(maxReplyBytes))
+		s = peerv1connect.NewPeerServiceClient(c.http, "http://"+c.dialAddress(address), connect.WithReadMaxBytes(maxReplyBytes))
 		c.byAddress[address] = s
 	}
 	return s
 }
 
-// Ask has a VM run a part of a search.
+// Ask sends a part of a search to a VM and returns its result.
 func (c *Client) Ask(ctx context.Context, vm tier.VM, set string, s owner.Search) (owner.End, error) {
 	if vm.Name() == c.self.Name() {
 		end := c.local.search(ctx, set, s)
-		c.heard(set, vm.Name(), c.local.owners.Threshold(set))
+		c.onThreshold(set, vm.Name(), c.local.owners.Threshold(set))
 		return end, nil
 	}
 	reply, err := c.Service(vm.Address()).Ask(ctx, connect.NewRequest(c.askRequest(set, s)))
 	if err != nil {
-		return nil, errors.Wrap(sentError(err), "Client.Ask")
+		return nil, errors.Wrap(classifySendError(err), "Client.Ask")
 	}
-	c.heard(set, vm.Name(), fromAdmission(reply.Msg.GetAdmission()))
+	c.onThreshold(set, vm.Name(), fromAdmission(reply.Msg.GetAdmission()))
 	if got := fromPeerSnapshot(reply.Msg.GetSnapshot()); reply.Msg.GetRefusal() == nil && got != s.Snapshot() {
 		return nil, errors.Wrap(&CrossedError{want: s.Snapshot().String(), got: got.String()}, "Client.Ask")
 	}
 	return fromAskReply(reply.Msg), nil
 }
 
-// Book has a VM run a booking. It is sent once.
+// Book sends a booking to a VM and returns its outcome. It is never sent again.
 func (c *Client) Book(ctx context.Context, vm tier.VM, b asker.Forwarded) (tier.Outcome, error) {
 	if vm.Name() == c.self.Name() {
 		return c.local.book(ctx, b)
 	}
 	reply, err := c.Service(vm.Address()).Book(ctx, connect.NewRequest(c.bookRequest(b)))
 	if err != nil {
-		return nil, errors.Wrap(bookError(err, b.IdempotencyKey()), "Client.Book")
+		return nil, errors.Wrap(classifyBookError(err, b.IdempotencyKey()), "Client.Book")
 	}
 	if got := reply.Msg.GetIdempotencyKey(); got != b.IdempotencyKey() {
 		return nil, errors.Wrap(&CrossedError{want: b.IdempotencyKey(), got: got}, "Client.Book")
--- a/cicadagraded/messenger/convert.go
+++ b/cicadagraded/messenger/convert.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// fromTerms returns the part of a profile that an owner needs.
+// fromTerms returns a profile with the fields that an owner needs.
 func fromTerms(t *peerv1.Terms) (*tier.Profile, error) {
 	return tier.NewProfile(t.GetProfile(),
 		tier.WithRank(tier.Rank(t.GetRank())),
@@ -69,7 +69,7 @@
 	return w
 }
 
-// toAdmission leaves out a threshold that lets everything in.
+// toAdmission returns nil for a threshold that admits everything.
 func toAdmission(t admitter.Threshold) *peerv1.Admission {
 	if t.AdmitsAll() {
 		return nil
--- a/cicadagraded/messenger/errors.go
+++ b/cicadagraded/messenger/errors.go
@@ -10,19 +10,18 @@
 	"cicadagrade.example/cicadagraded/asker"
 )
 
-// CrossedError says that a VM answered another request than the one it was
-// sent.
+// CrossedError reports that a reply does not belong to the request that was sent.
 type CrossedError struct{ want, got string }
 
-// Error names what was wanted and what came.
+// Error states the expected and the actual value.
 func (e *CrossedError) Error() string {
-	return fmt.Sprintf("crossed reply: want %q, got %q", e.want, e.got)
+	return fmt.Sprintf("mismatched reply: want %q, got %q", e.want, e.got)
 }
 
-// sentError tells whether a request that failed may have reached its VM. Only
-// a connection that was never made, or the VM's own word, proves that it did
-// not.
-func sentError(err error) error {
+// classifySendError returns a *asker.NotSentError if a failed request certainly has not run on its
+// VM: the connection was never established, or the VM itself replied that it is unavailable. It
+// returns any other error unchanged, because the VM may have received the request.
+func classifySendError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return asker.NewNotSentError(err)
@@ -33,16 +32,17 @@
 	return err
 }
 
-// bookError is sentError, or the owner's word that the key is reused.
-func bookError(err error, key string) error {
+// classifyBookError is like classifySendError, but returns a *asker.KeyReusedError if the VM replied
+// that the idempotency key belongs to another request.
+func classifyBookError(err error, key string) error {
 	if connect.IsWireError(err) && connect.CodeOf(err) == connect.CodeAlreadyExists {
 		return asker.NewKeyReusedError(key)
 	}
-	return sentError(err)
+	return classifySendError(err)
 }
 
-// wireBookError is the inverse of bookError.
-func wireBookError(err error) error {
+// toWireBookError returns the Connect error that classifyBookError converts back to err.
+func toWireBookError(err error) error {
 	var reused *asker.KeyReusedError
 	if errors.As(err, &reused) {
 		return connect.NewError(connect.CodeAlreadyExists, reused)
--- a/cicadagraded/messenger/server.go
+++ b/cicadagraded/messenger/server.go
@@ -15,10 +15,10 @@
 	"cicadagrade.example/tier/admitter"
 )
 
-// Owners runs parts of searches on this VM.
+// Owners runs parts of searches on the owners on this VM.
 type Owners interface {
 	Search(ctx context.Context, set string, s owner.Search) owner.End
-	// Threshold is the threshold of admission of a set's owner here.
+	// Threshold returns the admission threshold of a set's owner on this VM.
 	Threshold(set string) admitter.Threshold
 }
 
@@ -27,43 +27,42 @@
 	Book(ctx context.Context, b asker.Forwarded) (tier.Outcome, error)
 }
 
-// Exchanger answers gossip.
+// Exchanger handles gossip exchanges.
 type Exchanger interface {
 	Exchange(context.Context, *connect.Request[peerv1.ExchangeRequest]) (*connect.Response[peerv1.ExchangeReply], error)
 }
 
-// Fetcher answers requests for configuration documents.
+// Fetcher handles fetches of configuration documents.
 type Fetcher interface {
 	Fetch(context.Context, *connect.Request[peerv1.FetchRequest]) (*connect.Response[peerv1.FetchReply], error)
 }
 
-// Server answers other VMs.
+// Server handles the requests of other VMs.
 type Server struct {
 	Exchanger
 	Fetcher
 	clock  *tier.Clock
 	owners Owners
 	booker Booker
-	enter  func(name string) (end func())
+	begin  func(name string) (end func())
 }
 
-// NewServer returns the server of a VM. enter is called at the start of each
-// part that a peer forwards, and its result at the end, so that a planned
-// stop waits for them.
-func NewServer(clock *tier.Clock, o Owners, b Booker, e Exchanger, f Fetcher, enter func(name string) (end func())) *Server {
-	return &Server{Exchanger: e, Fetcher: f, clock: clock, owners: o, booker: b, enter: enter}
+// NewServer returns the server of a VM. begin is called at the start of each request that another
+// VM forwards, and end when it has finished, so that a graceful shutdown can wait for them.
+func NewServer(clock *tier.Clock, o Owners, b Booker, e Exchanger, f Fetcher, begin func(name string) (end func())) *Server {
+	return &Server{Exchanger: e, Fetcher: f, clock: clock, owners: o, booker: b, begin: begin}
 }
 
-// Handler is the HTTP handler of the peer service.
+// Handler returns the HTTP handler of the peer service.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(peerv1connect.NewPeerServiceHandler(s))
 	return mux
 }
 
-// Ask answers a front with its part of a search.
+// Ask implements the peer service's Ask: it runs a part of a search.
 func (s *Server) Ask(ctx context.Context, r *connect.Request[peerv1.AskRequest]) (*connect.Response[peerv1.AskReply], error) {
-	defer s.enter("ask of " + r.Msg.GetFront())()
+	defer s.begin("ask of " + r.Msg.GetFront())()
 	p, err := fromTerms(r.Msg.GetTerms())
 	if err != nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, errors.Wrap(err, "Server.Ask"))
@@ -84,9 +83,9 @@
 	return s.owners.Search(ctx, set, q)
 }
 
-// Book answers a front with the end of a booking.
+// Book implements the peer service's Book: it runs a booking.
 func (s *Server) Book(ctx context.Context, r *connect.Request[peerv1.BookRequest]) (*connect.Response[peerv1.BookReply], error) {
-	defer s.enter("book " + r.Msg.GetRequest())()
+	defer s.begin("book " + r.Msg.GetRequest())()
 	p, err := fromTerms(r.Msg.GetTerms())
 	if err != nil {
 		return nil, connect.NewError(connect.CodeInternal, errors.Wrap(err, "Server.Book"))
@@ -97,7 +96,7 @@
 		asker.WithIdempotencyKey(m.GetIdempotencyKey(), m.GetFirst()))
 	o, err := s.book(ctx, asker.NewForwarded(b, m.GetShard(), m.GetMinted()))
 	if err != nil {
-		return nil, wireBookError(err)
+		return nil, toWireBookError(err)
 	}
 	reply := toBookReply(o)
 	reply.Request = m.GetRequest()
--- a/cicadagraded/watcher/fleet_test.go
+++ b/cicadagraded/watcher/fleet_test.go
@@ -22,51 +22,51 @@
 	"cicadagrade.example/tier/storer"
 )
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
-// vm is one VM; the first letter of its name is its data centre.
+// vm is one VM of a fleet. The first letter of its name is its data centre.
 type vm struct {
 	watcher *watcher.Watcher
-	store   *cuttable
+	store   *partitionableStore
 	cancel  context.CancelFunc
 }
 
-// cuttable is a store that a VM may be cut off from.
-type cuttable struct {
+// partitionableStore is a VM's view of the store, which can be made unreachable.
+type partitionableStore struct {
 	storer.Store
-	lock sync.Mutex
-	cut  bool
+	lock        sync.Mutex
+	unreachable bool
 }
 
-func (c *cuttable) setCut(cut bool) {
-	c.lock.Lock()
-	defer c.lock.Unlock()
-	c.cut = cut
+func (s *partitionableStore) setUnreachable(unreachable bool) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	s.unreachable = unreachable
 }
 
-func (c *cuttable) error() error {
-	c.lock.Lock()
-	defer c.lock.Unlock()
-	if c.cut {
+func (s *partitionableStore) callError() error {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	if s.unreachable {
 		return storer.NewUnavailableError("call", context.DeadlineExceeded)
 	}
 	return nil
 }
 
-func (c *cuttable) List(ctx context.Context, prefix string, limit int) ([]storer.Value, error) {
-	if err := c.error(); err != nil {
+func (s *partitionableStore) List(ctx context.Context, prefix string, limit int) ([]storer.Value, error) {
+	if err := s.callError(); err != nil {
 		return nil, err
 	}
-	return c.Store.List(ctx, prefix, limit)
+	return s.Store.List(ctx, prefix, limit)
 }
 
-// Watch passes nothing on while the VM is cut off.
-func (c *cuttable) Watch(ctx context.Context, prefix string, from int64, changed func(storer.Value)) error {
-	if err := c.error(); err != nil {
+// Watch delivers no changes while the store is unreachable.
+func (s *partitionableStore) Watch(ctx context.Context, prefix string, from int64, changed func(storer.Value)) error {
+	if err := s.callError(); err != nil {
 		return err
 	}
-	return c.Store.Watch(ctx, prefix, from, func(v storer.Value) {
-		if c.error() == nil {
+	return s.Store.Watch(ctx, prefix, from, func(v storer.Value) {
+		if s.callError() == nil {
 			changed(v)
 		}
 	})
@@ -77,8 +77,8 @@
 	value   []byte
 }
 
-// fleet is a number of VMs with one store. Its gossip reaches all VMs that
-// are not cut off at once.
+// fleet is a group of VMs with one store. Published values reach at once all VMs on the same side
+// of a network partition.
 type fleet struct {
 	t      *testing.T
 	server *storeserver.Server
@@ -86,16 +86,16 @@
 	group  errgroup.Group
 	queue  *ring.Ring[publication]
 
-	lock  sync.Mutex
-	vms   map[string]*vm
-	said  map[string]map[string][]byte
-	apart map[string]bool
+	lock        sync.Mutex
+	vms         map[string]*vm
+	published   map[string]map[string][]byte
+	partitioned map[string]bool
 }
 
 func newFleet(t *testing.T) *fleet {
 	f := &fleet{
 		t: t, server: storeserver.New(tier.NewClock()), queue: ring.New[publication](1024),
-		vms: map[string]*vm{}, said: map[string]map[string][]byte{}, apart: map[string]bool{},
+		vms: map[string]*vm{}, published: map[string]map[string][]byte{}, partitioned: map[string]bool{},
 	}
 	h := httptest.NewServer(f.server)
 	g := platform.NewStore(h.URL)
@@ -114,7 +114,7 @@
 	return f
 }
 
-// deliver is the gossip.
+// deliver stands in for gossip: it passes published values on to the other VMs.
 func (f *fleet) deliver(ctx context.Context) error {
 	for {
 		p, err := f.queue.Pop(ctx)
@@ -122,10 +122,10 @@
 			return nil
 		}
 		f.lock.Lock()
-		if f.said[p.vm] == nil {
-			f.said[p.vm] = map[string][]byte{}
+		if f.published[p.vm] == nil {
+			f.published[p.vm] = map[string][]byte{}
 		}
-		f.said[p.vm][p.key] = p.value
+		f.published[p.vm][p.key] = p.value
 		f.lock.Unlock()
 		for name, v := range f.reachable(p.vm) {
 			if name != p.vm {
@@ -140,7 +140,7 @@
 	defer f.lock.Unlock()
 	out := map[string]*vm{}
 	for name, v := range f.vms {
-		if f.apart[name] == f.apart[from] {
+		if f.partitioned[name] == f.partitioned[from] {
 			out[name] = v
 		}
 	}
@@ -149,7 +149,7 @@
 
 func (f *fleet) start(name string) {
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &cuttable{Store: f.store}
+	s := &partitionableStore{Store: f.store}
 	w := watcher.New(tier.NewVM(name, name[:1], ""), s, tier.NewClock(),
 		watcher.WithPublisher(func(key string, value []byte) error {
 			f.queue.TryPush(publication{vm: name, key: key, value: value})
@@ -174,12 +174,12 @@
 	defer f.lock.Unlock()
 	f.vms[name].cancel()
 	delete(f.vms, name)
-	delete(f.said, name)
+	delete(f.published, name)
 }
 
-// meet tells every VM which others it reaches, and what they have said.
-func (f *fleet) meet() {
-	for name, v := range f.reachableAll() {
+// updateMembers passes to every VM its reachable members and what they have published.
+func (f *fleet) updateMembers() {
+	for name, v := range f.allVMs() {
 		var local, remote []string
 		for peer := range f.reachable(name) {
 			if peer[0] == name[0] {
@@ -190,14 +190,14 @@
 		}
 		v.watcher.OnMembers(local, remote)
 		for _, peer := range append(local, remote...) {
-			for key, value := range f.heard(peer) {
+			for key, value := range f.publishedBy(peer) {
 				_ = v.watcher.OnIndex(peer, key, value)
 			}
 		}
 	}
 }
 
-func (f *fleet) reachableAll() map[string]*vm {
+func (f *fleet) allVMs() map[string]*vm {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	out := map[string]*vm{}
@@ -207,17 +207,17 @@
 	return out
 }
 
-func (f *fleet) heard(peer string) map[string][]byte {
+func (f *fleet) publishedBy(peer string) map[string][]byte {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	out := map[string][]byte{}
-	for key, value := range f.said[peer] {
+	for key, value := range f.published[peer] {
 		out[key] = value
 	}
 	return out
 }
 
-func document(t testing.TB, limit int) parser.Document {
+func profilesDocument(t testing.TB, limit int) parser.Document {
 	p, err := tier.NewProfile("gate", tier.WithQueueLimit(limit))
 	if err != nil {
 		t.Fatal(err)
@@ -225,32 +225,32 @@
 	return parser.NewProfilesDocument(p)
 }
 
-func (f *fleet) drive(c *committer.Change) {
+func (f *fleet) commit(c *committer.Change) {
 	r := committer.Run(context.Background(), tier.NewClock(), f.store, c)
 	if _, ok := r.(*committer.Accepted); !ok {
 		f.t.Fatalf("change ended %T: %+v", r, r)
 	}
 }
 
-// eventually waits until a VM is as wanted.
+// eventually waits until ok holds for a VM, and fails after limit.
 func (f *fleet) eventually(line, name string, limit time.Duration, ok func(*watcher.Watcher) bool) error {
-	w := f.reachableAll()[name].watcher
+	w := f.allVMs()[name].watcher
 	for end := time.Now().Add(limit); !ok(w); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			return fmt.Errorf("%s: not so on %s: %+v", line, name, w.Status())
+			return fmt.Errorf("%s: does not hold on %s: %+v", line, name, w.Status())
 		}
 	}
 	return nil
 }
 
-func serves(w *watcher.Watcher, limit string) bool {
+func servesQueueLimit(w *watcher.Watcher, limit string) bool {
 	p, ok := w.Profile("gate")
 	return ok && fmt.Sprint(p.QueueLimit()) == limit
 }
 
-func flagged(w *watcher.Watcher, trouble string) bool {
-	for _, x := range w.Status().Flags() {
-		if strings.EqualFold(string(x.Kind()), trouble) {
+func hasAlert(w *watcher.Watcher, kind string) bool {
+	for _, a := range w.Status().Flags() {
+		if strings.EqualFold(string(a.Kind()), kind) {
 			return true
 		}
 	}
--- a/cicadagraded/watcher/index.go
+++ b/cicadagraded/watcher/index.go
@@ -11,112 +11,114 @@
 	"cicadagrade.example/tier/replicator"
 )
 
-// IndexKeyPrefix starts the gossip keys of a VM's index.
+// IndexKeyPrefix is the prefix of the gossip keys under which a VM publishes its index, the
+// references to the documents that it holds, and its warnings.
 const IndexKeyPrefix = "configuration/"
 
-// chunkRefs is how many refs one value of the gossip holds, so that it stays
-// below the gossip's limit with the longest keys.
-const chunkRefs = 24
+// maxRefsPerEntry is the number of references in one gossip entry. It keeps the entry below
+// gossip's size limit even with the longest keys.
+const maxRefsPerEntry = 24
 
-// Index is what this VM announces of its documents, in values for the gossip
-// keys IndexKeyPrefix + "0" and on.
+// Index returns this VM's index as the values of the gossip keys IndexKeyPrefix + "0",
+// IndexKeyPrefix + "1" and so on.
 func (w *Watcher) Index() ([][]byte, error) {
-	w.lock.Lock()
-	refs := w.keeper.RefsToAnnounce()
-	w.lock.Unlock()
-	var out [][]byte
+	w.mu.Lock()
+	refs := w.replicator.RefsToAnnounce()
+	w.mu.Unlock()
+	var entries [][]byte
 	for len(refs) > 0 {
-		n := min(chunkRefs, len(refs))
+		n := min(maxRefsPerEntry, len(refs))
 		value, err := encodeIndex(refs[:n])
 		if err != nil {
-			return nil, errors.Wrap(err, "Watcher.Index")
+			return nil, errors.Wrap(err, "Watcher.EncodeIndex")
 		}
-		out = append(out, value)
+		entries = append(entries, value)
 		refs = refs[n:]
 	}
-	return out, nil
+	return entries, nil
 }
 
-// publishIndex publishes what has changed of the index, and takes back the
-// values that are no longer needed.
+// publishIndex publishes the index entries that have changed, clears those that are no longer
+// needed, and publishes the warnings.
 func (w *Watcher) publishIndex() {
-	w.published.Lock()
-	defer w.published.Unlock()
-	chunks, err := w.Index()
+	w.publishMu.Lock()
+	defer w.publishMu.Unlock()
+	entries, err := w.Index()
 	if err != nil {
 		return
 	}
-	for i := range max(len(chunks), len(w.chunks)) {
-		value := at(chunks, i)
-		if !bytes.Equal(value, at(w.chunks, i)) {
+	for i := range max(len(entries), len(w.publishedIndex)) {
+		value := entryAt(entries, i)
+		if !bytes.Equal(value, entryAt(w.publishedIndex, i)) {
 			_ = w.publish(indexKey(i), value)
 		}
 	}
-	w.chunks = chunks
+	w.publishedIndex = entries
 	w.publishWarnings()
 }
 
-func at(chunks [][]byte, i int) []byte {
-	if i >= len(chunks) {
+// entryAt returns the i-th entry, nil beyond the end.
+func entryAt(entries [][]byte, i int) []byte {
+	if i >= len(entries) {
 		return nil
 	}
-	return chunks[i]
+	return entries[i]
 }
 
 func indexKey(i int) string { return fmt.Sprintf("%s%d", IndexKeyPrefix, i) }
 
-// OnIndex takes a value that another VM published under a key that starts
-// with IndexKeyPrefix; an empty one takes the earlier back.
+// OnIndex handles a gossip entry that another VM has published under a key that starts with
+// IndexKeyPrefix. An empty value withdraws the earlier one.
 func (w *Watcher) OnIndex(vm, key string, value []byte) error {
 	if vm == w.name || !strings.HasPrefix(key, IndexKeyPrefix) {
 		return nil
 	}
 	if key == warningsKey {
-		return errors.Wrap(w.keepWarnings(vm, value), "Watcher.OnIndex")
+		return errors.Wrap(w.recordWarnings(vm, value), "Watcher.OnIndexEntry")
 	}
 	refs, err := decodeIndex(value)
 	if err != nil {
-		return errors.Wrap(err, "Watcher.OnIndex")
+		return errors.Wrap(err, "Watcher.OnIndexEntry")
 	}
-	w.step(replicator.NewAnnounced(vm, w.merge(vm, key, refs)))
+	w.handleEvent(replicator.NewAnnounced(vm, w.mergeIndexEntry(vm, key, refs)))
 	return nil
 }
 
-// merge joins the values that a VM published.
-func (w *Watcher) merge(vm, key string, refs []replicator.Ref) []replicator.Ref {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	if w.heard[vm] == nil {
-		w.heard[vm] = map[string][]replicator.Ref{}
+// mergeIndexEntry records an index entry of a VM and returns the references of all its entries.
+func (w *Watcher) mergeIndexEntry(vm, key string, refs []replicator.Ref) []replicator.Ref {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.indexEntries[vm] == nil {
+		w.indexEntries[vm] = map[string][]replicator.Ref{}
 	}
-	w.heard[vm][key] = refs
+	w.indexEntries[vm][key] = refs
 	if len(refs) == 0 {
-		delete(w.heard[vm], key)
+		delete(w.indexEntries[vm], key)
 	}
 	var all []replicator.Ref
-	for _, chunk := range w.heard[vm] {
-		all = append(all, chunk...)
+	for _, refs := range w.indexEntries[vm] {
+		all = append(all, refs...)
 	}
 	if len(all) == 0 {
-		delete(w.heard, vm)
+		delete(w.indexEntries, vm)
 	}
 	return all
 }
 
-// OnMembers takes the names of the live VMs of this data centre, with this
-// one, and of those elsewhere, each sorted.
+// OnMembers sets the names of the VMs of this data centre, including this VM, and of the other
+// data centres. Both lists have to be sorted.
 func (w *Watcher) OnMembers(local, remote []string) {
-	if w.keepMembers(local, remote) {
-		w.step(replicator.NewMembers(local, remote))
+	if w.updateMembers(local, remote) {
+		w.handleEvent(replicator.NewMembers(local, remote))
 	}
 }
 
-// keepMembers reports whether the members are others than before.
-func (w *Watcher) keepMembers(local, remote []string) bool {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	same := w.told && slices.Equal(local, w.local) && slices.Equal(remote, w.remote)
-	w.told = true
-	w.local, w.remote = slices.Clone(local), slices.Clone(remote)
+// updateMembers records the members and reports whether they have changed.
+func (w *Watcher) updateMembers(local, remote []string) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	same := w.membersKnown && slices.Equal(local, w.localMembers) && slices.Equal(remote, w.remoteMembers)
+	w.membersKnown = true
+	w.localMembers, w.remoteMembers = slices.Clone(local), slices.Clone(remote)
 	return !same
 }
--- a/cicadagraded/watcher/index_bench_test.go
+++ b/cicadagraded/watcher/index_bench_test.go
@@ -7,8 +7,8 @@
 	"cicadagrade.example/tier/replicator"
 )
 
-// BenchmarkIndexBytes is the size of what a watcher publishes after a change
-// of one document, and of its whole index.
+// BenchmarkIndexBytes measures how many bytes a watcher publishes after one document has changed,
+// and the size of its whole index.
 func BenchmarkIndexBytes(b *testing.B) {
 	for _, sets := range []int{4, 24, 120, 360} {
 		b.Run(fmt.Sprintf("sets=%d", sets), func(b *testing.B) {
@@ -19,8 +19,8 @@
 			change, whole := 0, 0
 			for b.Loop() {
 				change, whole = 0, 0
-				for i := 0; i < len(refs); i += chunkRefs {
-					value, err := encodeIndex(refs[i:min(i+chunkRefs, len(refs))])
+				for i := 0; i < len(refs); i += maxRefsPerEntry {
+					value, err := encodeIndex(refs[i:min(i+maxRefsPerEntry, len(refs))])
 					if err != nil {
 						b.Fatal(err)
 					}
--- a/cicadagraded/watcher/spread_test.go
+++ b/cicadagraded/watcher/propagation_bench_test.go
@@ -27,25 +27,25 @@
 	"cicadagrade.example/api/peer/v1/peerv1connect"
 )
 
-// node is a VM with its gossip, as the daemon joins them.
+// node connects the watcher of a VM with gossip as the daemon does.
 type node struct {
 	peerv1connect.UnimplementedPeerServiceHandler
-	self     tier.VM
-	exchange *exchanger.Exchanger
-	watcher  *watcher.Watcher
-	changes  *ring.Ring[gossiper.Action]
+	self      tier.VM
+	exchanger *exchanger.Exchanger
+	watcher   *watcher.Watcher
+	changes   *ring.Ring[gossiper.Action]
 }
 
 func (n *node) Exchange(ctx context.Context, r *connect.Request[peerv1.ExchangeRequest]) (*connect.Response[peerv1.ExchangeReply], error) {
-	return n.exchange.Exchange(ctx, r)
+	return n.exchanger.Exchange(ctx, r)
 }
 
 func (n *node) Fetch(ctx context.Context, r *connect.Request[peerv1.FetchRequest]) (*connect.Response[peerv1.FetchReply], error) {
 	return n.watcher.Fetch(ctx, r)
 }
 
-// follow hands what the gossip tells to the watcher.
-func (n *node) follow(ctx context.Context) error {
+// forwardChanges passes member and index changes from gossip to the watcher.
+func (n *node) forwardChanges(ctx context.Context) error {
 	for {
 		a, err := n.changes.Pop(ctx)
 		if err != nil {
@@ -54,7 +54,7 @@
 		switch a := a.(type) {
 		case *gossiper.MemberChanged:
 			var local, remote []string
-			for _, m := range n.exchange.Members() {
+			for _, m := range n.exchanger.Members() {
 				switch {
 				case m.State() == tier.VMDead:
 				case m.DataCentre() == n.self.DataCentre():
@@ -73,7 +73,7 @@
 }
 
 func (n *node) dial(vm string) (watcher.Peer, bool) {
-	for _, m := range n.exchange.Members() {
+	for _, m := range n.exchanger.Members() {
 		if m.Name() == vm {
 			return peerv1connect.NewPeerServiceClient(http.DefaultClient, "http://"+m.Address()), true
 		}
@@ -90,21 +90,21 @@
 	}
 	x.SetSeeds(seeds[:3])
 	x.SetState(tier.VMLive)
-	n.exchange = x
+	n.exchanger = x
 	n.watcher = watcher.New(self, store, clock, watcher.WithPublisher(x.Publish), watcher.WithPeers(n.dial))
 	return n
 }
 
-// BenchmarkInForce measures the time from an accepted change until it is in
-// force on each VM, over loopback, and the store calls of all VMs: with seven
-// VMs in three data centres, and with thirty in one.
+// BenchmarkInForce measures the time from when a change is accepted until it is in force on every
+// VM, over loopback, and the number of store calls of all VMs. It runs with seven VMs in three
+// data centres and with thirty VMs in one.
 func BenchmarkInForce(b *testing.B) {
-	many := make([]string, 30)
-	for i := range many {
-		many[i] = fmt.Sprint("a", i)
+	thirty := make([]string, 30)
+	for i := range thirty {
+		thirty[i] = fmt.Sprint("a", i)
 	}
 	b.Run("vms=7", func(b *testing.B) { benchmarkInForce(b, []string{"a1", "a2", "a3", "b1", "b2", "c1", "c2"}) })
-	b.Run("vms=30", func(b *testing.B) { benchmarkInForce(b, many) })
+	b.Run("vms=30", func(b *testing.B) { benchmarkInForce(b, thirty) })
 }
 
 func benchmarkInForce(b *testing.B, names []string) {
@@ -116,23 +116,23 @@
 	group, ctx := errgroup.WithContext(ctx)
 	nodes := startNodes(ctx, b, group, store, names)
 	change := func(i int) {
-		d := document(b, i+1)
+		d := profilesDocument(b, i+1)
 		r := committer.Run(ctx, tier.NewClock(), store, committer.New(d, fmt.Sprint("change-", i), "op", "", 0))
 		if _, ok := r.(*committer.Accepted); !ok {
 			b.Fatalf("change ended %T", r)
 		}
 	}
 	change(0)
-	inForce(b, nodes, "1", time.Now())
-	var taken []float64
+	awaitInForce(b, nodes, "1", time.Now())
+	var durations []float64
 	for i := 1; b.Loop(); i++ {
 		change(i)
-		taken = append(taken, inForce(b, nodes, fmt.Sprint(i+1), time.Now()))
+		durations = append(durations, awaitInForce(b, nodes, fmt.Sprint(i+1), time.Now()))
 	}
-	sort.Float64s(taken)
-	b.ReportMetric(taken[len(taken)/2], "median-ms")
-	b.ReportMetric(taken[len(taken)-1], "worst-ms")
-	b.ReportMetric(float64(server.Calls().Total)/float64(len(taken)), "store-calls/op")
+	sort.Float64s(durations)
+	b.ReportMetric(durations[len(durations)/2], "median-ms")
+	b.ReportMetric(durations[len(durations)-1], "worst-ms")
+	b.ReportMetric(float64(server.Calls().Total)/float64(len(durations)), "store-calls/op")
 	cancel()
 	_ = group.Wait()
 }
@@ -156,18 +156,18 @@
 		s := &http.Server{Handler: handler, ReadHeaderTimeout: time.Second}
 		group.Go(func() error { _ = s.Serve(listeners[i]); return nil })
 		group.Go(func() error { <-ctx.Done(); return s.Close() })
-		group.Go(func() error { return n.exchange.Run(ctx) })
+		group.Go(func() error { return n.exchanger.Run(ctx) })
 		group.Go(func() error { return n.watcher.Run(ctx) })
-		group.Go(func() error { return n.follow(ctx) })
+		group.Go(func() error { return n.forwardChanges(ctx) })
 	}
 	return nodes
 }
 
-// inForce waits for the last VM and returns the milliseconds since start.
-func inForce(b *testing.B, nodes []*node, limit string, start time.Time) float64 {
+// awaitInForce waits until all VMs serve the queue limit and returns the milliseconds since start.
+func awaitInForce(b *testing.B, nodes []*node, limit string, start time.Time) float64 {
 	for _, n := range nodes {
-		for !serves(n.watcher, limit) {
-			if time.Since(start) > patience {
+		for !servesQueueLimit(n.watcher, limit) {
+			if time.Since(start) > testTimeout {
 				b.Fatalf("not in force on %s: %+v", n.self.Name(), n.watcher.Status())
 			}
 			time.Sleep(time.Millisecond)
--- a/cicadagraded/watcher/view.go
+++ b/cicadagraded/watcher/view.go
@@ -6,12 +6,12 @@
 	"cicadagrade.example/tier/replicator"
 )
 
-// view is the configuration in force; it is replaced, never changed.
+// view is the configuration in force. It is immutable: changes replace it.
 type view struct {
-	documents []*replicator.State
-	profiles  *parser.ProfilesDocument
-	sets      map[string]*tier.ShardSet
-	ordered   []*tier.ShardSet
+	documents  []*replicator.State
+	profiles   *parser.ProfilesDocument
+	sets       map[string]*tier.ShardSet
+	sortedSets []*tier.ShardSet
 }
 
 func newView(documents []*replicator.State) *view {
@@ -22,7 +22,7 @@
 			v.profiles = d
 		case *parser.SetDocument:
 			v.sets[d.Set().Name()] = d.Set()
-			v.ordered = append(v.ordered, d.Set())
+			v.sortedSets = append(v.sortedSets, d.Set())
 		}
 	}
 	return v
@@ -43,17 +43,17 @@
 }
 
 // Sets lists the shard sets in force, sorted by name.
-func (w *Watcher) Sets() []*tier.ShardSet { return w.view.Load().ordered }
+func (w *Watcher) Sets() []*tier.ShardSet { return w.view.Load().sortedSets }
 
 // Ready reports whether any document is in force.
 func (w *Watcher) Ready() bool { return len(w.view.Load().documents) > 0 }
 
-// Changed receives a value after changes came into force. It holds one:
-// whoever reads it looks at all that it needs.
+// Changed receives a value after changes have come into force. It is buffered for one value, so
+// several changes may be signalled only once and a reader has to look at the whole configuration.
 func (w *Watcher) Changed() <-chan struct{} { return w.changed.Out() }
 
-// Document is the stored form of a document in force, as the command line
-// reads it to reconcile the store.
+// Document returns the stored form of a document in force, with which the store can be
+// reconciled.
 func (w *Watcher) Document(key string) ([]byte, bool) {
 	for _, s := range w.view.Load().documents {
 		if s.Ref().Key() == key {
@@ -63,32 +63,32 @@
 	return nil, false
 }
 
-// Status is what operators see of the configuration on this VM.
+// Status describes the state of the configuration on this VM for operators.
 type Status struct {
-	documents []replicator.Ref
-	flags     []replicator.Alert
-	watcher   bool
-	counts    replicator.Counts
+	documents    []replicator.Ref
+	alerts       []replicator.Alert
+	watchesStore bool
+	counts       replicator.Counts
 }
 
-// Documents names the documents in force, sorted by key.
+// Documents lists the documents in force, sorted by key.
 func (s Status) Documents() []replicator.Ref { return s.documents }
 
-// Flags lists the troubles that an operator has to look at.
-func (s Status) Flags() []replicator.Alert { return s.flags }
+// Flags lists the problems that need an operator's attention.
+func (s Status) Flags() []replicator.Alert { return s.alerts }
 
 // Watcher reports whether this VM watches the store for its data centre.
-func (s Status) Watcher() bool { return s.watcher }
+func (s Status) Watcher() bool { return s.watchesStore }
 
-// Counts counts reads, watches and fetches since the start.
+// Counts returns the number of store reads, store watches and fetches since the start.
 func (s Status) Counts() replicator.Counts { return s.counts }
 
-// Status is the present state.
+// Status returns the current state.
 func (w *Watcher) Status() Status {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	s := Status{flags: w.keeper.Alerts(), watcher: w.keeper.Watcher(), counts: w.keeper.Counts()}
-	for _, d := range w.keeper.Documents() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	s := Status{alerts: w.replicator.Alerts(), watchesStore: w.replicator.Watcher(), counts: w.replicator.Counts()}
+	for _, d := range w.replicator.Documents() {
 		s.documents = append(s.documents, d.Ref())
 	}
 	return s
--- a/cicadagraded/watcher/warnings.go
+++ b/cicadagraded/watcher/warnings.go
@@ -13,44 +13,43 @@
 // warningsKey is the gossip key of a VM's warnings.
 const warningsKey = IndexKeyPrefix + "warnings"
 
-// maxPublished is how many warnings a VM publishes, so that they stay below
-// the gossip's limit.
-const maxPublished = 8
+// maxPublishedWarnings keeps the warnings that a VM publishes below gossip's size limit.
+const maxPublishedWarnings = 8
 
-// ownWarnings lists the flags of this VM as lines.
-func (w *Watcher) ownWarnings() []string {
-	w.lock.Lock()
-	defer w.lock.Unlock()
+// localWarnings returns the alerts of this VM as text.
+func (w *Watcher) localWarnings() []string {
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	var out []string
-	for _, f := range w.keeper.Alerts() {
-		out = append(out, f.String())
+	for _, a := range w.replicator.Alerts() {
+		out = append(out, a.String())
 	}
 	return out
 }
 
-// publishWarnings publishes the warnings when they have changed: only
-// watchers see the store, but an operator may look at any VM.
+// publishWarnings publishes this VM's warnings if they have changed. Only the VMs that watch the
+// store notice its problems, but an operator may look at any VM.
 func (w *Watcher) publishWarnings() {
 	var value []byte
-	if lines := w.ownWarnings(); len(lines) > 0 {
-		value, _ = json.Marshal(lines[:min(maxPublished, len(lines))])
+	if lines := w.localWarnings(); len(lines) > 0 {
+		value, _ = json.Marshal(lines[:min(maxPublishedWarnings, len(lines))])
 	}
-	if !bytes.Equal(value, w.warned) {
+	if !bytes.Equal(value, w.publishedWarnings) {
 		_ = w.publish(warningsKey, value)
 	}
-	w.warned = value
+	w.publishedWarnings = value
 }
 
-// keepWarnings takes what another VM published; an empty value takes it back.
-func (w *Watcher) keepWarnings(vm string, value []byte) error {
+// recordWarnings records the warnings that another VM has published. An empty value withdraws them.
+func (w *Watcher) recordWarnings(vm string, value []byte) error {
 	var lines []string
 	if len(value) > 0 {
 		if err := json.Unmarshal(value, &lines); err != nil {
-			return errors.Wrap(err, "keepWarnings")
+			return errors.Wrap(err, "recordWarnings")
 		}
 	}
-	w.lock.Lock()
-	defer w.lock.Unlock()
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	if len(lines) == 0 {
 		delete(w.warnings, vm)
 	} else {
@@ -59,16 +58,16 @@
 	return nil
 }
 
-// Warnings lists the troubles of this VM and those that live VMs have
-// published, each with the names of the VMs that see it.
+// Warnings lists the warnings of this VM and those that other members have published, each with
+// the names of the VMs that report it.
 func (w *Watcher) Warnings() []string {
 	seen := map[string][]string{}
-	for _, line := range w.ownWarnings() {
+	for _, line := range w.localWarnings() {
 		seen[line] = append(seen[line], w.name)
 	}
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	for _, vm := range append(append([]string(nil), w.local...), w.remote...) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, vm := range append(append([]string(nil), w.localMembers...), w.remoteMembers...) {
 		if vm == w.name {
 			continue
 		}
--- a/cicadagraded/watcher/watcher.go
+++ b/cicadagraded/watcher/watcher.go
@@ -1,6 +1,6 @@
-// Package watcher keeps the configuration of a VM: it reads and watches the
-// store, fetches documents from peers and serves theirs, and shows the daemon
-// the profiles and shard sets in force.
+// Package watcher keeps the configuration of a VM up to date: it reads and watches the store,
+// fetches documents from other VMs and serves their fetches, and gives the daemon the profiles
+// and shard sets in force.
 package watcher
 
 import (
@@ -22,118 +22,118 @@
 )
 
 const (
-	ringSize     = 4 // the keeper has one read, watch and fetch in flight
-	fetchTimeout = 2 * tier.Second
-	minWait      = 5 * tier.Millis(1)
-	maxWait      = 1 * tier.Minute
+	requestQueueSize = 4 // the replicator has at most one read, watch and fetch in flight
+	fetchTimeout     = 2 * tier.Second
+	minTickWait      = 5 * tier.Millis(1)
+	maxTickWait      = 1 * tier.Minute
 )
 
-// Peer is the part of the peer service that a Watcher calls.
+// Peer is the method of the peer service that a Watcher calls.
 type Peer interface {
 	Fetch(context.Context, *connect.Request[peerv1.FetchRequest]) (*connect.Response[peerv1.FetchReply], error)
 }
 
-// Watcher keeps the configuration of one VM. It is safe for concurrent use.
+// Watcher replicates the configuration to one VM. It is safe for concurrent use.
 type Watcher struct {
-	name    string
-	clock   *tier.Clock
-	store   storer.Store
-	dial    func(vm string) (Peer, bool)
-	publish func(key string, value []byte) error
-	warn    func(replicator.Alert)
-	options []replicator.Option
-
-	lock     sync.Mutex
-	keeper   *replicator.Replicator
-	heard    map[string]map[string][]replicator.Ref // by VM and gossip key
-	warnings map[string][]string                    // by VM
-	endWatch context.CancelFunc
-	told     bool // members were told
-	local    []string
-	remote   []string
-
-	view    atomic.Pointer[view]
-	lists   *ring.Ring[*replicator.List]
-	watches *ring.Ring[watchOrder]
-	fetches *ring.Ring[*replicator.Fetch]
-	wake    *ring.Ring[struct{}]
-	changed *ring.Ring[struct{}]
-
-	published sync.Mutex // held while the index is published
-	chunks    [][]byte
-	warned    []byte
-}
-
-// watchOrder is a watch that may be ended before it starts.
-type watchOrder struct {
+	name              string
+	clock             *tier.Clock
+	store             storer.Store
+	dial              func(vm string) (Peer, bool)
+	publish           func(key string, value []byte) error
+	onAlert           func(replicator.Alert)
+	replicatorOptions []replicator.Option
+
+	mu            sync.Mutex
+	replicator    *replicator.Replicator
+	indexEntries  map[string]map[string][]replicator.Ref // by VM and gossip key
+	warnings      map[string][]string                    // by VM
+	cancelWatch   context.CancelFunc
+	membersKnown  bool // whether OnMembers has been called
+	localMembers  []string
+	remoteMembers []string
+
+	view          atomic.Pointer[view]
+	listRequests  *ring.Ring[*replicator.List]
+	watchRequests *ring.Ring[watchRequest]
+	fetchRequests *ring.Ring[*replicator.Fetch]
+	wake          *ring.Ring[struct{}]
+	changed       *ring.Ring[struct{}]
+
+	publishMu         sync.Mutex // held while the index and the warnings are published
+	publishedIndex    [][]byte
+	publishedWarnings []byte
+}
+
+// watchRequest is a watch that has been requested; its ctx may be cancelled before it starts.
+type watchRequest struct {
 	ctx  context.Context
 	from int64
 }
 
-// Option sets one field of a Watcher.
+// Option configures a Watcher.
 type Option func(*Watcher)
 
-// WithPeers sets how VMs are reached; without it nothing is fetched.
+// WithPeers sets how other VMs are reached. Without it, nothing is fetched.
 func WithPeers(dial func(vm string) (Peer, bool)) Option {
 	return func(w *Watcher) { w.dial = dial }
 }
 
-// WithPublisher sets where the index of what this VM holds is published; the
-// other VMs hand it to OnIndex.
+// WithPublisher sets how the index and the warnings of this VM are published. The other VMs pass
+// them to OnIndexEntry.
 func WithPublisher(publish func(key string, value []byte) error) Option {
 	return func(w *Watcher) { w.publish = publish }
 }
 
-// WithWarnings has warn called for each flag that is raised.
-func WithWarnings(warn func(replicator.Alert)) Option { return func(w *Watcher) { w.warn = warn } }
+// WithWarnings sets a function that is called for each alert that is raised.
+func WithWarnings(f func(replicator.Alert)) Option { return func(w *Watcher) { w.onAlert = f } }
 
-// WithKeeper passes options to the keeper.
+// WithKeeper passes options to the replicator.
 func WithKeeper(opts ...replicator.Option) Option {
-	return func(w *Watcher) { w.options = append(w.options, opts...) }
+	return func(w *Watcher) { w.replicatorOptions = append(w.replicatorOptions, opts...) }
 }
 
 // New returns the watcher of a VM.
 func New(self tier.VM, store storer.Store, clock *tier.Clock, opts ...Option) *Watcher {
 	w := &Watcher{
-		name:  self.Name(),
-		clock: clock,
-		store: store,
-		heard: map[string]map[string][]replicator.Ref{},
-
-		warnings: map[string][]string{},
-		lists:    ring.New[*replicator.List](ringSize),
-		watches:  ring.New[watchOrder](ringSize),
-		fetches:  ring.New[*replicator.Fetch](ringSize),
-		wake:     ring.New[struct{}](1),
-		changed:  ring.New[struct{}](1),
-
-		endWatch: func() {},
+		name:         self.Name(),
+		clock:        clock,
+		store:        store,
+		indexEntries: map[string]map[string][]replicator.Ref{},
+
+		warnings:      map[string][]string{},
+		listRequests:  ring.New[*replicator.List](requestQueueSize),
+		watchRequests: ring.New[watchRequest](requestQueueSize),
+		fetchRequests: ring.New[*replicator.Fetch](requestQueueSize),
+		wake:          ring.New[struct{}](1),
+		changed:       ring.New[struct{}](1),
+
+		cancelWatch: func() {},
 	}
 	w.Defaults()
 	for _, o := range opts {
 		o(w)
 	}
-	options := append([]replicator.Option{replicator.WithDataCentre(self.DataCentre())}, w.options...)
-	w.keeper = replicator.New(w.name, options...)
+	options := append([]replicator.Option{replicator.WithDataCentre(self.DataCentre())}, w.replicatorOptions...)
+	w.replicator = replicator.New(w.name, options...)
 	w.view.Store(newView(nil))
 	return w
 }
 
-// Defaults sets no peers, publishes nowhere and ignores warnings.
+// Defaults sets functions that reach no peers, publish nothing and ignore alerts.
 func (w *Watcher) Defaults() {
 	w.dial = func(string) (Peer, bool) { return nil, false }
 	w.publish = func(string, []byte) error { return nil }
-	w.warn = func(replicator.Alert) {}
+	w.onAlert = func(replicator.Alert) {}
 }
 
-// Run keeps the configuration until ctx ends. It is one duty of a run group.
+// Run keeps the configuration up to date until ctx ends.
 func (w *Watcher) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return w.tick(ctx) })
-	group.Go(func() error { return w.list(ctx) })
-	group.Go(func() error { return w.watch(ctx) })
-	group.Go(func() error { return w.fetch(ctx) })
-	group.Go(func() error { return w.stopWatch(ctx) })
+	group.Go(func() error { return w.runTicks(ctx) })
+	group.Go(func() error { return w.runLists(ctx) })
+	group.Go(func() error { return w.runWatches(ctx) })
+	group.Go(func() error { return w.runFetches(ctx) })
+	group.Go(func() error { return w.cancelWatchOnExit(ctx) })
 	err := group.Wait()
 	if errors.Is(err, context.Canceled) {
 		return nil
@@ -141,77 +141,81 @@
 	return errors.Wrap(err, "Watcher.Run")
 }
 
-// tick steps the keeper whenever it is due.
-func (w *Watcher) tick(ctx context.Context) error {
-	return ticker.Run(ctx, w.wake, func() { w.drive(&replicator.Tick{}) }, w.wait)
+// runTicks sends the replicator a tick whenever one is due.
+func (w *Watcher) runTicks(ctx context.Context) error {
+	return ticker.Run(ctx, w.wake, func() { w.stepReplicator(&replicator.Tick{}) }, w.untilNextTick)
 }
 
-func (w *Watcher) wait() tier.Millis {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	next, ok := w.keeper.Next()
+// untilNextTick returns the time until the replicator's next tick is due.
+func (w *Watcher) untilNextTick() tier.Millis {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	next, ok := w.replicator.Next()
 	if !ok {
-		return maxWait
+		return maxTickWait
 	}
-	return min(max(next-w.clock.Now(), minWait), maxWait)
+	return min(max(next-w.clock.Now(), minTickWait), maxTickWait)
 }
 
-// step drives the keeper and has tick look at its next time again.
-func (w *Watcher) step(e replicator.Event) {
-	w.drive(e)
+// handleEvent passes an event to the replicator, and wakes runTicks because the next tick may be
+// due earlier.
+func (w *Watcher) handleEvent(e replicator.Event) {
+	w.stepReplicator(e)
 	w.wake.TryPush(struct{}{})
 }
 
-// drive drives the keeper and tells of what came into force and of flags.
-func (w *Watcher) drive(e replicator.Event) {
-	took, flags := w.driveLocked(e)
-	if took {
+// stepReplicator passes an event to the replicator, signals changes that have come into force and
+// alerts, and publishes the index.
+func (w *Watcher) stepReplicator(e replicator.Event) {
+	adopted, alerts := w.dispatchActions(e)
+	if adopted {
 		w.changed.TryPush(struct{}{})
 	}
-	for _, f := range flags {
-		w.warn(f)
+	for _, a := range alerts {
+		w.onAlert(a)
 	}
 	w.publishIndex()
 }
 
-// driveLocked passes the keeper's actions to the duties.
-func (w *Watcher) driveLocked(e replicator.Event) (took bool, flags []replicator.Alert) {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	for _, a := range w.keeper.Step(w.clock.Now(), e) {
+// dispatchActions passes an event to the replicator and its actions to the goroutines that carry
+// them out. It reports whether a document was adopted, and the alerts that were raised.
+func (w *Watcher) dispatchActions(e replicator.Event) (adopted bool, alerts []replicator.Alert) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, a := range w.replicator.Step(w.clock.Now(), e) {
 		switch a := a.(type) {
 		case *replicator.List:
-			w.lists.TryPush(a)
+			w.listRequests.TryPush(a)
 		case *replicator.Watch:
-			w.watches.TryPush(w.newWatch(a.From()))
+			w.watchRequests.TryPush(w.newWatchRequest(a.From()))
 		case *replicator.EndWatch:
-			w.endWatch()
+			w.cancelWatch()
 		case *replicator.Fetch:
-			w.fetches.TryPush(a)
+			w.fetchRequests.TryPush(a)
 		case *replicator.Adopted:
-			took = true
+			adopted = true
 		case *replicator.AlertRaised:
-			flags = append(flags, a.Alert())
+			alerts = append(alerts, a.Alert())
 		}
 	}
-	if took {
-		w.view.Store(newView(w.keeper.Documents()))
+	if adopted {
+		w.view.Store(newView(w.replicator.Documents()))
 	}
-	return took, flags
+	return adopted, alerts
 }
 
-// newWatch makes the order of a watch that endWatch ends.
-func (w *Watcher) newWatch(from int64) watchOrder {
+// newWatchRequest returns a request for a watch that cancelWatch ends.
+func (w *Watcher) newWatchRequest(from int64) watchRequest {
 	ctx, cancel := context.WithCancel(context.Background())
-	w.endWatch = cancel
-	return watchOrder{ctx: ctx, from: from}
+	w.cancelWatch = cancel
+	return watchRequest{ctx: ctx, from: from}
 }
 
-// stopWatch ends the watch when the watcher itself ends.
-func (w *Watcher) stopWatch(ctx context.Context) error {
+// cancelWatchOnExit cancels the watch when ctx ends.
+func (w *Watcher) cancelWatchOnExit(ctx context.Context) error {
 	<-ctx.Done()
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	w.endWatch()
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.cancelWatch()
 	return ctx.Err()
 }
--- a/cicadagraded/watcher/watcher_test.go
+++ b/cicadagraded/watcher/watcher_test.go
@@ -14,7 +14,7 @@
 	"cicadagrade.example/tier/replicator"
 )
 
-// TestScripts runs each script of changes, faults and cuts.
+// TestScripts runs each script of configuration changes, store faults and network partitions.
 func TestScripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
@@ -48,10 +48,10 @@
 				f.stop(name)
 			}
 		}
-		f.meet()
+		f.updateMembers()
 	case "apply":
 		n, _ := strconv.Atoi(w[1])
-		f.drive(committer.New(document(f.t, n), "change-"+w[1], "op", "", 0))
+		f.commit(committer.New(profilesDocument(f.t, n), "change-"+w[1], "op", "", 0))
 	case "reconcile":
 		f.reconcile(w[1])
 	case "store":
@@ -67,50 +67,52 @@
 			f.t.Fatal(err)
 		}
 	case "cut-store", "cut-peers", "heal":
-		f.cut(w[0], w[1:])
+		f.setPartitions(w[0], w[1:])
 	default:
-		if err := f.look(line, w); err != nil {
+		if err := f.check(line, w); err != nil {
 			f.t.Fatal(err)
 		}
 	}
 }
 
-func (f *fleet) cut(what string, names []string) {
-	for name, v := range f.reachableAll() {
-		if what == "heal" {
-			v.store.setCut(false)
-			f.setApart(name, false)
+// setPartitions runs a cut-store, cut-peers or heal command.
+func (f *fleet) setPartitions(command string, names []string) {
+	for name, v := range f.allVMs() {
+		if command == "heal" {
+			v.store.setUnreachable(false)
+			f.setPartitioned(name, false)
 		}
 	}
 	for _, name := range names {
-		if what == "cut-store" {
-			f.reachableAll()[name].store.setCut(true)
+		if command == "cut-store" {
+			f.allVMs()[name].store.setUnreachable(true)
 		} else {
-			f.setApart(name, true)
+			f.setPartitioned(name, true)
 		}
 	}
-	f.meet()
+	f.updateMembers()
 }
 
-func (f *fleet) setApart(name string, apart bool) {
+func (f *fleet) setPartitioned(name string, partitioned bool) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.apart[name] = apart
+	f.partitioned[name] = partitioned
 }
 
-// look waits until VMs are as a line says; "serves" does not wait.
-func (f *fleet) look(line string, w []string) error {
+// check waits until the condition of a script line holds on the VMs it names. Only "serves" does
+// not wait.
+func (f *fleet) check(line string, w []string) error {
 	names := w[2:]
 	var ok func(*watcher.Watcher) bool
-	limit := patience
+	limit := testTimeout
 	switch w[0] {
 	case "serves":
 		limit = 0
 		fallthrough
 	case "in-force":
-		ok = func(x *watcher.Watcher) bool { return serves(x, w[1]) }
+		ok = func(x *watcher.Watcher) bool { return servesQueueLimit(x, w[1]) }
 	case "flagged":
-		ok = func(x *watcher.Watcher) bool { return flagged(x, w[1]) }
+		ok = func(x *watcher.Watcher) bool { return hasAlert(x, w[1]) }
 	case "clear", "warned":
 		names = w[1:]
 		ok = func(x *watcher.Watcher) bool { return (len(x.Warnings()) == 0) == (w[0] == "clear") }
@@ -125,9 +127,9 @@
 	return nil
 }
 
-// TestCheckObjectsToARevert: a VM that is replaced while it alone holds the
-// later state takes the restored copy, and the check sees it.
-func TestCheckObjectsToARevert(t *testing.T) {
+// A VM is replaced while it is the only one that holds the latest state, and the store has been
+// restored from an older copy. The new VM takes the older state, and fleet.check must detect this.
+func TestCheckDetectsRevertedConfiguration(t *testing.T) {
 	f := newFleet(t)
 	for _, line := range []string{
 		"start a1", "apply 1", "in-force 1 a1", "save monday", "apply 2", "in-force 2 a1",
@@ -135,15 +137,15 @@
 	} {
 		f.step(line, strings.Fields(line))
 	}
-	if f.look("serves 2 a1", []string{"serves", "2", "a1"}) == nil {
-		t.Error("the check accepts a revert")
+	if f.check("serves 2 a1", []string{"serves", "2", "a1"}) == nil {
+		t.Error("the check accepts a reverted configuration")
 	}
 }
 
-// reconcile writes what a VM serves back to the store.
+// reconcile writes the document that a VM serves back to the store.
 func (f *fleet) reconcile(name string) {
-	key := replicator.KeyOf(document(f.t, 1))
-	b, ok := f.reachableAll()[name].watcher.Document(key)
+	key := replicator.KeyOf(profilesDocument(f.t, 1))
+	b, ok := f.allVMs()[name].watcher.Document(key)
 	if !ok {
 		f.t.Fatal("no document on " + name)
 	}
@@ -151,5 +153,5 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	f.drive(committer.NewReconciliation(s, "reconcile", "op", "", 0))
+	f.commit(committer.NewReconciliation(s, "reconcile", "op", "", 0))
 }
--- a/cicadagraded/watcher/wire.go
+++ b/cicadagraded/watcher/wire.go
@@ -10,7 +10,7 @@
 	peerv1 "cicadagrade.example/api/peer/v1"
 )
 
-// encodeRefs writes keys without their common prefix.
+// encodeRefs encodes references. Keys are written without their common prefix.
 func encodeRefs(refs []replicator.Ref) []*peerv1.DocumentRef {
 	out := make([]*peerv1.DocumentRef, 0, len(refs))
 	for _, r := range refs {
@@ -65,7 +65,7 @@
 	return out
 }
 
-// encodeIndex writes refs as one value of the gossip.
+// encodeIndex encodes references as the value of one gossip entry.
 func encodeIndex(refs []replicator.Ref) ([]byte, error) {
 	return proto.MarshalOptions{Deterministic: true}.Marshal(&peerv1.FetchRequest{Have: encodeRefs(refs)})
 }
