--- a/cicadagrade/book.go
+++ b/cicadagrade/book.go
@@ -7,16 +7,16 @@
 	"github.com/spf13/cobra"
 )
 
-const bookHelp = `Books on a record of a shard set: a request that may not be repeated. With an
-idempotency key it runs at most once however often and wherever it is sent; the
-same key again gives the same receipt. A key starts with the date on which it
-is first sent (UTC). Without a key the entry VM makes one, which no one else
-can send.
+const bookHelp = `Makes a booking on a record of a shard set. A booking is not idempotent by itself.
+With an idempotency key, it runs at most once, however often and to whichever VM
+it is sent; sending the key again returns the same receipt. A key starts with
+the date (UTC) on which it is first sent. Without a key, the entry VM generates
+one that can't be sent again.
 
-The exit code is 0 when the booking ran, 3 when it was refused and not run, and
-4 when it may have run: ask again with the same key. A VM that refuses without
-being able to look for an earlier sending of the key says unknown
-(earlier-sending), unless --first-sending vouches that there was none.
+The exit code is 0 if the booking ran, 3 if it was refused and not run, and 4 if
+it may have run: then send it again with the same key. A VM that refuses a key
+and can't find out whether it was sent before reports the outcome unknown
+(earlier-sending), unless --first-sending states that it was not.
 
   cicadagrade book --vm 127.0.0.1:7070 --profile certificate --set portao \
     --record certificate-17 --key 2026-12-04-load-993 "hygiene certificate"`
@@ -34,7 +34,7 @@
 }
 
 func bookCommand() *cobra.Command {
-	f := &callFlags{}
+	f := &requestFlags{}
 	var record, key string
 	var first bool
 	c := &cobra.Command{
@@ -52,16 +52,16 @@
 	}
 	f.register(c)
 	c.Flags().StringVar(&record, "record", "", "key of the record to book on")
-	c.Flags().StringVar(&key, "key", "", "idempotency key, such as 2026-12-04-load-993; empty: the VM makes one")
-	c.Flags().BoolVar(&first, "first-sending", false, "vouch that the key was never sent before, so that a VM that can't look may say refused")
+	c.Flags().StringVar(&key, "key", "", "idempotency key, such as 2026-12-04-load-993; empty: the VM generates one")
+	c.Flags().BoolVar(&first, "first-sending", false, "state that the key was never sent before, so that a VM that can't check may report refused")
 	_ = c.MarkFlagRequired("record")
 	return c
 }
 
-func printBooking(out io.Writer, w *answerBody) {
-	printOutcome(out, w)
-	_, _ = fmt.Fprintf(out, "idempotency-key %s\n", w.IdempotencyKey)
-	if w.Receipt != "" {
-		_, _ = fmt.Fprintf(out, "receipt %s repeated %t\n", w.Receipt, w.Repeated)
+func printBooking(out io.Writer, b *responseBody) {
+	printOutcome(out, b)
+	_, _ = fmt.Fprintf(out, "idempotency-key %s\n", b.IdempotencyKey)
+	if b.Receipt != "" {
+		_, _ = fmt.Fprintf(out, "receipt %s repeated %t\n", b.Receipt, b.Repeated)
 	}
 }
--- a/cicadagrade/commands.go
+++ b/cicadagrade/commands.go
@@ -6,7 +6,7 @@
 	"cicadagrade.example/tier"
 )
 
-// commands lists the subcommands, each in a file of its own.
+// commands returns the subcommands.
 func commands() []*cobra.Command {
 	clock := tier.NewClock()
 	return []*cobra.Command{
--- a/cicadagrade/configuration.go
+++ b/cicadagrade/configuration.go
@@ -27,11 +27,11 @@
 
 const exitCodesHelp = `
 
-Exit codes: 0 done, 1 failed, 2 bad input, 3 conflict with another change, 4
-unknown whether the change was made.`
+Exit codes: 0 success, 1 failure, 2 invalid input, 3 conflict with another
+change, 4 unknown whether the change was made.`
 
-// configurer holds what the configuration commands share.
-type configurer struct {
+// documentCommand holds the flags and the document kind that the configuration commands share.
+type documentCommand struct {
 	clock  *tier.Clock
 	kind   parser.Kind
 	store  string
@@ -39,42 +39,43 @@
 	output string
 }
 
-// configurationError ends a command with an exit code of its own.
-type configurationError struct {
+// exitError is an error with the exit code of the command.
+type exitError struct {
 	message string
 	code    int
 }
 
-// ExitCode is the command's exit code.
-func (e *configurationError) ExitCode() int { return e.code }
+// ExitCode returns the command's exit code.
+func (e *exitError) ExitCode() int { return e.code }
 
-// Error tells the operator what happened.
-func (e *configurationError) Error() string { return e.message }
+// Error returns the message for the operator.
+func (e *exitError) Error() string { return e.message }
 
-func fail(code int, format string, args ...any) error {
-	return errors.WithStack(&configurationError{message: fmt.Sprintf(format, args...), code: code})
+// exitErrorf returns an *exitError with a formatted message.
+func exitErrorf(code int, format string, args ...any) error {
+	return errors.WithStack(&exitError{message: fmt.Sprintf(format, args...), code: code})
 }
 
-// badInput turns the error of a document or a flag into one with its code.
-func badInput(err error) error {
+// badInputError returns an *exitError with exitBadInput for an invalid document or flag.
+func badInputError(err error) error {
 	var invalid *tier.InvalidError
 	if !errors.As(err, &invalid) {
-		return fail(exitBadInput, "%v", err)
+		return exitErrorf(exitBadInput, "%v", err)
 	}
 	var out strings.Builder
-	fmt.Fprintf(&out, "%s is rejected whole:", invalid.Object())
+	fmt.Fprintf(&out, "%s is rejected as a whole:", invalid.Object())
 	for _, p := range invalid.Problems() {
 		fmt.Fprintf(&out, "\n  %s", p)
 	}
-	return fail(exitBadInput, "%s", out.String())
+	return exitErrorf(exitBadInput, "%s", out.String())
 }
 
-func (o *configurer) register(c *cobra.Command) {
+func (dc *documentCommand) register(c *cobra.Command) {
 	f := c.PersistentFlags()
-	f.StringVar(&o.store, "store", envOr(storeEnv, "127.0.0.1:2379"), "address of the platform's store ("+storeEnv+")")
-	f.StringVar(&o.vms, "vms", os.Getenv(vmsEnv), "API addresses of entry VMs, separated by commas ("+vmsEnv+")")
-	f.StringVar(&o.output, "output", "text", "text or json")
-	c.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return badInput(err) })
+	f.StringVar(&dc.store, "store", envOr(storeEnv, "127.0.0.1:2379"), "address of the platform's store ("+storeEnv+")")
+	f.StringVar(&dc.vms, "vms", os.Getenv(vmsEnv), "API addresses of entry VMs, separated by commas ("+vmsEnv+")")
+	f.StringVar(&dc.output, "output", "text", "text or json")
+	c.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return badInputError(err) })
 }
 
 func envOr(name, fallback string) string {
@@ -84,55 +85,55 @@
 	return fallback
 }
 
-// arguments checks the number of arguments.
-func arguments(least, most int) cobra.PositionalArgs {
+// rangeArgs is like cobra.RangeArgs, but its error has the exit code exitBadInput.
+func rangeArgs(minimum, maximum int) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
-		if err := cobra.RangeArgs(least, most)(c, args); err != nil {
-			return badInput(err)
+		if err := cobra.RangeArgs(minimum, maximum)(c, args); err != nil {
+			return badInputError(err)
 		}
 		return nil
 	}
 }
 
-// group is the parent of subcommands: alone it shows its help.
-func (o *configurer) group(use, short, long string, list ...*cobra.Command) *cobra.Command {
+// parentCommand returns the parent of subcommands, which shows its help when run by itself.
+func (dc *documentCommand) parentCommand(use, short, long string, subcommands ...*cobra.Command) *cobra.Command {
 	c := &cobra.Command{
 		Use: use, Short: short, Long: long,
 		RunE: func(c *cobra.Command, args []string) error {
 			if len(args) > 0 {
-				return fail(exitBadInput, "unknown command %q: see %s --help", args[0], c.CommandPath())
+				return exitErrorf(exitBadInput, "unknown command %q: see %s --help", args[0], c.CommandPath())
 			}
 			return c.Help()
 		},
 	}
-	o.register(c)
-	c.AddCommand(list...)
+	dc.register(c)
+	c.AddCommand(subcommands...)
 	return c
 }
 
-// check looks at the shared flags.
-func (o *configurer) check() error {
-	if o.output != "text" && o.output != "json" {
-		return fail(exitBadInput, "--output: %q is not allowed: text or json", o.output)
+// validateOutput checks the --output flag.
+func (dc *documentCommand) validateOutput() error {
+	if dc.output != "text" && dc.output != "json" {
+		return exitErrorf(exitBadInput, "--output: %q is not allowed: text or json", dc.output)
 	}
 	return nil
 }
 
-func (o *configurer) open() *platform.Store { return platform.NewStore(o.store) }
+func (dc *documentCommand) openStore() *platform.Store { return platform.NewStore(dc.store) }
 
-// key is the store's key of the document that a command names.
-func (o *configurer) key(args []string) (string, error) {
-	if o.kind == parser.KindProfiles {
-		return replicator.Key(o.kind, ""), nil
+// storeKey returns the store key of the document that the command's arguments name.
+func (dc *documentCommand) storeKey(args []string) (string, error) {
+	if dc.kind == parser.KindProfiles {
+		return replicator.Key(dc.kind, ""), nil
 	}
 	if !tier.ValidName(args[0]) {
-		return "", fail(exitBadInput, "%q is not the name of a shard set", args[0])
+		return "", exitErrorf(exitBadInput, "%q is not the name of a shard set", args[0])
 	}
-	return replicator.Key(o.kind, args[0]), nil
+	return replicator.Key(dc.kind, args[0]), nil
 }
 
-// load reads a document from the store, nil when it is absent.
-func load(ctx context.Context, store storer.Store, key string) (*replicator.State, error) {
+// loadDocument reads a document from the store. It returns nil if the document does not exist.
+func loadDocument(ctx context.Context, store storer.Store, key string) (*replicator.State, error) {
 	v, err := store.Get(ctx, key)
 	if err != nil || !v.Present() {
 		return nil, err
@@ -140,17 +141,17 @@
 	return replicator.Decode(key, v.Data())
 }
 
-// need is load for commands that can't do without the document.
-func need(ctx context.Context, store storer.Store, key string) (*replicator.State, error) {
-	s, err := load(ctx, store, key)
+// loadRequired is like loadDocument, but returns an error if the document does not exist.
+func loadRequired(ctx context.Context, store storer.Store, key string) (*replicator.State, error) {
+	s, err := loadDocument(ctx, store, key)
 	if err == nil && s == nil {
-		return nil, fail(1, "the store holds no document %s", key)
+		return nil, exitErrorf(1, "the store holds no document %s", key)
 	}
 	return s, err
 }
 
-// readFile reads a document from a file, or from standard input for "-".
-func (o *configurer) readFile(c *cobra.Command, name string) (parser.Document, error) {
+// readDocument reads and parses a document from a file, or from standard input for "-".
+func (dc *documentCommand) readDocument(c *cobra.Command, name string) (parser.Document, error) {
 	var body []byte
 	var err error
 	if name == "-" {
@@ -159,18 +160,18 @@
 		body, err = os.ReadFile(name)
 	}
 	if err != nil {
-		return nil, badInput(err)
+		return nil, badInputError(err)
 	}
-	d, err := parser.Parse(o.kind, body)
+	d, err := parser.Parse(dc.kind, body)
 	if err != nil {
-		return nil, badInput(err)
+		return nil, badInputError(err)
 	}
 	return d, nil
 }
 
-// print writes v as JSON, or has text write it for a person.
-func (o *configurer) print(c *cobra.Command, v any, text func(io.Writer)) error {
-	if o.output == "json" {
+// print writes v as JSON, or calls text to write it in a human-readable form.
+func (dc *documentCommand) print(c *cobra.Command, v any, text func(io.Writer)) error {
+	if dc.output == "json" {
 		e := json.NewEncoder(c.OutOrStdout())
 		e.SetIndent("", "  ")
 		e.SetEscapeHTML(false)
@@ -181,7 +182,7 @@
 	return errors.Wrap(w.Flush(), "print")
 }
 
-// refBody is a document's state in answers of this command.
+// refBody is a reference to a document state in JSON output and in GET /v1/status.
 type refBody struct {
 	Key      string `json:"key"`
 	Epoch    uint64 `json:"epoch"`
@@ -195,28 +196,28 @@
 
 func (r refBody) ref() replicator.Ref { return replicator.NewRef(r.Key, r.Epoch, r.Revision, r.Digest) }
 
-// changeBody is one difference in answers of this command.
-type changeBody struct {
+// fieldChangeBody is the change of one field in JSON output.
+type fieldChangeBody struct {
 	Path   string          `json:"path"`
 	Before json.RawMessage `json:"before,omitempty"`
 	After  json.RawMessage `json:"after,omitempty"`
 }
 
-func newChangeBodies(list []parser.Change) []changeBody {
-	out := make([]changeBody, 0, len(list))
-	for _, c := range list {
-		out = append(out, changeBody{Path: c.Path(), Before: json.RawMessage(c.Before()), After: json.RawMessage(c.After())})
+func newFieldChangeBodies(changes []parser.Change) []fieldChangeBody {
+	out := make([]fieldChangeBody, 0, len(changes))
+	for _, c := range changes {
+		out = append(out, fieldChangeBody{Path: c.Path(), Before: json.RawMessage(c.Before()), After: json.RawMessage(c.After())})
 	}
 	return out
 }
 
-// maxShown is how many changes are shown to a person at once.
-const maxShown = 40
+// maxPrintedChanges limits the field changes that are printed in text output.
+const maxPrintedChanges = 40
 
-func printChanges(w io.Writer, list []parser.Change) {
-	for i, c := range list {
-		if i == maxShown {
-			fmt.Fprintf(w, "  ... and %d more\n", len(list)-maxShown)
+func printChanges(w io.Writer, changes []parser.Change) {
+	for i, c := range changes {
+		if i == maxPrintedChanges {
+			fmt.Fprintf(w, "  ... and %d more\n", len(changes)-maxPrintedChanges)
 			return
 		}
 		path := c.Path()
--- a/cicadagrade/diff.go
+++ b/cicadagrade/diff.go
@@ -13,32 +13,33 @@
 const diffHelp = `Prints what apply would change, without changing anything. FILE may be "-" for
 standard input.`
 
-func (o *configurer) diffCommand() *cobra.Command {
+func (dc *documentCommand) diffCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "diff FILE", Short: "Compare a file with the document in the store", Long: diffHelp, Args: arguments(1, 1),
+		Use: "diff FILE", Short: "Compare a file with the document in the store", Long: diffHelp, Args: rangeArgs(1, 1),
 		RunE: func(c *cobra.Command, args []string) error {
-			if err := o.check(); err != nil {
+			if err := dc.validateOutput(); err != nil {
 				return err
 			}
-			return o.diff(c, args[0])
+			return dc.diff(c, args[0])
 		},
 	}
 }
 
+// diffBody is the JSON output of diff.
 type diffBody struct {
-	Key      string       `json:"key"`
-	Revision uint64       `json:"revision"`
-	Changes  []changeBody `json:"changes"`
+	Key      string            `json:"key"`
+	Revision uint64            `json:"revision"`
+	Changes  []fieldChangeBody `json:"changes"`
 }
 
-func (o *configurer) diff(c *cobra.Command, file string) error {
-	d, err := o.readFile(c, file)
+func (dc *documentCommand) diff(c *cobra.Command, file string) error {
+	d, err := dc.readDocument(c, file)
 	if err != nil {
 		return err
 	}
-	store := o.open()
+	store := dc.openStore()
 	defer store.Close()
-	s, err := load(c.Context(), store, replicator.KeyOf(d))
+	s, err := loadDocument(c.Context(), store, replicator.KeyOf(d))
 	if err != nil {
 		return err
 	}
@@ -49,8 +50,8 @@
 		body.Revision = s.Ref().Revision()
 	}
 	changes := parser.Diff(before, d)
-	body.Changes = newChangeBodies(changes)
-	return o.print(c, body, func(w io.Writer) {
+	body.Changes = newFieldChangeBodies(changes)
+	return dc.print(c, body, func(w io.Writer) {
 		fmt.Fprintf(w, "%s at revision %d: %d changes\n", body.Key, body.Revision, len(changes))
 		printChanges(w, changes)
 	})
--- a/cicadagrade/explain_test.go
+++ b/cicadagrade/explain_test.go
@@ -9,7 +9,7 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// TestExplain tells stories from real lines of a run, of several VMs.
+// TestExplain explains requests from a recorded log of several VMs.
 func TestExplain(t *testing.T) {
 	logs, err := os.ReadFile("testdata/explain/entry.log")
 	if err != nil {
@@ -29,5 +29,5 @@
 			out.WriteString("error: " + err.Error() + "\n")
 		}
 	}
-	goldie.New(t, goldie.WithFixtureDir("testdata/explain")).Assert(t, "stories", []byte(out.String()))
+	goldie.New(t, goldie.WithFixtureDir("testdata/explain")).Assert(t, "requests", []byte(out.String()))
 }
--- a/cicadagrade/history.go
+++ b/cicadagrade/history.go
@@ -15,77 +15,78 @@
 )
 
 const historyHelp = `Prints the audit trail of the document, latest change first: revision, time,
-who, change id, reason, and each field before and after.`
+author, change id, reason, and the old and new value of each changed field.`
 
 const defaultHistory = 10
 
-func (o *configurer) historyCommand(use string, args cobra.PositionalArgs) *cobra.Command {
+func (dc *documentCommand) historyCommand(use string, args cobra.PositionalArgs) *cobra.Command {
 	var limit int
 	c := &cobra.Command{
 		Use: use, Short: "Show the audit trail", Long: historyHelp, Args: args,
 		RunE: func(c *cobra.Command, args []string) error {
-			if err := o.check(); err != nil {
+			if err := dc.validateOutput(); err != nil {
 				return err
 			}
 			if limit < 1 {
-				return fail(exitBadInput, "--limit: %d is not allowed: at least 1", limit)
+				return exitErrorf(exitBadInput, "--limit: %d is not allowed: at least 1", limit)
 			}
-			return o.history(c, args, limit)
+			return dc.history(c, args, limit)
 		},
 	}
-	c.Flags().IntVar(&limit, "limit", defaultHistory, "how many changes to show")
+	c.Flags().IntVar(&limit, "limit", defaultHistory, "maximum number of changes to show")
 	return c
 }
 
-type entryBody struct {
-	Epoch    uint64       `json:"epoch"`
-	Revision uint64       `json:"revision"`
-	At       string       `json:"at"`
-	Who      string       `json:"who"`
-	Change   string       `json:"change"`
-	Reason   string       `json:"reason"`
-	Changes  []changeBody `json:"changes"`
+// auditEntryBody is an audit entry in JSON output.
+type auditEntryBody struct {
+	Epoch    uint64            `json:"epoch"`
+	Revision uint64            `json:"revision"`
+	At       string            `json:"at"`
+	Who      string            `json:"who"`
+	Change   string            `json:"change"`
+	Reason   string            `json:"reason"`
+	Changes  []fieldChangeBody `json:"changes"`
 }
 
-func (o *configurer) history(c *cobra.Command, args []string, limit int) error {
-	key, err := o.key(args)
+func (dc *documentCommand) history(c *cobra.Command, args []string, limit int) error {
+	key, err := dc.storeKey(args)
 	if err != nil {
 		return err
 	}
-	store := o.open()
+	store := dc.openStore()
 	defer store.Close()
-	entries, err := trail(c.Context(), store, key, limit)
+	entries, err := auditTrail(c.Context(), store, key, limit)
 	if err != nil {
 		return err
 	}
-	bodies := make([]entryBody, 0, len(entries))
+	bodies := make([]auditEntryBody, 0, len(entries))
 	for _, e := range entries {
-		bodies = append(bodies, entryBody{
-			e.Epoch(), e.Revision(), atText(e), e.Who(), e.ChangeID(), e.Reason(), newChangeBodies(e.Changes()),
+		bodies = append(bodies, auditEntryBody{
+			e.Epoch(), e.Revision(), formatTime(e), e.Who(), e.ChangeID(), e.Reason(), newFieldChangeBodies(e.Changes()),
 		})
 	}
-	return o.print(c, bodies, func(w io.Writer) {
+	return dc.print(c, bodies, func(w io.Writer) {
 		for _, e := range entries {
-			fmt.Fprintf(w, "epoch %d, revision %d at %s by %s, change %s: %s\n", e.Epoch(), e.Revision(), atText(e), e.Who(), e.ChangeID(), e.Reason())
+			fmt.Fprintf(w, "epoch %d, revision %d at %s by %s, change %s: %s\n", e.Epoch(), e.Revision(), formatTime(e), e.Who(), e.ChangeID(), e.Reason())
 			printChanges(w, e.Changes())
 		}
 	})
 }
 
-func atText(e replicator.Entry) string {
+func formatTime(e replicator.Entry) string {
 	return time.UnixMilli(int64(e.At())).UTC().Format(time.RFC3339)
 }
 
-// trail reads the latest entries, latest first: from the document's tail, and
-// from the archive when more are wanted.
-func trail(ctx context.Context, store storer.Store, key string, limit int) ([]replicator.Entry, error) {
-	s, err := need(ctx, store, key)
+// auditTrail returns up to limit audit entries, latest first. It reads them from the document, and
+// from the archive if the document holds fewer than limit.
+func auditTrail(ctx context.Context, store storer.Store, key string, limit int) ([]replicator.Entry, error) {
+	s, err := loadRequired(ctx, store, key)
 	if err != nil {
 		return nil, err
 	}
 	entries := s.Tail()
 	if limit > len(entries) {
-		archived, err := archive(ctx, store, key)
+		archived, err := archivedEntries(ctx, store, key)
 		if err != nil {
 			return nil, err
 		}
@@ -93,7 +94,7 @@
 	}
 	var out []replicator.Entry
 	for i := len(entries) - 1; i >= 0 && len(out) < limit; i-- {
-		e, err := complete(ctx, store, key, entries[i])
+		e, err := withDetachedChanges(ctx, store, key, entries[i])
 		if err != nil {
 			return nil, err
 		}
@@ -102,7 +103,8 @@
 	return out, nil
 }
 
-func archive(ctx context.Context, store storer.Store, key string) ([]replicator.Entry, error) {
+// archivedEntries reads all archived audit entries of a document.
+func archivedEntries(ctx context.Context, store storer.Store, key string) ([]replicator.Entry, error) {
 	values, err := store.List(ctx, replicator.ArchivePrefix(key), 0)
 	if err != nil {
 		return nil, err
@@ -118,8 +120,9 @@
 	return out, nil
 }
 
-// complete reads the changes of an entry that lie under their own key.
-func complete(ctx context.Context, store storer.Store, key string, e replicator.Entry) (replicator.Entry, error) {
+// withDetachedChanges returns the entry with its field changes, which are read from a key of their
+// own if they are not stored in the entry.
+func withDetachedChanges(ctx context.Context, store storer.Store, key string, e replicator.Entry) (replicator.Entry, error) {
 	if !e.ChangesDetached() {
 		return e, nil
 	}
--- a/cicadagrade/list.go
+++ b/cicadagrade/list.go
@@ -13,21 +13,21 @@
 	"cicadagrade.example/tier/storer"
 )
 
-func (o *configurer) listCommand(short string, list func(*cobra.Command, storer.Store) error) *cobra.Command {
+func (dc *documentCommand) listCommand(short string, list func(*cobra.Command, storer.Store) error) *cobra.Command {
 	return &cobra.Command{
-		Use: "list", Short: short, Args: arguments(0, 0),
+		Use: "list", Short: short, Args: rangeArgs(0, 0),
 		RunE: func(c *cobra.Command, _ []string) error {
-			if err := o.check(); err != nil {
+			if err := dc.validateOutput(); err != nil {
 				return err
 			}
-			store := o.open()
+			store := dc.openStore()
 			defer store.Close()
 			return list(c, store)
 		},
 	}
 }
 
-// profileLine is a profile in the list.
+// profileLine is a profile in the output of list.
 type profileLine struct {
 	Name        string  `json:"name"`
 	Rank        string  `json:"rank"`
@@ -36,8 +36,8 @@
 	QueueLimit  int     `json:"queue-limit"`
 }
 
-func (o *configurer) listProfiles(c *cobra.Command, store storer.Store) error {
-	s, err := need(c.Context(), store, replicator.Key(parser.KindProfiles, ""))
+func (dc *documentCommand) listProfiles(c *cobra.Command, store storer.Store) error {
+	s, err := loadRequired(c.Context(), store, replicator.Key(parser.KindProfiles, ""))
 	if err != nil {
 		return err
 	}
@@ -45,7 +45,7 @@
 	for _, p := range s.Document().(*parser.ProfilesDocument).Profiles() {
 		lines = append(lines, profileLine{p.Name(), p.Rank().String(), p.MinCoverage(), int64(p.Deadline()), p.QueueLimit()})
 	}
-	return o.print(c, lines, func(w io.Writer) {
+	return dc.print(c, lines, func(w io.Writer) {
 		fmt.Fprintln(w, "NAME\tRANK\tMIN-COVERAGE\tDEADLINE-MS\tQUEUE-LIMIT")
 		for _, l := range lines {
 			fmt.Fprintf(w, "%s\t%s\t%g\t%d\t%d\n", l.Name, l.Rank, l.MinCoverage, l.DeadlineMs, l.QueueLimit)
@@ -53,7 +53,7 @@
 	})
 }
 
-// setLine is a shard set in the list.
+// setLine is a shard set in the output of list.
 type setLine struct {
 	Name        string   `json:"name"`
 	Epoch       uint64   `json:"epoch"`
@@ -63,7 +63,7 @@
 	Revision    uint64   `json:"revision"`
 }
 
-func (o *configurer) listSets(c *cobra.Command, store storer.Store) error {
+func (dc *documentCommand) listSets(c *cobra.Command, store storer.Store) error {
 	states, err := loadSets(c.Context(), store)
 	if err != nil {
 		return err
@@ -75,7 +75,7 @@
 			set.Name(), uint64(set.Epoch()), len(set.Shards()), len(set.Servers()), set.DataCentres(), s.Ref().Revision(),
 		})
 	}
-	return o.print(c, lines, func(w io.Writer) {
+	return dc.print(c, lines, func(w io.Writer) {
 		fmt.Fprintln(w, "NAME\tEPOCH\tSHARDS\tSERVERS\tDATA-CENTRES\tREVISION")
 		for _, l := range lines {
 			fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%v\t%d\n", l.Name, l.Epoch, l.Shards, l.Servers, l.DataCentres, l.Revision)
--- a/cicadagrade/outcome.go
+++ b/cicadagrade/outcome.go
@@ -6,42 +6,42 @@
 	"github.com/pkg/errors"
 )
 
-// Exit codes of search and book beside 0 and 1.
+// Exit codes other than 0 and 1.
 const (
 	exitBadInput = 2
 	exitRefused  = 3
 	exitUnknown  = 4
 )
 
-// outcomeErr says that a request was not answered.
-type outcomeErr struct {
+// requestError reports a request with another outcome than answered.
+type requestError struct {
 	outcome string
 	reason  string
 	message string
 	code    int
 }
 
-// ExitCode is the command's exit code.
-func (e *outcomeErr) ExitCode() int { return e.code }
+// ExitCode returns the command's exit code.
+func (e *requestError) ExitCode() int { return e.code }
 
-// Error names outcome and reason.
-func (e *outcomeErr) Error() string {
+// Error states the outcome with its message or reason.
+func (e *requestError) Error() string {
 	if e.message != "" {
 		return fmt.Sprintf("%s: %s", e.outcome, e.message)
 	}
 	return fmt.Sprintf("%s: %s", e.outcome, e.reason)
 }
 
-// outcomeError returns nil for an answered request.
-func outcomeError(w *answerBody) error {
-	e := &outcomeErr{outcome: w.Outcome, reason: w.Reason}
+// newRequestError returns the error for a response, nil for an answered request.
+func newRequestError(b *responseBody) error {
+	e := &requestError{outcome: b.Outcome, reason: b.Reason}
 	switch {
-	case w.Error != nil:
-		e.message = w.Error.Message
+	case b.Error != nil:
+		e.message = b.Error.Message
 		e.code = exitBadInput
-	case w.Outcome == "answered":
+	case b.Outcome == "answered":
 		return nil
-	case w.Outcome == "refused-not-run":
+	case b.Outcome == "refused-not-run":
 		e.code = exitRefused
 	default:
 		e.code = exitUnknown
--- a/cicadagrade/requester/requester.go
+++ b/cicadagrade/requester/requester.go
@@ -1,4 +1,4 @@
-// Package requester is a client of the callers' API of an entry VM.
+// Package requester is a client of an entry VM's HTTP API.
 package requester
 
 import (
@@ -14,84 +14,84 @@
 	"cicadagrade.example/tier"
 )
 
-// maxAnswer bounds the bytes read of an answer.
-const maxAnswer = 64 << 20
+// maxResponseBytes limits the bytes that are read of a response.
+const maxResponseBytes = 64 << 20
 
-// Requester asks one entry VM.
+// Requester sends requests to one entry VM.
 type Requester struct {
 	address string
 	client  *http.Client
 }
 
-// New returns a client of the VM whose API is at address, an IP number and
-// port.
+// New returns a client of the VM whose API is at address, an IP address and port.
 func New(address string) *Requester {
 	return &Requester{address: address, client: &http.Client{}}
 }
 
-// Answer is the body of an answer with its status code.
+// Answer is the status code and body of an HTTP response.
 type Answer struct {
 	status int
 	body   []byte
 }
 
-// Status is the HTTP status code.
-func (a Answer) Status() int { return a.status }
+// Status returns the HTTP status code.
+func (r Answer) Status() int { return r.status }
 
-// Body is the JSON body.
-func (a Answer) Body() []byte { return a.body }
+// Body returns the JSON body.
+func (r Answer) Body() []byte { return r.body }
 
-// Into decodes the body.
-func (a Answer) Into(v any) error {
-	return errors.Wrap(json.Unmarshal(a.body, v), "Answer.Into")
+// Into decodes the JSON body into v.
+func (r Answer) Into(v any) error {
+	return errors.Wrap(json.Unmarshal(r.body, v), "Response.Decode")
 }
 
-// CutError says that an answer did not arrive whole.
+// CutError reports that the records of a response do not match its count or digest.
 type CutError struct{ problem string }
 
-// Error names what does not match.
-func (e *CutError) Error() string { return "the answer is not whole: " + e.problem }
+// Error states what does not match.
+func (e *CutError) Error() string { return "the records do not match the response: " + e.problem }
 
-// Post sends a JSON body. It is sent once.
+// Post sends a POST request with a JSON body. It is not retried.
 func (r *Requester) Post(ctx context.Context, path string, body any) (Answer, error) {
 	b, err := json.Marshal(body)
 	if err != nil {
 		return Answer{}, errors.Wrap(err, "Requester.Post")
 	}
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.address+path, bytes.NewReader(b))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.address+path, bytes.NewReader(b))
 	if err != nil {
 		return Answer{}, errors.Wrap(err, "Requester.Post")
 	}
-	q.Header.Set("Content-Type", "application/json")
-	a, err := r.do(q)
-	return a, errors.Wrap(err, "Requester.Post")
+	request.Header.Set("Content-Type", "application/json")
+	response, err := r.do(request)
+	return response, errors.Wrap(err, "Requester.Post")
 }
 
-// Get reads a JSON body.
+// Get sends a GET request.
 func (r *Requester) Get(ctx context.Context, path string) (Answer, error) {
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.address+path, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.address+path, nil)
 	if err != nil {
 		return Answer{}, errors.Wrap(err, "Requester.Get")
 	}
-	a, err := r.do(q)
-	return a, errors.Wrap(err, "Requester.Get")
+	response, err := r.do(request)
+	return response, errors.Wrap(err, "Requester.Get")
 }
 
-func (r *Requester) do(q *http.Request) (Answer, error) {
-	reply, err := r.client.Do(q)
+// do sends a request and reads its response.
+func (r *Requester) do(request *http.Request) (Answer, error) {
+	reply, err := r.client.Do(request)
 	if err != nil {
 		return Answer{}, err
 	}
 	defer func() { _ = reply.Body.Close() }()
-	b, err := io.ReadAll(io.LimitReader(reply.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(reply.Body, maxResponseBytes))
 	if err != nil {
 		return Answer{}, err
 	}
-	return Answer{status: reply.StatusCode, body: b}, nil
+	return Answer{status: reply.StatusCode, body: body}, nil
 }
 
-// CheckWhole reports whether the records of an answer are as many as it
-// states and have the digest that it states. Its error is a *CutError.
+// CheckWhole checks the records of a response against the count and digest that it states. The
+// error is a *MismatchError.
 func CheckWhole(records []tier.Record, count int, digest string) error {
 	if len(records) != count {
 		return errors.WithStack(&CutError{problem: fmt.Sprintf("%d of %d records", len(records), count)})
--- a/cicadagrade/root.go
+++ b/cicadagrade/root.go
@@ -9,13 +9,13 @@
 )
 
 const rootHelp = `cicadagrade shows and changes the configuration of the query tier (profiles
-and shard sets), shows its status, asks searches and makes bookings.`
+and shard sets), shows its status, runs searches and makes bookings.`
 
 // execute runs the command line and returns the exit code.
 func execute() int {
 	root := &cobra.Command{
 		Use:           "cicadagrade",
-		Short:         "Operate and ask the query tier",
+		Short:         "Operate and query the query tier",
 		Long:          rootHelp,
 		SilenceUsage:  true,
 		SilenceErrors: true,
@@ -28,13 +28,13 @@
 	return 0
 }
 
-// exitCoder is an error that sets the exit code.
+// exitCoder is an error with an exit code.
 type exitCoder interface {
 	error
 	ExitCode() int
 }
 
-// exitCode is the code of an error that sets one, and 1 otherwise.
+// exitCode returns the exit code of an exitCoder, and 1 for any other error.
 func exitCode(err error) int {
 	var c exitCoder
 	if errors.As(err, &c) {
--- a/cicadagrade/search.go
+++ b/cicadagrade/search.go
@@ -15,21 +15,21 @@
 	"cicadagrade.example/tier"
 )
 
-const searchHelp = `Asks one entry VM for the records of a shard set that match a term, under a
-profile, and prints them with the snapshot that they come from and the shards
-that they cover.
+const searchHelp = `Sends a search to one entry VM for the records of a shard set that match a term,
+under a profile. It prints the records with the snapshot that they come from and
+the shards that they cover.
 
-The answer is checked before it is shown: a cut answer is an error. The exit
-code is 0 when the request was answered, 3 when it was refused and not run, and
-4 when it ran without an answer, for instance with too little coverage.
+The response is verified before it is printed: missing or altered records are an
+error. The exit code is 0 if the request was answered, 3 if it was refused and
+not run, and 4 if it ran without an answer, for instance with too little coverage.
 
   cicadagrade search --vm 127.0.0.1:7070 --profile gate --set portao grower-17`
 
-// clientGrace is added to a request's deadline before the client gives up.
+// clientGrace is how long after a request's deadline the client times out.
 const clientGrace = 2 * time.Second
 
-// callFlags are the flags of a caller's request.
-type callFlags struct {
+// requestFlags holds the flags that search and book share.
+type requestFlags struct {
 	vm         string
 	profile    string
 	set        string
@@ -38,26 +38,27 @@
 	deadlineMs int64
 }
 
-func (f *callFlags) register(c *cobra.Command) {
+func (f *requestFlags) register(c *cobra.Command) {
 	c.Flags().StringVar(&f.vm, "vm", "127.0.0.1:7070", "API address of an entry VM")
 	c.Flags().StringVar(&f.profile, "profile", "", "name of the profile")
 	c.Flags().StringVar(&f.set, "set", "", "name of the shard set")
-	c.Flags().StringVar(&f.requestID, "request-id", "", "request id; empty: one is made")
-	c.Flags().Int64Var(&f.deadlineMs, "deadline-ms", 0, "deadline; 0: the profile's")
+	c.Flags().StringVar(&f.requestID, "request-id", "", "request id; empty: a generated one")
+	c.Flags().Int64Var(&f.deadlineMs, "deadline-ms", 0, "deadline in milliseconds; 0: the profile's")
 	c.Flags().StringVar(&f.output, "output", "text", "text or json")
 	_ = c.MarkFlagRequired("profile")
 	_ = c.MarkFlagRequired("set")
 }
 
-// deadline is the request's deadline field, absent for 0.
-func (f *callFlags) deadline() *int64 {
+// deadline returns the request's deadline field, nil if no deadline was given.
+func (f *requestFlags) deadline() *int64 {
 	if f.deadlineMs == 0 {
 		return nil
 	}
 	return &f.deadlineMs
 }
 
-func (f *callFlags) id() string {
+// id returns the request id, and generates one if none was given.
+func (f *requestFlags) id() string {
 	if f.requestID == "" {
 		f.requestID = fmt.Sprintf("cli-%d", time.Now().UnixNano())
 	}
@@ -73,8 +74,8 @@
 	DeadlineMs *int64 `json:"deadline-ms,omitempty"`
 }
 
-// answerBody is what this command reads of an answer.
-type answerBody struct {
+// responseBody holds the fields of a response that search and book read.
+type responseBody struct {
 	RequestID    string `json:"request-id"`
 	Outcome      string `json:"outcome"`
 	Reason       string `json:"reason"`
@@ -111,7 +112,7 @@
 }
 
 func searchCommand() *cobra.Command {
-	f := &callFlags{}
+	f := &requestFlags{}
 	c := &cobra.Command{
 		Use:   "search TERM",
 		Short: "Search a shard set",
@@ -126,28 +127,28 @@
 	return c
 }
 
-// run sends a request, prints its answer and returns an error for an outcome
-// other than answered.
-func (f *callFlags) run(c *cobra.Command, path string, body any, show func(io.Writer, *answerBody)) error {
-	limit := clientGrace + time.Duration(f.deadlineMs)*time.Millisecond
+// run sends a request and prints its response. It returns an error for an outcome other than
+// answered.
+func (f *requestFlags) run(c *cobra.Command, path string, body any, show func(io.Writer, *responseBody)) error {
+	timeout := clientGrace + time.Duration(f.deadlineMs)*time.Millisecond
 	if f.deadlineMs == 0 {
-		limit += tier.MaxDeadlineAllowed.Duration()
+		timeout += tier.MaxDeadlineAllowed.Duration()
 	}
-	ctx, cancel := context.WithTimeout(c.Context(), limit)
+	ctx, cancel := context.WithTimeout(c.Context(), timeout)
 	defer cancel()
-	a, err := requester.New(f.vm).Post(ctx, path, body)
+	response, err := requester.New(f.vm).Post(ctx, path, body)
 	if err != nil {
-		return errors.Wrap(err, "no answer")
+		return errors.Wrap(err, "no response")
 	}
-	w := &answerBody{}
-	if err := a.Into(w); err != nil {
-		return errors.Wrap(err, "the answer is not whole")
+	b := &responseBody{}
+	if err := response.Into(b); err != nil {
+		return errors.Wrap(err, "malformed response")
 	}
-	if w.RequestID != f.requestID && w.Error == nil {
-		return errors.Errorf("the answer is for request %q, not %q", w.RequestID, f.requestID)
+	if b.RequestID != f.requestID && b.Error == nil {
+		return errors.Errorf("the response is for request %q, not %q", b.RequestID, f.requestID)
 	}
-	if path == "/v1/search" && w.Error == nil {
-		if err := requester.CheckWhole(w.records(), w.Count, w.Digest); err != nil {
+	if path == "/v1/search" && b.Error == nil {
+		if err := requester.CheckWhole(b.records(), b.Count, b.Digest); err != nil {
 			return err
 		}
 	}
@@ -155,45 +156,45 @@
 		var indented strings.Builder
 		e := json.NewEncoder(&indented)
 		e.SetIndent("", "  ")
-		_ = e.Encode(json.RawMessage(a.Body()))
+		_ = e.Encode(json.RawMessage(response.Body()))
 		_, _ = io.WriteString(c.OutOrStdout(), indented.String())
 	} else {
-		show(c.OutOrStdout(), w)
+		show(c.OutOrStdout(), b)
 	}
-	return outcomeError(w)
+	return newRequestError(b)
 }
 
-func (w *answerBody) records() []tier.Record {
-	out := make([]tier.Record, 0, len(w.Records))
-	for _, r := range w.Records {
+func (b *responseBody) records() []tier.Record {
+	out := make([]tier.Record, 0, len(b.Records))
+	for _, r := range b.Records {
 		out = append(out, tier.NewRecord(r.Key, r.Value))
 	}
 	return out
 }
 
-func printSearch(out io.Writer, w *answerBody) {
-	printOutcome(out, w)
-	_, _ = fmt.Fprintf(out, "records %d digest %s leaf-calls %d extra %d\n", w.Count, w.Digest, w.LeafCalls, w.ExtraLeafCalls)
-	for _, r := range w.Records {
+func printSearch(out io.Writer, b *responseBody) {
+	printOutcome(out, b)
+	_, _ = fmt.Fprintf(out, "records %d digest %s leaf-calls %d extra %d\n", b.Count, b.Digest, b.LeafCalls, b.ExtraLeafCalls)
+	for _, r := range b.Records {
 		_, _ = fmt.Fprintf(out, "  %s  %s\n", r.Key, r.Value)
 	}
 }
 
-// printOutcome prints what every answer states.
-func printOutcome(out io.Writer, w *answerBody) {
-	_, _ = fmt.Fprintf(out, "request %s: %s", w.RequestID, w.Outcome)
-	if w.Reason != "" {
-		_, _ = fmt.Fprintf(out, " (%s)", w.Reason)
+// printOutcome prints the fields that searches and bookings share.
+func printOutcome(out io.Writer, b *responseBody) {
+	_, _ = fmt.Fprintf(out, "request %s: %s", b.RequestID, b.Outcome)
+	if b.Reason != "" {
+		_, _ = fmt.Fprintf(out, " (%s)", b.Reason)
 	}
-	_, _ = fmt.Fprintf(out, " rank %s by %s\n", w.Rank, w.VM)
-	if w.Snapshot != nil {
-		_, _ = fmt.Fprintf(out, "snapshot epoch %d version %d\n", w.Snapshot.Epoch, w.Snapshot.Version)
+	_, _ = fmt.Fprintf(out, " rank %s by %s\n", b.Rank, b.VM)
+	if b.Snapshot != nil {
+		_, _ = fmt.Fprintf(out, "snapshot epoch %d version %d\n", b.Snapshot.Epoch, b.Snapshot.Version)
 	}
-	if w.Coverage == nil {
+	if b.Coverage == nil {
 		return
 	}
-	_, _ = fmt.Fprintf(out, "coverage %.3f: %d shards\n", w.Coverage.Fraction, len(w.Coverage.Covered))
-	for _, m := range w.Coverage.Missing {
+	_, _ = fmt.Fprintf(out, "coverage %.3f: %d shards\n", b.Coverage.Fraction, len(b.Coverage.Covered))
+	for _, m := range b.Coverage.Missing {
 		_, _ = fmt.Fprintf(out, "  missing %s: %s\n", m.Shard, m.Reason)
 	}
 }
--- a/cicadagrade/session_test.go
+++ b/cicadagrade/session_test.go
@@ -27,7 +27,7 @@
 	"cicadagrade.example/api/peer/v1/peerv1connect"
 )
 
-// fakeVM shows and hands out one document.
+// fakeVM is a VM that reports one document in its status and serves fetches of it.
 type fakeVM struct {
 	peerv1connect.UnimplementedPeerServiceHandler
 	name   string
@@ -62,17 +62,17 @@
 	return connect.NewResponse(&peerv1.FetchReply{Updates: []*peerv1.DocumentUpdate{u}}), nil
 }
 
-// session is a terminal with a store and, once named, VMs.
+// session runs commands against a fake store and the fake VMs that the script has created.
 type session struct {
-	t      *testing.T
-	server *storeserver.Server
-	store  string
-	vms    map[string]*fakeVM
-	order  []string
+	t       *testing.T
+	server  *storeserver.Server
+	store   string
+	vms     map[string]*fakeVM
+	vmNames []string
 }
 
-// TestSessions runs each session; the golden file holds what the operator
-// sees.
+// TestSessions runs each script of testdata/sessions and compares the output of its commands with
+// a golden file.
 func TestSessions(t *testing.T) {
 	files, err := filepath.Glob("testdata/sessions/*.txt")
 	if err != nil || len(files) == 0 {
@@ -105,11 +105,11 @@
 	return s
 }
 
-// What differs from run to run.
+// Patterns of what differs between runs.
 var (
-	anyAddress = regexp.MustCompile(`127\.0\.0\.1:\d+`)
-	anyCause   = regexp.MustCompile(`((?:Get|Post) "[^"]*"): [^;\n]*`)
-	anyTime    = regexp.MustCompile(`\d{4}-\d\d-\d\dT\d\d:\d\d:\d\dZ`)
+	addressPattern = regexp.MustCompile(`127\.0\.0\.1:\d+`)
+	causePattern   = regexp.MustCompile(`((?:Get|Post) "[^"]*"): [^;\n]*`)
+	timePattern    = regexp.MustCompile(`\d{4}-\d\d-\d\dT\d\d:\d\d:\d\dZ`)
 )
 
 func (s *session) run(script string) string {
@@ -121,18 +121,18 @@
 		}
 		fmt.Fprintln(&out, line)
 		if command, ok := strings.CutPrefix(line, "> "); ok {
-			text := anyAddress.ReplaceAllString(s.command(command), "ADDRESS")
-			text = anyCause.ReplaceAllString(text, "$1: CAUSE")
-			out.WriteString(anyTime.ReplaceAllString(text, "TIME"))
+			text := addressPattern.ReplaceAllString(s.runCommand(command), "ADDRESS")
+			text = causePattern.ReplaceAllString(text, "$1: CAUSE")
+			out.WriteString(timePattern.ReplaceAllString(text, "TIME"))
 		} else {
-			s.control(strings.Fields(line))
+			s.runControl(strings.Fields(line))
 		}
 	}
 	return out.String()
 }
 
-// words splits a line, with quoted parts kept together.
-func words(line string) []string {
+// splitArgs splits a line into arguments. Double quotes group words.
+func splitArgs(line string) []string {
 	var out []string
 	for i, part := range strings.Split(line, `"`) {
 		if i%2 == 1 {
@@ -144,15 +144,15 @@
 	return out
 }
 
-func (s *session) command(line string) string {
-	args := words(line)
+func (s *session) runCommand(line string) string {
+	args := splitArgs(line)
 	for i, a := range args {
 		if strings.HasSuffix(a, ".json") {
 			args[i] = "testdata/files/" + a
 		}
 	}
 	var addresses []string
-	for _, name := range s.order {
+	for _, name := range s.vmNames {
 		addresses = append(addresses, s.vms[name].address())
 	}
 	args = append(args, "--store", s.store, "--vms", strings.Join(addresses, ","))
@@ -171,7 +171,7 @@
 	return out.String()
 }
 
-func (s *session) control(w []string) {
+func (s *session) runControl(w []string) {
 	switch w[0] {
 	case "faults":
 		var f storeserver.Faults
@@ -186,21 +186,21 @@
 			s.t.Fatal(err)
 		}
 	case "vm":
-		s.take(w[1])
+		s.serveStored(w[1])
 	default:
 		s.t.Fatalf("unknown line %v", w)
 	}
 }
 
-// take has a VM serve what the store holds.
-func (s *session) take(name string) {
+// serveStored makes a VM, created if needed, serve the document that the store holds now.
+func (s *session) serveStored(name string) {
 	if s.vms[name] == nil {
 		s.vms[name] = newFakeVM(name)
-		s.order = append(s.order, name)
+		s.vmNames = append(s.vmNames, name)
 	}
 	store := platform.NewStore(s.store)
 	defer store.Close()
-	state, err := load(context.Background(), store, replicator.Key(parser.KindProfiles, ""))
+	state, err := loadDocument(context.Background(), store, replicator.Key(parser.KindProfiles, ""))
 	if err != nil {
 		s.t.Fatal(err)
 	}
--- a/cicadagrade/set.go
+++ b/cicadagrade/set.go
@@ -7,8 +7,8 @@
 	"cicadagrade.example/tier/parser"
 )
 
-const setHelp = `Shows and changes the shard sets: for each its backend servers, its shards
-with their replicas, and the settings of its owners. Each set is one document:
+const setHelp = `Shows and changes the shard sets. A set has backend servers, shards with their
+replicas, and settings of its owners. Each set is a document of its own:
 
   cicadagrade set list
   cicadagrade set show portao > portao.json
@@ -16,18 +16,18 @@
   cicadagrade set apply portao.json --who ana --reason "third replica" --wait
   cicadagrade set history portao
 
-A shard holds the records whose key hash lies from "from" to "to", 16
-hexadecimal digits each; the shards of a set divide all hashes without a gap.
-When they divide them otherwise than before, "epoch" must be higher.` + exitCodesHelp
+A shard holds the records whose key hash is in the range "from" to "to", given
+as 16 hexadecimal digits each. The ranges of a set's shards must cover all
+hashes without a gap. A change of the ranges needs a higher "epoch".` + exitCodesHelp
 
 func setCommand(clock *tier.Clock) *cobra.Command {
-	o := &configurer{clock: clock, kind: parser.KindSet}
-	return o.group("set", "Show and change the shard sets", setHelp,
-		o.listCommand("Show all shard sets", o.listSets),
-		o.showCommand("show NAME", "Show the document of a set", arguments(1, 1)),
-		o.applyCommand("apply FILE"),
-		o.diffCommand(),
-		o.historyCommand("history NAME", arguments(1, 1)),
-		o.reconcileCommand("reconcile NAME", arguments(1, 1)),
+	dc := &documentCommand{clock: clock, kind: parser.KindSet}
+	return dc.parentCommand("set", "Show and change the shard sets", setHelp,
+		dc.listCommand("Show all shard sets", dc.listSets),
+		dc.showCommand("show NAME", "Show the document of a set", rangeArgs(1, 1)),
+		dc.applyCommand("apply FILE"),
+		dc.diffCommand(),
+		dc.historyCommand("history NAME", rangeArgs(1, 1)),
+		dc.reconcileCommand("reconcile NAME", rangeArgs(1, 1)),
 	)
 }
--- a/cicadagrade/show.go
+++ b/cicadagrade/show.go
@@ -11,30 +11,30 @@
 	"cicadagrade.example/tier/parser"
 )
 
-const showHelp = `Prints the document as the store holds it, with every field, ready to edit and
-apply. The revision goes to standard error: give it to apply --expect-revision
-so that a change made in between is not overwritten.`
+const showHelp = `Prints the document from the store with all fields, ready to edit and apply. The
+revision is printed to standard error: pass it to apply --expect-revision so
+that a change made in between is not overwritten.`
 
-func (o *configurer) showCommand(use, short string, args cobra.PositionalArgs) *cobra.Command {
+func (dc *documentCommand) showCommand(use, short string, args cobra.PositionalArgs) *cobra.Command {
 	return &cobra.Command{
 		Use: use, Short: short, Long: showHelp, Args: args,
 		RunE: func(c *cobra.Command, args []string) error {
-			if err := o.check(); err != nil {
+			if err := dc.validateOutput(); err != nil {
 				return err
 			}
-			return o.show(c, args)
+			return dc.show(c, args)
 		},
 	}
 }
 
-func (o *configurer) show(c *cobra.Command, args []string) error {
-	key, err := o.key(args)
+func (dc *documentCommand) show(c *cobra.Command, args []string) error {
+	key, err := dc.storeKey(args)
 	if err != nil {
 		return err
 	}
-	store := o.open()
+	store := dc.openStore()
 	defer store.Close()
-	s, err := need(c.Context(), store, key)
+	s, err := loadRequired(c.Context(), store, key)
 	if err != nil {
 		return err
 	}
@@ -42,7 +42,7 @@
 	if p, ok := d.(*parser.ProfilesDocument); ok && len(args) == 1 {
 		one, found := p.Profile(args[0])
 		if !found {
-			return fail(1, "there is no profile %q", args[0])
+			return exitErrorf(1, "there is no profile %q", args[0])
 		}
 		d = parser.NewProfilesDocument(one)
 	}
--- a/cicadagrade/status.go
+++ b/cicadagrade/status.go
@@ -15,15 +15,15 @@
 	"cicadagrade.example/cicadagrade/requester"
 )
 
-const statusHelp = `Shows what one entry VM knows: itself, the other VMs, the shard sets that it
-owns with their queues and backend servers, and the configuration documents in
-force there. With --output json it prints the whole status.
+const statusHelp = `Shows the status of one entry VM: its own state, the other VMs that it knows, the
+shard sets that it owns with their queued parts and backend servers, and the
+configuration documents in force. --output json prints the full status.
 
   cicadagrade status --vm 127.0.0.1:7070`
 
 const statusTimeout = 5 * time.Second
 
-// statusBody is what this command reads of GET /v1/status.
+// statusBody holds the fields of GET /v1/status that this command reads.
 type statusBody struct {
 	VM         string   `json:"vm"`
 	DataCentre string   `json:"data-centre"`
@@ -59,27 +59,27 @@
 	var vm, output string
 	c := &cobra.Command{
 		Use:   "status",
-		Short: "Show what an entry VM knows",
+		Short: "Show the status of an entry VM",
 		Long:  statusHelp,
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			ctx, cancel := context.WithTimeout(c.Context(), statusTimeout)
 			defer cancel()
-			a, err := requester.New(vm).Get(ctx, "/v1/status")
+			response, err := requester.New(vm).Get(ctx, "/v1/status")
 			if err != nil {
-				return errors.Wrap(err, "no answer")
+				return errors.Wrap(err, "no response")
 			}
 			if output == "json" {
 				var b bytes.Buffer
-				if err := json.Indent(&b, a.Body(), "", "  "); err != nil {
-					return errors.Wrap(err, "the answer is not whole")
+				if err := json.Indent(&b, response.Body(), "", "  "); err != nil {
+					return errors.Wrap(err, "malformed response")
 				}
 				_, _ = fmt.Fprintln(c.OutOrStdout(), b.String())
 				return nil
 			}
 			var s statusBody
-			if err := a.Into(&s); err != nil {
-				return errors.Wrap(err, "the answer is not whole")
+			if err := response.Into(&s); err != nil {
+				return errors.Wrap(err, "malformed response")
 			}
 			printStatus(c.OutOrStdout(), &s)
 			return nil
--- a/cicadagraded/control.go
+++ b/cicadagraded/control.go
@@ -144,8 +144,8 @@
 	return c.registry.Sync(ctx, c.sets, c.ownersOf)
 }
 
-// maxJoinWait bounds how long a VM waits for the owners' reports before it joins. There may be
-// no owner that reports.
+// maxJoinWait is how long a VM waits for the owners' reports before it joins without them. There
+// may be no owner that reports.
 const maxJoinWait = 5 * tier.Second
 
 // tryJoin makes the VM join once it has a configuration and the reports of each set's owners.
--- a/cicadagraded/daemon.go
+++ b/cicadagraded/daemon.go
@@ -133,8 +133,8 @@
 	return nil, false
 }
 
-// isLive reports whether an incarnation of a VM is believed to be running. Until gossip has
-// heard from peers, unknown VMs count as running.
+// isLive reports whether an incarnation of a VM is believed to be running. Until gossip has heard
+// from peers, unknown VMs count as running.
 func (d *daemon) isLive(vm string, incarnation tier.Incarnation) bool {
 	for _, m := range d.gossip.Members() {
 		if m.Name() == vm {
--- a/cicadagraded/observe.go
+++ b/cicadagraded/gauges.go
@@ -69,9 +69,9 @@
 
 // registerGauges registers every gauge with the meter.
 func (d *daemon) registerGauges() error {
-	o := &gaugeReader{daemon: d}
+	gr := &gaugeReader{daemon: d}
 	for _, g := range gaugeTable() {
-		if err := d.meter.RegisterGauge(g.name, g.description, func() []meter.Point { return g.read(o) }); err != nil {
+		if err := d.meter.RegisterGauge(g.name, g.description, func() []meter.Point { return g.read(gr) }); err != nil {
 			return errors.Wrap(err, "daemon.registerGauges")
 		}
 	}
@@ -79,25 +79,25 @@
 }
 
 // owners returns the owners' status, which is read once for all gauges of a scrape.
-func (o *gaugeReader) owners() []owner.Status {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	now := o.daemon.clock.Now()
-	if o.loaded && now-o.loadedAt < maxStatusAge {
-		return o.statuses
+func (gr *gaugeReader) owners() []owner.Status {
+	gr.mu.Lock()
+	defer gr.mu.Unlock()
+	now := gr.daemon.clock.Now()
+	if gr.loaded && now-gr.loadedAt < maxStatusAge {
+		return gr.statuses
 	}
-	ctx, cancel := context.WithTimeout(o.daemon.ctx, statusTimeout.Duration())
+	ctx, cancel := context.WithTimeout(gr.daemon.ctx, statusTimeout.Duration())
 	defer cancel()
-	o.statuses = o.daemon.registry.Statuses(ctx)
-	o.loaded, o.loadedAt = true, now
-	return o.statuses
+	gr.statuses = gr.daemon.registry.Statuses(ctx)
+	gr.loaded, gr.loadedAt = true, now
+	return gr.statuses
 }
 
 // perOwner returns a reader of a gauge with one value per set that this VM runs.
 func perOwner(value func(owner.Status) int64) func(*gaugeReader) []meter.Point {
-	return func(o *gaugeReader) []meter.Point {
+	return func(gr *gaugeReader) []meter.Point {
 		var out []meter.Point
-		for _, s := range o.owners() {
+		for _, s := range gr.owners() {
 			out = append(out, meter.NewPoint(value(s), "set", s.Set()))
 		}
 		return out
@@ -106,9 +106,9 @@
 
 // perRank returns a reader of a gauge with one value per set that this VM runs and rank.
 func perRank(value func(owner.Status, tier.Rank) int64) func(*gaugeReader) []meter.Point {
-	return func(o *gaugeReader) []meter.Point {
+	return func(gr *gaugeReader) []meter.Point {
 		var out []meter.Point
-		for _, s := range o.owners() {
+		for _, s := range gr.owners() {
 			for _, r := range tier.Ranks {
 				out = append(out, meter.NewPoint(value(s, r), "set", s.Set(), "rank", r.String()))
 			}
@@ -166,9 +166,9 @@
 	state      tier.VMState
 }
 
-func (o *gaugeReader) members() []meter.Point {
+func (gr *gaugeReader) members() []meter.Point {
 	counts := map[memberGroup]int64{}
-	for _, m := range o.daemon.gossip.Members() {
+	for _, m := range gr.daemon.gossip.Members() {
 		counts[memberGroup{m.DataCentre(), m.State()}]++
 	}
 	var out []meter.Point
@@ -178,17 +178,17 @@
 	return out
 }
 
-func (o *gaugeReader) inflight() []meter.Point {
-	callers, total := o.daemon.inflight.counts()
+func (gr *gaugeReader) inflight() []meter.Point {
+	callers, total := gr.daemon.inflight.counts()
 	return []meter.Point{
 		meter.NewPoint(int64(callers), "from", "callers"),
 		meter.NewPoint(int64(total-callers), "from", "vms"),
 	}
 }
 
-func (o *gaugeReader) backends() []meter.Point {
+func (gr *gaugeReader) backends() []meter.Point {
 	var out []meter.Point
-	for _, s := range o.owners() {
+	for _, s := range gr.owners() {
 		counts := map[tier.BackendState]int64{}
 		for _, b := range s.Core().Servers() {
 			counts[b.State()]++
@@ -200,48 +200,48 @@
 	return out
 }
 
-func (o *gaugeReader) gossipBytes() []meter.Point {
-	t := o.daemon.gossip.Traffic()
+func (gr *gaugeReader) gossipBytes() []meter.Point {
+	t := gr.daemon.gossip.Traffic()
 	return []meter.Point{
 		meter.NewPoint(int64(t.Sent()), "direction", "sent"),
 		meter.NewPoint(int64(t.Received()), "direction", "received"),
 	}
 }
 
-func (o *gaugeReader) gossipExchanges() []meter.Point {
-	t := o.daemon.gossip.Traffic()
+func (gr *gaugeReader) gossipExchanges() []meter.Point {
+	t := gr.daemon.gossip.Traffic()
 	return []meter.Point{
 		meter.NewPoint(int64(t.Exchanges()), "which", "begun"),
 		meter.NewPoint(int64(t.Failures()), "which", "failed"),
 	}
 }
 
-func (o *gaugeReader) epochs() []meter.Point {
+func (gr *gaugeReader) epochs() []meter.Point {
 	var out []meter.Point
-	for _, r := range o.daemon.config.Status().Documents() {
+	for _, r := range gr.daemon.config.Status().Documents() {
 		out = append(out, meter.NewPoint(int64(r.Epoch()), "key", r.Key()))
 	}
 	return out
 }
 
-func (o *gaugeReader) revisions() []meter.Point {
+func (gr *gaugeReader) revisions() []meter.Point {
 	var out []meter.Point
-	for _, r := range o.daemon.config.Status().Documents() {
+	for _, r := range gr.daemon.config.Status().Documents() {
 		out = append(out, meter.NewPoint(int64(r.Revision()), "key", r.Key()))
 	}
 	return out
 }
 
-func (o *gaugeReader) warnings() []meter.Point {
-	return []meter.Point{meter.NewPoint(int64(len(o.daemon.config.Warnings())))}
+func (gr *gaugeReader) warnings() []meter.Point {
+	return []meter.Point{meter.NewPoint(int64(len(gr.daemon.config.Warnings())))}
 }
 
-func (o *gaugeReader) watcher() []meter.Point {
-	return []meter.Point{meter.NewPoint(boolToInt(o.daemon.config.Status().Watcher()))}
+func (gr *gaugeReader) watcher() []meter.Point {
+	return []meter.Point{meter.NewPoint(boolToInt(gr.daemon.config.Status().Watcher()))}
 }
 
-func (o *gaugeReader) configurationCalls() []meter.Point {
-	c := o.daemon.config.Status().Counts()
+func (gr *gaugeReader) configurationCalls() []meter.Point {
+	c := gr.daemon.config.Status().Counts()
 	return []meter.Point{
 		meter.NewPoint(int64(c.Lists()), "call", "read"),
 		meter.NewPoint(int64(c.Watches()), "call", "watch"),
@@ -249,10 +249,10 @@
 	}
 }
 
-func (o *gaugeReader) claims() []meter.Point {
-	ctx, cancel := context.WithTimeout(o.daemon.ctx, statusTimeout.Duration())
+func (gr *gaugeReader) claims() []meter.Point {
+	ctx, cancel := context.WithTimeout(gr.daemon.ctx, statusTimeout.Duration())
 	defer cancel()
-	n, ok := o.daemon.booker.Counters(ctx)
+	n, ok := gr.daemon.booker.Counters(ctx)
 	if !ok {
 		return nil
 	}
--- a/cicadagraded/handler/handler.go
+++ b/cicadagraded/handler/handler.go
@@ -79,9 +79,9 @@
 func WithBodyTimeout(m tier.Millis) Option { return func(h *Handler) { h.bodyTimeout = m } }
 
 // New returns the handler of the named VM.
-func New(vm string, clock *tier.Clock, config Configuration, front Front, admission Admission, status StatusSource, opts ...Option) *Handler {
+func New(vm string, clock *tier.Clock, config Configuration, front Front, tracker Admission, status StatusSource, opts ...Option) *Handler {
 	h := &Handler{
-		vm: vm, clock: clock, config: config, front: front, tracker: admission, status: status,
+		vm: vm, clock: clock, config: config, front: front, tracker: tracker, status: status,
 		metrics:        http.NotFoundHandler(),
 		observeRequest: func(string, string, string, tier.Millis) {},
 		maxBodyBytes:   64 << 10,
