--- a/cicadagraded/announce.go
+++ b/cicadagraded/announce.go
@@ -49,7 +49,7 @@
 		c.logger.Warn("announcement", "key", key, "error", err)
 		return
 	}
-	c.locator.Announced(parts[0], index, vm, r)
+	c.locator.UpdateRemoteOwner(parts[0], index, vm, r)
 }
 
 // announcementKeys lists the gossip keys of all owners of all sets.
--- a/cicadagraded/control.go
+++ b/cicadagraded/control.go
@@ -106,13 +106,13 @@
 	if err != nil {
 		c.logger.Warn("threshold", "vm", origin, "set", set, "error", err)
 	}
-	c.locator.Threshold(set, origin, t)
+	c.locator.UpdateThreshold(set, origin, t)
 }
 
 // onReport records what an owner's backend servers hold. An empty value withdraws the report.
 func (c *control) onReport(origin, set string, value []byte) {
 	if len(value) == 0 {
-		c.locator.Reported(set, origin, owner.Report{}, false)
+		c.locator.UpdateReport(set, origin, owner.Report{}, false)
 		return
 	}
 	r, err := owner.DecodeReport(value)
@@ -120,7 +120,7 @@
 		c.logger.Warn("report", "vm", origin, "set", set, "error", err)
 		return
 	}
-	c.locator.Reported(set, origin, r, true)
+	c.locator.UpdateReport(set, origin, r, true)
 }
 
 // sync passes the current members and sets to the locator, the configuration watcher and the
@@ -157,7 +157,7 @@
 	if c.joinWaitStart == 0 {
 		c.joinWaitStart = c.clock.Now()
 	}
-	if !c.locator.Informed() && c.clock.Now()-c.joinWaitStart < maxJoinWait {
+	if !c.locator.HoldingsKnown() && c.clock.Now()-c.joinWaitStart < maxJoinWait {
 		return
 	}
 	c.joined = true
@@ -219,32 +219,32 @@
 	}
 }
 
-// Report publishes what the backend servers of a set hold, to the local locator and to other VMs.
-func (c *control) Report(set string, r owner.Report, index int) {
-	c.locator.Reported(set, c.self.Name(), r, true)
+// PublishReport publishes what the backend servers of a set hold, to the local locator and to other VMs.
+func (c *control) PublishReport(set string, r owner.Report, index int) {
+	c.locator.UpdateReport(set, c.self.Name(), r, true)
 	value, err := r.Encode()
 	c.publish(reportKeyPrefix+set, value, err)
-	if index >= 0 && r.Informed() {
+	if index >= 0 && r.HasHoldings() {
 		c.announceOwner(set, r, index)
 	}
 }
 
-// Threshold publishes a set's admission threshold, to the local locator and to other VMs.
-func (c *control) Threshold(set string, t admitter.Threshold) {
-	c.locator.Threshold(set, c.self.Name(), t)
+// PublishThreshold publishes a set's admission threshold, to the local locator and to other VMs.
+func (c *control) PublishThreshold(set string, t admitter.Threshold) {
+	c.locator.UpdateThreshold(set, c.self.Name(), t)
 	value, err := owner.EncodeThreshold(t)
 	c.publish(thresholdKeyPrefix+set, value, err)
 }
 
-// Withdraw removes what an owner published, once it has ended.
-func (c *control) Withdraw(set string) {
-	c.locator.Reported(set, c.self.Name(), owner.Report{}, false)
+// WithdrawReport removes what an owner published, once it has ended.
+func (c *control) WithdrawReport(set string) {
+	c.locator.UpdateReport(set, c.self.Name(), owner.Report{}, false)
 	c.publish(reportKeyPrefix+set, nil, nil)
-	c.Threshold(set, admitter.AdmitAll())
+	c.PublishThreshold(set, admitter.AdmitAll())
 }
 
-// Backend logs a state change of a backend server.
-func (c *control) Backend(set, server string, s tier.BackendState, reason string) {
+// BackendChanged logs a state change of a backend server.
+func (c *control) BackendChanged(set, server string, s tier.BackendState, reason string) {
 	c.logger.Info("backend", "set", set, "server", server, "state", s, "reason", reason)
 }
 
--- a/cicadagraded/daemon.go
+++ b/cicadagraded/daemon.go
@@ -9,8 +9,8 @@
 	"github.com/oklog/run"
 	"github.com/pkg/errors"
 
-	"cicadagrade.example/cicadagraded/asker"
 	"cicadagrade.example/cicadagraded/booker"
+	"cicadagrade.example/cicadagraded/coordinator"
 	"cicadagrade.example/cicadagraded/exchanger"
 	"cicadagrade.example/cicadagraded/handler"
 	"cicadagrade.example/cicadagraded/locator"
@@ -173,8 +173,8 @@
 	claims := &bookingClaims{booker: d.booker}
 	forwarded := &forwardedBookings{claims: claims, registry: d.registry}
 	server := messenger.NewServer(d.clock, d.registry, forwarded, d.gossip, d.config, d.inflight.beginPeer)
-	d.peerClient = messenger.NewClient(d.self, server, d.clock, messenger.WithDialled(d.settings.dialAddress), messenger.WithThresholds(d.locator.Threshold))
-	front := asker.New(d.self.DataCentre(), d.clock, d.locator, d.peerClient, claims)
+	d.peerClient = messenger.NewClient(d.self, server, d.clock, messenger.WithDialled(d.settings.dialAddress), messenger.WithThresholds(d.locator.UpdateThreshold))
+	front := coordinator.New(d.self.DataCentre(), d.clock, d.locator, d.peerClient, claims)
 	h := handler.New(d.self.Name(), d.clock, d.config, front, d.inflight, d,
 		handler.WithMetrics(m.Handler()),
 		handler.WithEnded(m.RecordRequest),
--- a/cicadagraded/gauges.go
+++ b/cicadagraded/gauges.go
@@ -117,18 +117,20 @@
 	}
 }
 
-func ownedValue(s owner.Status) int64           { return boolToInt(s.Owned) }
-func partsValue(s owner.Status) int64           { return int64(s.Parts()) }
-func hedgeTokensValue(s owner.Status) int64     { return int64(s.Core().HedgeTokens() * permille) }
-func callsValue(s owner.Status) int64           { return int64(s.Core().Counters().Calls()) }
-func extraCallsValue(s owner.Status) int64      { return int64(s.Core().Counters().ExtraCalls()) }
-func failedCallsValue(s owner.Status) int64     { return int64(s.Core().Counters().FailedCalls()) }
-func notRunCallsValue(s owner.Status) int64     { return int64(s.Core().Counters().NotRunCalls()) }
-func rejectedRepliesValue(s owner.Status) int64 { return int64(s.Rejected()) }
+func ownedValue(s owner.Status) int64       { return boolToInt(s.Owned) }
+func partsValue(s owner.Status) int64       { return int64(s.Parts()) }
+func hedgeTokensValue(s owner.Status) int64 { return int64(s.Dispatcher().HedgeTokens() * permille) }
+func callsValue(s owner.Status) int64       { return int64(s.Dispatcher().Counters().Calls()) }
+func extraCallsValue(s owner.Status) int64  { return int64(s.Dispatcher().Counters().ExtraCalls()) }
+
+func failedCallsValue(s owner.Status) int64 { return int64(s.Dispatcher().Counters().FailedCalls()) }
+
+func notRunCallsValue(s owner.Status) int64     { return int64(s.Dispatcher().Counters().NotRunCalls()) }
+func rejectedRepliesValue(s owner.Status) int64 { return int64(s.RejectedReplies()) }
 
 func usedSlotsValue(s owner.Status) int64 {
 	n := 0
-	for _, b := range s.Core().Servers() {
+	for _, b := range s.Dispatcher().Servers() {
 		n += b.UsedSlots()
 	}
 	return int64(n)
@@ -136,21 +138,21 @@
 
 func slotLimitValue(s owner.Status) int64 {
 	n := 0
-	for _, b := range s.Core().Servers() {
+	for _, b := range s.Dispatcher().Servers() {
 		n += b.SlotLimit()
 	}
 	return int64(n)
 }
 
-func queuedValue(s owner.Status, r tier.Rank) int64    { return int64(s.Core().Queued(r)) }
-func drainTimeValue(s owner.Status, r tier.Rank) int64 { return int64(s.Core().DrainTime(r)) }
+func queuedValue(s owner.Status, r tier.Rank) int64    { return int64(s.Dispatcher().Queued(r)) }
+func drainTimeValue(s owner.Status, r tier.Rank) int64 { return int64(s.Dispatcher().DrainTime(r)) }
 
 func admittedValue(s owner.Status, r tier.Rank) int64 {
-	return int64(s.Core().Threshold().Fraction(r) * permille)
+	return int64(s.Dispatcher().Threshold().Fraction(r) * permille)
 }
 
 func refusedValue(s owner.Status, r tier.Rank) int64 {
-	return int64(s.Core().Counters().Refused(r))
+	return int64(s.Dispatcher().Counters().Refused(r))
 }
 
 func boolToInt(on bool) int64 {
@@ -190,7 +192,7 @@
 	var out []meter.Point
 	for _, s := range gr.owners() {
 		counts := map[tier.BackendState]int64{}
-		for _, b := range s.Core().Servers() {
+		for _, b := range s.Dispatcher().Servers() {
 			counts[b.State()]++
 		}
 		for state, n := range counts {
--- a/cicadagraded/handler/book.go
+++ b/cicadagraded/handler/book.go
@@ -4,7 +4,7 @@
 	"github.com/labstack/echo/v4"
 	"github.com/pkg/errors"
 
-	"cicadagrade.example/cicadagraded/asker"
+	"cicadagrade.example/cicadagraded/coordinator"
 	"cicadagrade.example/tier"
 )
 
@@ -29,7 +29,7 @@
 	if err != nil {
 		return errors.Wrap(err, "Handler.book")
 	}
-	b := asker.NewBooking(q.RequestID, p, q.Set, q.RecordKey, q.Body, h.absoluteDeadline(p, q.DeadlineMs), asker.WithIdempotencyKey(q.IdempotencyKey, q.FirstSending))
+	b := coordinator.NewBooking(q.RequestID, p, q.Set, q.RecordKey, q.Body, h.absoluteDeadline(p, q.DeadlineMs), coordinator.WithIdempotencyKey(q.IdempotencyKey, q.FirstSending))
 	receipt, err := h.front.Book(c.Request().Context(), b)
 	if err != nil {
 		return errors.Wrap(err, "Handler.book")
@@ -43,7 +43,7 @@
 		w.Receipt = o.Receipt()
 		w.Repeated = o.Repeated()
 	}
-	if epoch, shard, ok := receipt.Where(); ok {
+	if epoch, shard, ok := receipt.ExecutedOn(); ok {
 		w.Snapshot = wireSnapshot(tier.NewSnapshot(epoch, 0))
 		w.Coverage = wireCoverage(tier.NewCoverage([]string{shard}, nil))
 	}
--- a/cicadagraded/handler/handler.go
+++ b/cicadagraded/handler/handler.go
@@ -11,7 +11,7 @@
 	"github.com/labstack/echo/v4"
 	"github.com/pkg/errors"
 
-	"cicadagrade.example/cicadagraded/asker"
+	"cicadagrade.example/cicadagraded/coordinator"
 	"cicadagrade.example/tier"
 )
 
@@ -33,8 +33,8 @@
 
 // Front runs callers' searches and bookings.
 type Front interface {
-	Search(ctx context.Context, s asker.Search) asker.Answer
-	Book(ctx context.Context, b asker.Booking) (asker.Receipt, error)
+	Search(ctx context.Context, s coordinator.Search) coordinator.SearchResult
+	Book(ctx context.Context, b coordinator.Booking) (coordinator.BookingResult, error)
 }
 
 // Admission tracks and limits callers' requests in flight.
--- a/cicadagraded/handler/session_test.go
+++ b/cicadagraded/handler/session_test.go
@@ -17,7 +17,7 @@
 	"github.com/pkg/errors"
 	"github.com/sebdah/goldie/v2"
 
-	"cicadagrade.example/cicadagraded/asker"
+	"cicadagrade.example/cicadagraded/coordinator"
 	"cicadagrade.example/cicadagraded/owner"
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/merger"
@@ -95,9 +95,9 @@
 	return []tier.VM{tier.NewVM(dataCentre+"-1", dataCentre, "127.0.0.1:1")}
 }
 
-func (c *fakeCluster) Failed(string) {}
+func (c *fakeCluster) MarkFailed(string) {}
 
-func (c *fakeCluster) Answered(string) {}
+func (c *fakeCluster) MarkAnswered(string) {}
 
 func (c *fakeCluster) Admit(string, tier.Rank) (tier.Millis, bool) {
 	if c.step.RefuseAdmissionMs != nil {
@@ -108,7 +108,7 @@
 
 func (c *fakeCluster) Enter(string) (func(), bool) { return func() {}, !c.step.Busy }
 
-func (c *fakeCluster) Ask(_ context.Context, vm tier.VM, _ string, s owner.Search) (owner.End, error) {
+func (c *fakeCluster) Ask(_ context.Context, vm tier.VM, _ string, s owner.Search) (owner.PartResult, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	o := c.step.Owners[vm.DataCentre()]
@@ -116,7 +116,7 @@
 	c.clock.Advance(o.Latency)
 	switch {
 	case o.Unreachable:
-		return nil, asker.NewNotSentError(errors.New("refused"))
+		return nil, coordinator.NewNotSentError(errors.New("refused"))
 	case o.ReplyLost:
 		return nil, errors.New("connection reset")
 	case o.RefuseReason != "":
@@ -141,18 +141,18 @@
 	return merger.NewShardResult(shard, records)
 }
 
-func (c *fakeCluster) Book(_ context.Context, vm tier.VM, b asker.Forwarded) (tier.Outcome, error) {
+func (c *fakeCluster) Book(_ context.Context, vm tier.VM, b coordinator.ForwardedBooking) (tier.Outcome, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	o := c.step.Owners[vm.DataCentre()]
 	c.calls = append(c.calls, fmt.Sprintf("book %s on %s key %s minted %t", vm.Name(), b.Shard(), b.IdempotencyKey(), b.Minted()))
 	switch {
 	case o.Unreachable:
-		return nil, asker.NewNotSentError(errors.New("refused"))
+		return nil, coordinator.NewNotSentError(errors.New("refused"))
 	case o.ReplyLost:
 		return nil, errors.New("connection reset")
 	case o.KeyReused:
-		return nil, asker.NewKeyReusedError(b.IdempotencyKey())
+		return nil, coordinator.NewKeyReusedError(b.IdempotencyKey())
 	case o.RefuseReason != "":
 		return tier.NewRefused(tier.RefuseReason(o.RefuseReason), o.RetryAfter), nil
 	case o.UnknownReason != "":
@@ -166,7 +166,7 @@
 
 func (fakeClaims) Mint(context.Context) string { return "minted/vm-1/5/1" }
 
-func (fakeClaims) Book(ctx context.Context, _ asker.Booking, send func(context.Context) tier.Outcome) (tier.Outcome, error) {
+func (fakeClaims) Book(ctx context.Context, _ coordinator.Booking, send func(context.Context) tier.Outcome) (tier.Outcome, error) {
 	return send(ctx), nil
 }
 
@@ -204,7 +204,7 @@
 		t.Fatal(err)
 	}
 	c.set = d.Set()
-	front := asker.New(c.session.Home, c.clock.Clock(), c, c, fakeClaims{})
+	front := coordinator.New(c.session.Home, c.clock.Clock(), c, c, fakeClaims{})
 	routes := New("vm-1", c.clock.Clock(), c, front, c, nil, WithMaxBody(2048)).Routes()
 	var out bytes.Buffer
 	for _, step := range c.session.Steps {
--- a/cicadagraded/messenger/client.go
+++ b/cicadagraded/messenger/client.go
@@ -14,7 +14,7 @@
 
 	peerv1 "cicadagrade.example/api/peer/v1"
 	"cicadagrade.example/api/peer/v1/peerv1connect"
-	"cicadagrade.example/cicadagraded/asker"
+	"cicadagrade.example/cicadagraded/coordinator"
 	"cicadagrade.example/cicadagraded/owner"
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/admitter"
@@ -95,7 +95,7 @@
 }
 
 // Ask sends a part of a search to a VM and returns its result.
-func (c *Client) Ask(ctx context.Context, vm tier.VM, set string, s owner.Search) (owner.End, error) {
+func (c *Client) Ask(ctx context.Context, vm tier.VM, set string, s owner.Search) (owner.PartResult, error) {
 	if vm.Name() == c.self.Name() {
 		end := c.local.search(ctx, set, s)
 		c.onThreshold(set, vm.Name(), c.local.owners.Threshold(set))
@@ -113,7 +113,7 @@
 }
 
 // Book sends a booking to a VM and returns its outcome. It is never sent again.
-func (c *Client) Book(ctx context.Context, vm tier.VM, b asker.Forwarded) (tier.Outcome, error) {
+func (c *Client) Book(ctx context.Context, vm tier.VM, b coordinator.ForwardedBooking) (tier.Outcome, error) {
 	if vm.Name() == c.self.Name() {
 		return c.local.book(ctx, b)
 	}
@@ -140,7 +140,7 @@
 	}
 }
 
-func (c *Client) bookRequest(b asker.Forwarded) *peerv1.BookRequest {
+func (c *Client) bookRequest(b coordinator.ForwardedBooking) *peerv1.BookRequest {
 	return &peerv1.BookRequest{
 		Request:        b.ID(),
 		Front:          c.self.Name(),
@@ -149,7 +149,7 @@
 		Shard:          b.Shard(),
 		IdempotencyKey: b.IdempotencyKey(),
 		Minted:         b.Minted(),
-		First:          b.First(),
+		First:          b.FirstSending(),
 		RecordKey:      b.RecordKey(),
 		Body:           b.Body(),
 		Terms:          toTerms(b.Profile()),
--- a/cicadagraded/messenger/errors.go
+++ b/cicadagraded/messenger/errors.go
@@ -7,7 +7,7 @@
 	"connectrpc.com/connect"
 	"github.com/pkg/errors"
 
-	"cicadagrade.example/cicadagraded/asker"
+	"cicadagrade.example/cicadagraded/coordinator"
 )
 
 // CrossedError reports that a reply does not belong to the request that was sent.
@@ -24,10 +24,10 @@
 func classifySendError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return asker.NewNotSentError(err)
+		return coordinator.NewNotSentError(err)
 	}
 	if connect.IsWireError(err) && connect.CodeOf(err) == connect.CodeUnavailable {
-		return asker.NewNotSentError(err)
+		return coordinator.NewNotSentError(err)
 	}
 	return err
 }
@@ -36,14 +36,14 @@
 // that the idempotency key belongs to another request.
 func classifyBookError(err error, key string) error {
 	if connect.IsWireError(err) && connect.CodeOf(err) == connect.CodeAlreadyExists {
-		return asker.NewKeyReusedError(key)
+		return coordinator.NewKeyReusedError(key)
 	}
 	return classifySendError(err)
 }
 
 // toWireBookError returns the Connect error that classifyBookError converts back to err.
 func toWireBookError(err error) error {
-	var reused *asker.KeyReusedError
+	var reused *coordinator.KeyReusedError
 	if errors.As(err, &reused) {
 		return connect.NewError(connect.CodeAlreadyExists, reused)
 	}
--- a/cicadagraded/watcher/propagation_bench_test.go
+++ b/cicadagraded/watcher/propagation_bench_test.go
@@ -132,7 +132,7 @@
 	sort.Float64s(durations)
 	b.ReportMetric(durations[len(durations)/2], "median-ms")
 	b.ReportMetric(durations[len(durations)-1], "worst-ms")
-	b.ReportMetric(float64(server.Calls().Total)/float64(len(durations)), "store-calls/op")
+	b.ReportMetric(float64(server.CallCounts().Total)/float64(len(durations)), "store-calls/op")
 	cancel()
 	_ = group.Wait()
 }
