--- a/cicadagrade/requester/requester.go
+++ b/cicadagrade/requester/requester.go
@@ -28,38 +28,38 @@
 	return &Requester{address: address, client: &http.Client{}}
 }
 
-// Answer is the status code and body of an HTTP response.
-type Answer struct {
+// Response is the status code and body of an HTTP response.
+type Response struct {
 	status int
 	body   []byte
 }
 
 // Status returns the HTTP status code.
-func (r Answer) Status() int { return r.status }
+func (r Response) Status() int { return r.status }
 
 // Body returns the JSON body.
-func (r Answer) Body() []byte { return r.body }
+func (r Response) Body() []byte { return r.body }
 
-// Into decodes the JSON body into v.
-func (r Answer) Into(v any) error {
+// Decode decodes the JSON body into v.
+func (r Response) Decode(v any) error {
 	return errors.Wrap(json.Unmarshal(r.body, v), "Response.Decode")
 }
 
-// CutError reports that the records of a response do not match its count or digest.
-type CutError struct{ problem string }
+// MismatchError reports that the records of a response do not match its count or digest.
+type MismatchError struct{ problem string }
 
 // Error states what does not match.
-func (e *CutError) Error() string { return "the records do not match the response: " + e.problem }
+func (e *MismatchError) Error() string { return "the records do not match the response: " + e.problem }
 
 // Post sends a POST request with a JSON body. It is not retried.
-func (r *Requester) Post(ctx context.Context, path string, body any) (Answer, error) {
+func (r *Requester) Post(ctx context.Context, path string, body any) (Response, error) {
 	b, err := json.Marshal(body)
 	if err != nil {
-		return Answer{}, errors.Wrap(err, "Requester.Post")
+		return Response{}, errors.Wrap(err, "Requester.Post")
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.address+path, bytes.NewReader(b))
 	if err != nil {
-		return Answer{}, errors.Wrap(err, "Requester.Post")
+		return Response{}, errors.Wrap(err, "Requester.Post")
 	}
 	request.Header.Set("Content-Type", "application/json")
 	response, err := r.do(request)
@@ -67,37 +67,37 @@
 }
 
 // Get sends a GET request.
-func (r *Requester) Get(ctx context.Context, path string) (Answer, error) {
+func (r *Requester) Get(ctx context.Context, path string) (Response, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.address+path, nil)
 	if err != nil {
-		return Answer{}, errors.Wrap(err, "Requester.Get")
+		return Response{}, errors.Wrap(err, "Requester.Get")
 	}
 	response, err := r.do(request)
 	return response, errors.Wrap(err, "Requester.Get")
 }
 
 // do sends a request and reads its response.
-func (r *Requester) do(request *http.Request) (Answer, error) {
+func (r *Requester) do(request *http.Request) (Response, error) {
 	reply, err := r.client.Do(request)
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	defer func() { _ = reply.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxResponseBytes))
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
-	return Answer{status: reply.StatusCode, body: body}, nil
+	return Response{status: reply.StatusCode, body: body}, nil
 }
 
-// CheckWhole checks the records of a response against the count and digest that it states. The
+// CheckComplete checks the records of a response against the count and digest that it states. The
 // error is a *MismatchError.
-func CheckWhole(records []tier.Record, count int, digest string) error {
+func CheckComplete(records []tier.Record, count int, digest string) error {
 	if len(records) != count {
-		return errors.WithStack(&CutError{problem: fmt.Sprintf("%d of %d records", len(records), count)})
+		return errors.WithStack(&MismatchError{problem: fmt.Sprintf("%d of %d records", len(records), count)})
 	}
 	if d := tier.Digest(records); d != digest {
-		return errors.WithStack(&CutError{problem: fmt.Sprintf("digest %s, want %s", d, digest)})
+		return errors.WithStack(&MismatchError{problem: fmt.Sprintf("digest %s, want %s", d, digest)})
 	}
 	return nil
 }
--- a/cicadagrade/search.go
+++ b/cicadagrade/search.go
@@ -141,14 +141,14 @@
 		return errors.Wrap(err, "no response")
 	}
 	b := &responseBody{}
-	if err := response.Into(b); err != nil {
+	if err := response.Decode(b); err != nil {
 		return errors.Wrap(err, "malformed response")
 	}
 	if b.RequestID != f.requestID && b.Error == nil {
 		return errors.Errorf("the response is for request %q, not %q", b.RequestID, f.requestID)
 	}
 	if path == "/v1/search" && b.Error == nil {
-		if err := requester.CheckWhole(b.records(), b.Count, b.Digest); err != nil {
+		if err := requester.CheckComplete(b.records(), b.Count, b.Digest); err != nil {
 			return err
 		}
 	}
--- a/cicadagrade/status.go
+++ b/cicadagrade/status.go
@@ -78,7 +78,7 @@
 				return nil
 			}
 			var s statusBody
-			if err := response.Into(&s); err != nil {
+			if err := response.Decode(&s); err != nil {
 				return errors.Wrap(err, "malformed response")
 			}
 			printStatus(c.OutOrStdout(), &s)
--- a/cicadagraded/control.go
+++ b/cicadagraded/control.go
@@ -84,7 +84,7 @@
 // onEntry handles a gossip entry that another VM has published.
 func (c *control) onEntry(origin, key string, value []byte) {
 	if strings.HasPrefix(key, watcher.IndexKeyPrefix) {
-		if err := c.config.OnIndex(origin, key, value); err != nil {
+		if err := c.config.OnIndexEntry(origin, key, value); err != nil {
 			c.logger.Warn("index", "vm", origin, "error", err)
 		}
 		return
--- a/cicadagraded/daemon.go
+++ b/cicadagraded/daemon.go
@@ -110,8 +110,8 @@
 	d.config = watcher.New(d.self, store, d.clock,
 		watcher.WithPeers(d.peerService),
 		watcher.WithPublisher(gossip.Publish),
-		watcher.WithWarnings(d.logAlert),
-		watcher.WithKeeper(replicator.WithSeeds(d.otherSeedCount())))
+		watcher.WithAlertHandler(d.logAlert),
+		watcher.WithReplicatorOptions(replicator.WithSeeds(d.otherSeedCount())))
 	d.booker = booker.New(store, d.self.Name(), d.self.Incarnation(), d.clock, booker.WithLive(d.isLive))
 	d.control = &control{
 		self: d.self, logger: d.logger, gossip: gossip, changes: changes,
@@ -173,12 +173,12 @@
 	claims := &bookingClaims{booker: d.booker}
 	forwarded := &forwardedBookings{claims: claims, registry: d.registry}
 	server := messenger.NewServer(d.clock, d.registry, forwarded, d.gossip, d.config, d.inflight.beginPeer)
-	d.peerClient = messenger.NewClient(d.self, server, d.clock, messenger.WithDialled(d.settings.dialAddress), messenger.WithThresholds(d.locator.UpdateThreshold))
+	d.peerClient = messenger.NewClient(d.self, server, d.clock, messenger.WithDialAddress(d.settings.dialAddress), messenger.WithThresholdHandler(d.locator.UpdateThreshold))
 	front := coordinator.New(d.self.DataCentre(), d.clock, d.locator, d.peerClient, claims)
 	h := handler.New(d.self.Name(), d.clock, d.config, front, d.inflight, d,
 		handler.WithMetrics(m.Handler()),
-		handler.WithEnded(m.RecordRequest),
-		handler.WithMaxBody(int64(d.settings.maxBodyBytes)))
+		handler.WithRequestObserver(m.RecordRequest),
+		handler.WithMaxBodyBytes(int64(d.settings.maxBodyBytes)))
 	d.apiServer = &http.Server{Addr: d.settings.apiAddress, Handler: h.Routes(), ReadHeaderTimeout: headerTimeout.Duration(), IdleTimeout: idleTimeout.Duration()}
 	protocols := &http.Protocols{}
 	protocols.SetHTTP1(true)
--- a/cicadagraded/gauges.go
+++ b/cicadagraded/gauges.go
@@ -239,7 +239,7 @@
 }
 
 func (gr *gaugeReader) watcher() []meter.Point {
-	return []meter.Point{meter.NewPoint(boolToInt(gr.daemon.config.Status().Watcher()))}
+	return []meter.Point{meter.NewPoint(boolToInt(gr.daemon.config.Status().WatchesStore()))}
 }
 
 func (gr *gaugeReader) configurationCalls() []meter.Point {
--- a/cicadagraded/handler/book.go
+++ b/cicadagraded/handler/book.go
@@ -17,7 +17,7 @@
 	}
 	c.Set(requestIDKey, q.RequestID)
 	c.Set(earlierSendingKey, q.IdempotencyKey != "" && !q.FirstSending)
-	end, ok := h.tracker.Enter("book " + q.RequestID)
+	end, ok := h.tracker.Begin("book " + q.RequestID)
 	if !ok {
 		return errors.WithStack(&overloadError{})
 	}
--- a/cicadagraded/handler/handler.go
+++ b/cicadagraded/handler/handler.go
@@ -37,11 +37,11 @@
 	Book(ctx context.Context, b coordinator.Booking) (coordinator.BookingResult, error)
 }
 
-// Admission tracks and limits callers' requests in flight.
-type Admission interface {
-	// Enter registers a request and reports whether it may run; end must be called when it is
+// RequestTracker tracks and limits callers' requests in flight.
+type RequestTracker interface {
+	// Begin registers a request and reports whether it may run; end must be called when it is
 	// finished. The name is for logs.
-	Enter(name string) (end func(), ok bool)
+	Begin(name string) (end func(), ok bool)
 	// Ready reports whether the load balancer may send requests to this VM.
 	Ready() bool
 }
@@ -52,7 +52,7 @@
 	clock          *tier.Clock
 	config         Configuration
 	front          Front
-	tracker        Admission
+	tracker        RequestTracker
 	status         StatusSource
 	metrics        http.Handler
 	observeRequest func(route, rank, outcome string, took tier.Millis)
@@ -67,19 +67,19 @@
 // WithMetrics sets the handler of GET /metrics.
 func WithMetrics(m http.Handler) Option { return func(h *Handler) { h.metrics = m } }
 
-// WithEnded sets a function that is called when a search or a booking has ended.
-func WithEnded(f func(route, rank, outcome string, took tier.Millis)) Option {
+// WithRequestObserver sets a function that is called when a search or a booking has ended.
+func WithRequestObserver(f func(route, rank, outcome string, took tier.Millis)) Option {
 	return func(h *Handler) { h.observeRequest = f }
 }
 
-// WithMaxBody limits the size of request bodies, in bytes.
-func WithMaxBody(n int64) Option { return func(h *Handler) { h.maxBodyBytes = n } }
+// WithMaxBodyBytes limits the size of request bodies, in bytes.
+func WithMaxBodyBytes(n int64) Option { return func(h *Handler) { h.maxBodyBytes = n } }
 
 // WithBodyTimeout bounds the reading of a request's body.
 func WithBodyTimeout(m tier.Millis) Option { return func(h *Handler) { h.bodyTimeout = m } }
 
 // New returns the handler of the named VM.
-func New(vm string, clock *tier.Clock, config Configuration, front Front, tracker Admission, status StatusSource, opts ...Option) *Handler {
+func New(vm string, clock *tier.Clock, config Configuration, front Front, tracker RequestTracker, status StatusSource, opts ...Option) *Handler {
 	h := &Handler{
 		vm: vm, clock: clock, config: config, front: front, tracker: tracker, status: status,
 		metrics:        http.NotFoundHandler(),
--- a/cicadagraded/handler/session_test.go
+++ b/cicadagraded/handler/session_test.go
@@ -106,7 +106,7 @@
 	return 0, true
 }
 
-func (c *fakeCluster) Enter(string) (func(), bool) { return func() {}, !c.step.Busy }
+func (c *fakeCluster) Begin(string) (func(), bool) { return func() {}, !c.step.Busy }
 
 func (c *fakeCluster) Ask(_ context.Context, vm tier.VM, _ string, s owner.Search) (owner.PartResult, error) {
 	c.mu.Lock()
@@ -205,7 +205,7 @@
 	}
 	c.set = d.Set()
 	front := coordinator.New(c.session.Home, c.clock.Clock(), c, c, fakeClaims{})
-	routes := New("vm-1", c.clock.Clock(), c, front, c, nil, WithMaxBody(2048)).Routes()
+	routes := New("vm-1", c.clock.Clock(), c, front, c, nil, WithMaxBodyBytes(2048)).Routes()
 	var out bytes.Buffer
 	for _, step := range c.session.Steps {
 		c.step, c.calls = step, nil
--- a/cicadagraded/inflight.go
+++ b/cicadagraded/inflight.go
@@ -27,9 +27,9 @@
 	return &inflight{maxCallers: maxCallers, names: map[uint64]string{}}
 }
 
-// Enter registers a caller's request, unless there are too many; end removes it. The name is
+// Begin registers a caller's request, unless there are too many; end removes it. The name is
 // logged if a shutdown has to abandon the request.
-func (f *inflight) Enter(name string) (end func(), ok bool) {
+func (f *inflight) Begin(name string) (end func(), ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.callers >= f.maxCallers {
--- a/cicadagraded/messenger/client.go
+++ b/cicadagraded/messenger/client.go
@@ -43,12 +43,14 @@
 // Option configures a Client.
 type Option func(*Client)
 
-// WithDialled sets a function that returns the address to dial for a VM's address.
-func WithDialled(f func(address string) string) Option { return func(c *Client) { c.dialAddress = f } }
+// WithDialAddress sets a function that returns the address to dial for a VM's address.
+func WithDialAddress(f func(address string) string) Option {
+	return func(c *Client) { c.dialAddress = f }
+}
 
-// WithThresholds sets a function that is called with the owner's admission threshold that comes
+// WithThresholdHandler sets a function that is called with the owner's admission threshold that comes
 // with each reply.
-func WithThresholds(f func(set, vm string, t admitter.Threshold)) Option {
+func WithThresholdHandler(f func(set, vm string, t admitter.Threshold)) Option {
 	return func(c *Client) { c.onThreshold = f }
 }
 
@@ -107,7 +109,7 @@
 	}
 	c.onThreshold(set, vm.Name(), fromAdmission(reply.Msg.GetAdmission()))
 	if got := fromPeerSnapshot(reply.Msg.GetSnapshot()); reply.Msg.GetRefusal() == nil && got != s.Snapshot() {
-		return nil, errors.Wrap(&CrossedError{want: s.Snapshot().String(), got: got.String()}, "Client.Ask")
+		return nil, errors.Wrap(&MismatchedReplyError{want: s.Snapshot().String(), got: got.String()}, "Client.Ask")
 	}
 	return fromAskReply(reply.Msg), nil
 }
@@ -122,7 +124,7 @@
 		return nil, errors.Wrap(classifyBookError(err, b.IdempotencyKey()), "Client.Book")
 	}
 	if got := reply.Msg.GetIdempotencyKey(); got != b.IdempotencyKey() {
-		return nil, errors.Wrap(&CrossedError{want: b.IdempotencyKey(), got: got}, "Client.Book")
+		return nil, errors.Wrap(&MismatchedReplyError{want: b.IdempotencyKey(), got: got}, "Client.Book")
 	}
 	return fromBookReply(reply.Msg), nil
 }
--- a/cicadagraded/messenger/errors.go
+++ b/cicadagraded/messenger/errors.go
@@ -10,11 +10,11 @@
 	"cicadagrade.example/cicadagraded/coordinator"
 )
 
-// CrossedError reports that a reply does not belong to the request that was sent.
-type CrossedError struct{ want, got string }
+// MismatchedReplyError reports that a reply does not belong to the request that was sent.
+type MismatchedReplyError struct{ want, got string }
 
 // Error states the expected and the actual value.
-func (e *CrossedError) Error() string {
+func (e *MismatchedReplyError) Error() string {
 	return fmt.Sprintf("mismatched reply: want %q, got %q", e.want, e.got)
 }
 
--- a/cicadagraded/watcher/index.go
+++ b/cicadagraded/watcher/index.go
@@ -19,9 +19,9 @@
 // gossip's size limit even with the longest keys.
 const maxRefsPerEntry = 24
 
-// Index returns this VM's index as the values of the gossip keys IndexKeyPrefix + "0",
+// EncodeIndex returns this VM's index as the values of the gossip keys IndexKeyPrefix + "0",
 // IndexKeyPrefix + "1" and so on.
-func (w *Watcher) Index() ([][]byte, error) {
+func (w *Watcher) EncodeIndex() ([][]byte, error) {
 	w.mu.Lock()
 	refs := w.replicator.RefsToAnnounce()
 	w.mu.Unlock()
@@ -43,7 +43,7 @@
 func (w *Watcher) publishIndex() {
 	w.publishMu.Lock()
 	defer w.publishMu.Unlock()
-	entries, err := w.Index()
+	entries, err := w.EncodeIndex()
 	if err != nil {
 		return
 	}
@@ -67,9 +67,9 @@
 
 func indexKey(i int) string { return fmt.Sprintf("%s%d", IndexKeyPrefix, i) }
 
-// OnIndex handles a gossip entry that another VM has published under a key that starts with
+// OnIndexEntry handles a gossip entry that another VM has published under a key that starts with
 // IndexKeyPrefix. An empty value withdraws the earlier one.
-func (w *Watcher) OnIndex(vm, key string, value []byte) error {
+func (w *Watcher) OnIndexEntry(vm, key string, value []byte) error {
 	if vm == w.name || !strings.HasPrefix(key, IndexKeyPrefix) {
 		return nil
 	}
--- a/cicadagraded/watcher/propagation_bench_test.go
+++ b/cicadagraded/watcher/propagation_bench_test.go
@@ -66,7 +66,7 @@
 			n.watcher.OnMembers(local, remote)
 		case *gossiper.EntryChanged:
 			if strings.HasPrefix(a.Key(), watcher.IndexKeyPrefix) {
-				_ = n.watcher.OnIndex(a.Origin(), a.Key(), a.Value())
+				_ = n.watcher.OnIndexEntry(a.Origin(), a.Key(), a.Value())
 			}
 		}
 	}
--- a/cicadagraded/watcher/view.go
+++ b/cicadagraded/watcher/view.go
@@ -74,11 +74,11 @@
 // Documents lists the documents in force, sorted by key.
 func (s Status) Documents() []replicator.Ref { return s.documents }
 
-// Flags lists the problems that need an operator's attention.
-func (s Status) Flags() []replicator.Alert { return s.alerts }
+// Alerts lists the problems that need an operator's attention.
+func (s Status) Alerts() []replicator.Alert { return s.alerts }
 
-// Watcher reports whether this VM watches the store for its data centre.
-func (s Status) Watcher() bool { return s.watchesStore }
+// WatchesStore reports whether this VM watches the store for its data centre.
+func (s Status) WatchesStore() bool { return s.watchesStore }
 
 // Counts returns the number of store reads, store watches and fetches since the start.
 func (s Status) Counts() replicator.Counts { return s.counts }
--- a/cicadagraded/watcher/watcher.go
+++ b/cicadagraded/watcher/watcher.go
@@ -84,11 +84,11 @@
 	return func(w *Watcher) { w.publish = publish }
 }
 
-// WithWarnings sets a function that is called for each alert that is raised.
-func WithWarnings(f func(replicator.Alert)) Option { return func(w *Watcher) { w.onAlert = f } }
+// WithAlertHandler sets a function that is called for each alert that is raised.
+func WithAlertHandler(f func(replicator.Alert)) Option { return func(w *Watcher) { w.onAlert = f } }
 
-// WithKeeper passes options to the replicator.
-func WithKeeper(opts ...replicator.Option) Option {
+// WithReplicatorOptions passes options to the replicator.
+func WithReplicatorOptions(opts ...replicator.Option) Option {
 	return func(w *Watcher) { w.replicatorOptions = append(w.replicatorOptions, opts...) }
 }
 
@@ -109,7 +109,7 @@
 
 		cancelWatch: func() {},
 	}
-	w.Defaults()
+	w.setDefaults()
 	for _, o := range opts {
 		o(w)
 	}
@@ -119,8 +119,8 @@
 	return w
 }
 
-// Defaults sets functions that reach no peers, publish nothing and ignore alerts.
-func (w *Watcher) Defaults() {
+// setDefaults sets functions that reach no peers, publish nothing and ignore alerts.
+func (w *Watcher) setDefaults() {
 	w.dial = func(string) (Peer, bool) { return nil, false }
 	w.publish = func(string, []byte) error { return nil }
 	w.onAlert = func(replicator.Alert) {}
