--- a/tier/backend.go
+++ b/tier/backend.go
@@ -1,23 +1,24 @@
 package tier
 
-// Bounds of a backend server's fields.
+// Upper bounds of a backend server's fields.
 const (
 	MaxSlots          = 1024
 	MaxConnections    = 65536
 	MaxConnectionCost = 10 * Second
 )
 
-// BackendState is what the tier believes of a backend server.
+// BackendState is the state of a backend server as an entry VM last learnt it. It decides
+// whether, and how many, calls the server is sent.
 type BackendState int
 
 // The states of a backend server.
 const (
-	BackendUnknown  BackendState = iota // not yet probed; used last
-	BackendCold                         // started lately; gets a growing share
-	BackendLive                         // takes its full share
-	BackendShedding                     // sheds load; gets a reduced share
-	BackendLeaving                      // gets no new work
-	BackendLost                         // does not answer; only probed
+	BackendUnknown  BackendState = iota // not yet probed; least preferred
+	BackendCold                         // recently started; gets a growing share of the calls
+	BackendLive                         // gets its full share of the calls
+	BackendShedding                     // sheds load; gets a reduced share of the calls
+	BackendLeaving                      // shutting down; gets no new calls
+	BackendLost                         // does not answer; gets only health probes
 )
 
 var backendStateNames = [...]string{"unknown", "cold", "live", "shedding", "leaving", "lost"}
@@ -30,10 +31,10 @@
 	return backendStateNames[s]
 }
 
-// TakesWork reports whether new calls may be sent in this state.
+// TakesWork reports whether a server in this state may be sent new calls.
 func (s BackendState) TakesWork() bool { return s != BackendLeaving && s != BackendLost }
 
-// Backend is a backend server as the operators describe it.
+// Backend is a backend server as described in the operators' configuration.
 type Backend struct {
 	name           string
 	address        string
@@ -46,16 +47,17 @@
 // BackendOption sets one field of a backend server.
 type BackendOption func(*Backend)
 
-// WithSlots sets how many calls it runs at once.
+// WithSlots sets how many calls the server runs at once.
 func WithSlots(n int) BackendOption { return func(b *Backend) { b.slots = n } }
 
-// WithConnections sets how many connections it accepts.
+// WithConnections sets how many connections the server accepts from all VMs together.
 func WithConnections(n int) BackendOption { return func(b *Backend) { b.connections = n } }
 
-// WithConnectionCost sets how long a new connection takes.
+// WithConnectionCost sets how long it takes to open a connection to the server.
 func WithConnectionCost(m Millis) BackendOption { return func(b *Backend) { b.connectionCost = m } }
 
-// NewBackend returns a backend server; the shard set that holds it checks it.
+// NewBackend returns a backend server, with defaults for the options not given. It is
+// validated with the shard set that it belongs to.
 func NewBackend(name, address, dataCentre string, opts ...BackendOption) Backend {
 	b := Backend{name: name, address: address, dataCentre: dataCentre}
 	b.Defaults()
@@ -65,8 +67,8 @@
 	return b
 }
 
-// Defaults sets slots, connections and connection cost to those of the
-// smallest server.
+// Defaults sets slots, connections and connection cost to those of the smallest kind of
+// server.
 func (b *Backend) Defaults() {
 	b.slots = 2
 	b.connections = 25
@@ -82,20 +84,20 @@
 	l.check(b.connectionCost >= 0 && b.connectionCost <= MaxConnectionCost, path+".connection-cost-ms", b.connectionCost, "0 to 10000")
 }
 
-// Name is unique among the servers of a set.
+// Name is the server's name, unique within its shard set.
 func (b Backend) Name() string { return b.name }
 
-// Address is an IP number and port.
+// Address is the server's IP address and port.
 func (b Backend) Address() string { return b.address }
 
-// DataCentre is the data centre it runs in.
+// DataCentre is the data centre that the server runs in.
 func (b Backend) DataCentre() string { return b.dataCentre }
 
-// Slots is how many calls it runs at once.
+// Slots is how many calls the server runs at once.
 func (b Backend) Slots() int { return b.slots }
 
-// Connections is how many connections it accepts from all VMs together.
+// Connections is how many connections the server accepts from all VMs together.
 func (b Backend) Connections() int { return b.connections }
 
-// ConnectionCost is how long a new connection takes.
+// ConnectionCost is how long it takes to open a connection to the server.
 func (b Backend) ConnectionCost() Millis { return b.connectionCost }
--- a/tier/clock.go
+++ b/tier/clock.go
@@ -1,7 +1,14 @@
-// Package tier holds the domain objects of the query tier: profiles, ranks,
-// shard sets, backend servers, VMs, snapshots, coverage and outcomes. Its
-// sub-packages hold the coordination parts, each a state machine without I/O
-// that the daemon, tests and other programs drive alike.
+// Package tier holds the domain types of the query tier: profiles, ranks, shard sets,
+// backend servers, VMs, snapshots, coverage and outcomes.
+//
+// Entry VMs accept the callers' searches and bookings and send them to the backend servers
+// that hold the shards; such a call for one shard is a leaf call. The entry VM that receives
+// a request is its front. For each shard set and data centre, one or a few entry VMs, the
+// owners, schedule the slots of the backend servers there, and fronts send them their parts
+// of a request.
+//
+// The sub-packages implement the coordination between VMs. Most are state machines without
+// I/O, which the daemon, tests and other programs drive with events and a clock.
 package tier
 
 import (
@@ -9,10 +16,10 @@
 	"time"
 )
 
-// Millis is a point in time or a span of time, in milliseconds.
+// Millis is a point in time or a duration, in milliseconds.
 type Millis int64
 
-// Spans of time in milliseconds.
+// Common durations.
 const (
 	Millisecond Millis = 1
 	Second      Millis = 1000
@@ -21,48 +28,48 @@
 	Day         Millis = 24 * Hour
 )
 
-// FromDuration rounds d down to whole milliseconds.
+// FromDuration converts d to milliseconds, truncating fractions.
 func FromDuration(d time.Duration) Millis { return Millis(d / time.Millisecond) }
 
-// Duration converts m for the standard library's timers.
+// Duration converts m to a time.Duration.
 func (m Millis) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
 
-// Clock tells monotonic time, for deadlines and timeouts, and wall time, for
-// audit entries and the dates of idempotency keys.
+// Clock tells monotonic time, for deadlines and timeouts, and wall-clock time, for audit
+// entries and the dates in idempotency keys.
 type Clock struct {
-	now  func() Millis
-	wall func() Millis
+	now      func() Millis
+	wallTime func() Millis
 }
 
-// NewClock returns a clock that reads the machine's time.
+// NewClock returns a clock that reads the system time.
 func NewClock() *Clock {
 	start := time.Now()
 	return &Clock{
-		now:  func() Millis { return FromDuration(time.Since(start)) },
-		wall: func() Millis { return Millis(time.Now().UnixMilli()) },
+		now:      func() Millis { return FromDuration(time.Since(start)) },
+		wallTime: func() Millis { return Millis(time.Now().UnixMilli()) },
 	}
 }
 
 // Now is the monotonic time in milliseconds since the clock's start.
 func (c *Clock) Now() Millis { return c.now() }
 
-// Wall is the wall time in milliseconds since the Unix epoch.
-func (c *Clock) Wall() Millis { return c.wall() }
+// Wall is the wall-clock time in milliseconds since the Unix epoch.
+func (c *Clock) Wall() Millis { return c.wallTime() }
 
-// ManualClock moves only when told to, for tests and replays.
+// ManualClock is a time source that only Advance moves, for tests and replays.
 type ManualClock struct {
 	elapsed atomic.Int64
 	start   Millis
 }
 
-// NewManualClock returns a clock whose wall time starts at start.
+// NewManualClock returns a manual clock whose wall-clock time starts at start.
 func NewManualClock(start Millis) *ManualClock { return &ManualClock{start: start} }
 
 // Advance moves the clock forward by d.
 func (m *ManualClock) Advance(d Millis) { m.elapsed.Add(int64(d)) }
 
-// Clock is the view of m that readers take.
+// Clock returns a Clock that reads m.
 func (m *ManualClock) Clock() *Clock {
 	now := func() Millis { return Millis(m.elapsed.Load()) }
-	return &Clock{now: now, wall: func() Millis { return m.start + now() }}
+	return &Clock{now: now, wallTime: func() Millis { return m.start + now() }}
 }
--- a/tier/datacentre.go
+++ b/tier/datacentre.go
@@ -12,5 +12,5 @@
 // Name is the data centre's name, such as "serra-caxias".
 func (d DataCentre) Name() string { return d.name }
 
-// Region is the region it lies in.
+// Region is the region that the data centre is in.
 func (d DataCentre) Region() string { return d.region }
--- a/tier/errors.go
+++ b/tier/errors.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// FieldProblem names one bad field of a document, a request or a setting.
+// FieldProblem describes one invalid field of a document, a request or a setting.
 type FieldProblem struct {
 	path    string
 	value   string
 	allowed string
 }
 
-// NewFieldProblem returns a problem with the field at path: the value found
-// and what is allowed there.
+// NewFieldProblem returns a problem with the field at path. allowed says in words which
+// values the field may have.
 func NewFieldProblem(path string, value any, allowed string) FieldProblem {
 	return FieldProblem{path: path, value: fmt.Sprint(value), allowed: allowed}
 }
@@ -21,25 +21,25 @@
 // Path is the field's path, such as "servers[3].slots".
 func (p FieldProblem) Path() string { return p.path }
 
-// Value is what was found there, as text.
+// Value is the invalid value, as text.
 func (p FieldProblem) Value() string { return p.value }
 
-// Allowed says what the field may hold.
+// Allowed says which values the field may have.
 func (p FieldProblem) Allowed() string { return p.allowed }
 
-// String gives path, value and what is allowed on one line.
+// String returns path, value and allowed values on one line.
 func (p FieldProblem) String() string {
 	return fmt.Sprintf("%s: %q is not allowed: %s", p.path, p.value, p.allowed)
 }
 
-// InvalidError says that an object was rejected whole, with each bad field.
+// InvalidError reports that an object was rejected, and every invalid field of it.
 type InvalidError struct {
 	object   string
 	problems []FieldProblem
 }
 
-// NewInvalidError returns an error for the named object, or nil when there
-// are no problems.
+// NewInvalidError returns an *InvalidError for the named object, or nil if there are no
+// problems.
 func NewInvalidError(object string, problems []FieldProblem) error {
 	if len(problems) == 0 {
 		return nil
@@ -47,10 +47,10 @@
 	return &InvalidError{object: object, problems: problems}
 }
 
-// Object names what was rejected, such as "profile gate".
+// Object is the name of what was rejected, such as "profile gate".
 func (e *InvalidError) Object() string { return e.object }
 
-// Problems lists each bad field.
+// Problems lists every invalid field.
 func (e *InvalidError) Problems() []FieldProblem { return e.problems }
 
 // Error lists every problem on one line.
@@ -62,7 +62,7 @@
 	return fmt.Sprintf("%s is invalid: %s", e.object, strings.Join(lines, "; "))
 }
 
-// problemList gathers problems during Validate.
+// problemList collects the problems found by a Validate method.
 type problemList []FieldProblem
 
 func (l *problemList) check(ok bool, path string, value any, allowed string) {
--- a/tier/example_test.go
+++ b/tier/example_test.go
@@ -14,7 +14,7 @@
 	"cicadagrade.example/tier/storer"
 )
 
-// exampleSet has two shards on two backend servers that both hold both.
+// exampleSet returns a set of two shards, each with replicas on both of two backend servers.
 func exampleSet() *tier.ShardSet {
 	set, err := tier.NewShardSet("portao",
 		tier.WithServers(
@@ -29,8 +29,8 @@
 	return set
 }
 
-// Two members gossip. The program carries each message to the other one and
-// its reply back; here that is a function call.
+// Two members gossip. The program that drives them transports the messages; here that is a
+// function call.
 func Example_membership() {
 	one, err := gossiper.New(tier.NewVM("vm-1", "serra-caxias", "10.0.1.1:7071", tier.WithIncarnation(1)))
 	if err != nil {
@@ -47,7 +47,7 @@
 		now, _ = one.Next()
 		for _, a := range one.Step(now, &gossiper.Tick{}) {
 			if send, ok := a.(*gossiper.SendRequest); ok {
-				answer(now, one, two, send)
+				deliver(now, one, two, send)
 			}
 		}
 	}
@@ -59,8 +59,8 @@
 	// vm-2 live
 }
 
-// answer carries a request to the peer and its reply back.
-func answer(now tier.Millis, from, to *gossiper.Gossiper, send *gossiper.SendRequest) {
+// deliver passes a request to the peer and the reply back to the sender.
+func deliver(now tier.Millis, from, to *gossiper.Gossiper, send *gossiper.SendRequest) {
 	for _, a := range to.Step(now, gossiper.NewRequestReceived(send.Message())) {
 		if reply, ok := a.(*gossiper.SendReply); ok {
 			from.Step(now, gossiper.NewReplyReceived(send.Number(), reply.Message()))
@@ -68,8 +68,8 @@
 	}
 }
 
-// Every member picks the same owner of a set from the same members, without
-// asking; a member that leaves moves only the sets that it owned.
+// Members that know the same member list pick the same owners of a set without communication.
+// When a member leaves, only the sets that it owned get a new owner.
 func Example_owners() {
 	var members []tier.VM
 	for i := range 3 {
@@ -83,8 +83,8 @@
 	// Output: 2 true
 }
 
-// A dispatcher decides which backend server is called for each shard; the
-// program makes the calls and tells how each ended.
+// A dispatcher decides which backend server is called for each shard. The program that drives
+// it makes the calls and reports how each one ended.
 func Example_dispatcher() {
 	gate, err := tier.NewProfile("gate", tier.WithRank(tier.Urgent))
 	if err != nil {
@@ -116,7 +116,7 @@
 	// covered 2 missed 0
 }
 
-// A budget allows one extra call for each twenty first ones, beyond a burst.
+// The hedging budget allows a burst and then one extra call per twenty first attempts.
 func Example_hedgingBudget() {
 	h := hedger.New(0.95, 0.05)
 	burst := 0
@@ -135,20 +135,21 @@
 	// measured true not below 8 ms: true
 }
 
-// A keeper takes a document that the store shows, and never an older one.
+// A replicator adopts the document that it reads from the store, unless it already has a
+// newer one; then it raises an alert.
 func Example_configuration() {
 	author := replicator.NewAuthor("ana", "9f2d6c1b7a3e4f50", "first map", 0)
 	first, _ := replicator.NextState(nil, parser.NewSetDocument(exampleSet()), author)
 	second, _ := replicator.NextState(first, parser.NewSetDocument(exampleSet()), replicator.NewAuthor("ana", "0a1b2c3d4e5f6071", "again", 0))
-	k := replicator.New("vm-1", replicator.WithDataCentre("serra-caxias"))
-	show := func(now tier.Millis, s *replicator.State) {
+	r := replicator.New("vm-1", replicator.WithDataCentre("serra-caxias"))
+	list := func(now tier.Millis, s *replicator.State) {
 		v := storer.NewValue(s.Ref().Key(), s.Encode(), 1)
-		k.Step(now, replicator.NewListed([]storer.Value{v}))
-		fmt.Println(k.Documents()[0].Ref(), k.Alerts())
+		r.Step(now, replicator.NewListed([]storer.Value{v}))
+		fmt.Println(r.Documents()[0].Ref(), r.Alerts())
 	}
-	k.Step(0, replicator.NewMembers([]string{"vm-1"}, nil))
-	show(1000, second)
-	show(3000, first)
+	r.Step(0, replicator.NewMembers([]string{"vm-1"}, nil))
+	list(1000, second)
+	list(3000, first)
 	// Output:
 	// cicadagrade/config/sets/portao@1.2 []
 	// cicadagrade/config/sets/portao@1.2 [store-behind: store shows cicadagrade/config/sets/portao@1.1, this VM serves cicadagrade/config/sets/portao@1.2; reconcile cicadagrade/config/sets/portao]
--- a/tier/outcome.go
+++ b/tier/outcome.go
@@ -1,10 +1,10 @@
 package tier
 
-// Outcome is the end of a request: *Answered for a search that ran, *Booked
-// for a booking that ran, *Refused or *Unknown.
+// Outcome is the final result of a request: *Answered for a search that ran, *Booked for a
+// booking that ran, *Refused if it did not run, or *Unknown if it may have run.
 type Outcome interface{ outcome() }
 
-// Answered is the end of a request that ran.
+// Answered is the outcome of a search that ran.
 type Answered struct {
 	snapshot Snapshot
 	coverage Coverage
@@ -16,37 +16,38 @@
 	return &Answered{snapshot: s, coverage: c, records: records}
 }
 
-// Snapshot is the one state that the answer reflects.
+// Snapshot is the snapshot that all records of the answer come from.
 func (a *Answered) Snapshot() Snapshot { return a.snapshot }
 
-// Coverage says which shards it covers.
+// Coverage says which shards the answer covers.
 func (a *Answered) Coverage() Coverage { return a.coverage }
 
-// Records are the rows, sorted by key, each key once.
+// Records are the records found, sorted by key, without duplicate keys.
 func (a *Answered) Records() []Record { return a.records }
 
-// Booked is the end of a booking that ran.
+// Booked is the outcome of a booking that ran.
 type Booked struct {
 	receipt  string
 	repeated bool
 }
 
-// NewBooked returns the end of a booking; repeated says that it ran for an
+// NewBooked returns the outcome of a booking. repeated says that the booking ran for an
 // earlier request with the same idempotency key.
 func NewBooked(receipt string, repeated bool) *Booked {
 	return &Booked{receipt: receipt, repeated: repeated}
 }
 
-// Receipt is what the backend server gave for it.
+// Receipt is the backend server's receipt for the booking.
 func (b *Booked) Receipt() string { return b.receipt }
 
-// Repeated reports whether it ran for an earlier request with the same key.
+// Repeated reports whether the booking ran for an earlier request with the same idempotency
+// key.
 func (b *Booked) Repeated() bool { return b.repeated }
 
 // RefuseReason says why a request was refused.
 type RefuseReason string
 
-// The reasons.
+// The reasons for a refusal.
 const (
 	RefuseOverload    RefuseReason = "overload"
 	RefuseDeadline    RefuseReason = "deadline"
@@ -61,27 +62,27 @@
 	RefuseUnreachable RefuseReason = "unreachable"
 )
 
-// Refused is the end of a request that did not run and will not run.
+// Refused is the outcome of a request that did not run and never will.
 type Refused struct {
 	reason     RefuseReason
 	retryAfter Millis
 }
 
-// NewRefused returns a refusal; retryAfter is 0 when no time can be told.
+// NewRefused returns a refusal. retryAfter is 0 if it isn't known when a retry may succeed.
 func NewRefused(reason RefuseReason, retryAfter Millis) *Refused {
 	return &Refused{reason: reason, retryAfter: retryAfter}
 }
 
-// Reason says why.
+// Reason says why the request was refused.
 func (r *Refused) Reason() RefuseReason { return r.reason }
 
-// RetryAfter is when a new try may succeed, counted from now, or 0.
+// RetryAfter is the time after which a retry may succeed, or 0 if it isn't known.
 func (r *Refused) RetryAfter() Millis { return r.retryAfter }
 
-// UnknownReason says why it can't be told whether a request ran.
+// UnknownReason says why it isn't known whether a request ran.
 type UnknownReason string
 
-// The reasons.
+// The reasons for an unknown outcome.
 const (
 	UnknownInProgress   UnknownReason = "in-progress"
 	UnknownLostReply    UnknownReason = "lost-reply"
@@ -94,7 +95,7 @@
 	UnknownForgotten    UnknownReason = "forgotten"
 )
 
-// Unknown is the end of a request that may have run.
+// Unknown is the outcome of a request that may have run.
 type Unknown struct {
 	reason   UnknownReason
 	partial  bool
@@ -106,24 +107,24 @@
 // NewUnknown returns an unknown outcome.
 func NewUnknown(reason UnknownReason) *Unknown { return &Unknown{reason: reason} }
 
-// NewUnknownPartial returns an unknown outcome of a search that covered too
-// little of a snapshot.
+// NewUnknownPartial returns the outcome of a search that covered fewer shards of a snapshot
+// than its profile requires.
 func NewUnknownPartial(reason UnknownReason, s Snapshot, c Coverage) *Unknown {
 	return &Unknown{reason: reason, partial: true, snapshot: s, coverage: c}
 }
 
-// Partial is the snapshot that was searched and what was covered of it, if
-// the request is a search that got that far.
+// Partial returns the snapshot that was searched and the coverage reached, if the request is
+// a search that got that far.
 func (u *Unknown) Partial() (Snapshot, Coverage, bool) { return u.snapshot, u.coverage, u.partial }
 
-// NewUnknownEarlier returns the end of a sending that was refused as r says,
-// where an earlier sending with the same idempotency key may have run.
+// NewUnknownEarlier returns the outcome of a booking that was refused with r, while an earlier
+// request with the same idempotency key may have run.
 func NewUnknownEarlier(r *Refused) *Unknown { return &Unknown{reason: UnknownEarlier, refusal: r} }
 
-// Refusal is why this sending did not run, if it is known that it did not.
+// Refusal says why this request did not run, if it is known that it did not.
 func (u *Unknown) Refusal() (*Refused, bool) { return u.refusal, u.refusal != nil }
 
-// Reason says why.
+// Reason says why it isn't known whether the request ran.
 func (u *Unknown) Reason() UnknownReason { return u.reason }
 
 func (*Answered) outcome() {}
--- a/tier/parser/delta.go
+++ b/tier/parser/delta.go
@@ -10,32 +10,33 @@
 	"github.com/pkg/errors"
 )
 
-// itemKeys names the field that identifies the items of each list.
+// itemKeys maps the name of each list of items to the field that identifies an item.
 var itemKeys = map[string]string{"profiles": "name", "servers": "name", "shards": "id"}
 
-// Change is one field or item that differs between two documents.
+// Change is a field or list item that differs between two documents.
 type Change struct {
 	path   string
 	before string
 	after  string
 }
 
-// NewChange returns a change of the value at path; "" stands for absent.
+// NewChange returns a change of the value at path from before to after, both as JSON. ""
+// stands for an absent value.
 func NewChange(path, before, after string) Change {
 	return Change{path: path, before: before, after: after}
 }
 
-// Path names the field, such as "profiles[gate].rank".
+// Path is the path of the field or item, such as "profiles[gate].rank".
 func (c Change) Path() string { return c.path }
 
-// Before is the JSON value before, or "" when there was none.
+// Before is the old value as JSON, or "" if there was none.
 func (c Change) Before() string { return c.before }
 
-// After is the JSON value after, or "" when there is none.
+// After is the new value as JSON, or "" if there is none.
 func (c Change) After() string { return c.after }
 
-// Diff lists what differs, sorted by path. An item that only one document
-// has is one change. A nil document is an absent one.
+// Diff lists the changes from one document to another, sorted by path. An item that only one
+// document has is a single change. A nil document stands for an absent one.
 func Diff(before, after Document) []Change {
 	switch {
 	case before == nil && after == nil:
@@ -46,18 +47,18 @@
 		return []Change{NewChange("", string(Encode(before)), "")}
 	}
 	var out []Change
-	diffValues("", keyed(Encode(before)), keyed(Encode(after)), &out)
+	diffValues("", listsToMaps(Encode(before)), listsToMaps(Encode(after)), &out)
 	sort.Slice(out, func(i, j int) bool { return out[i].path < out[j].path })
 	return out
 }
 
 func diffValues(path string, before, after any, out *[]Change) {
-	b, isObject := before.(map[string]any)
-	a, both := after.(map[string]any)
-	if !isObject || !both {
-		x, y := valueText(before), valueText(after)
-		if x != y {
-			*out = append(*out, NewChange(path, x, y))
+	b, beforeIsObject := before.(map[string]any)
+	a, afterIsObject := after.(map[string]any)
+	if !beforeIsObject || !afterIsObject {
+		beforeText, afterText := valueText(before), valueText(after)
+		if beforeText != afterText {
+			*out = append(*out, NewChange(path, beforeText, afterText))
 		}
 		return
 	}
@@ -73,7 +74,8 @@
 	}
 }
 
-// childPath writes items of a list in brackets: "servers[a].slots".
+// childPath returns the path of a field or item at path. Items of a list are written in
+// brackets, as in "servers[a].slots".
 func childPath(path, name string) string {
 	if path == "" {
 		return name
@@ -90,19 +92,20 @@
 	}
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // v was read from JSON
+		panic(err) // can't happen: v was decoded from JSON
 	}
 	return string(b)
 }
 
-// Delta writes what turns base into next, as an RFC 7386 merge patch over
-// the documents with their lists turned into objects by name or id.
+// Delta returns the RFC 7386 merge patch that turns base into next. Since a merge patch can't
+// change single items of a list, it applies to the documents with their lists of items turned
+// into objects whose fields are named by the items' names or ids.
 func Delta(base, next Document) ([]byte, error) {
-	a, err := json.Marshal(keyed(Encode(base)))
+	a, err := json.Marshal(listsToMaps(Encode(base)))
 	if err != nil {
 		return nil, errors.Wrap(err, "Delta")
 	}
-	b, err := json.Marshal(keyed(Encode(next)))
+	b, err := json.Marshal(listsToMaps(Encode(next)))
 	if err != nil {
 		return nil, errors.Wrap(err, "Delta")
 	}
@@ -110,9 +113,9 @@
 	return patch, errors.Wrap(err, "Delta")
 }
 
-// Apply turns base into the document that delta was made for.
+// Apply applies a delta returned by Delta to base and returns the resulting document.
 func Apply(base Document, delta []byte) (Document, error) {
-	a, err := json.Marshal(keyed(Encode(base)))
+	a, err := json.Marshal(listsToMaps(Encode(base)))
 	if err != nil {
 		return nil, errors.Wrap(err, "Apply")
 	}
@@ -120,7 +123,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "Apply")
 	}
-	body, err := unkeyed(b)
+	body, err := mapsToLists(b)
 	if err != nil {
 		return nil, errors.Wrap(err, "Apply")
 	}
@@ -128,13 +131,13 @@
 	return d, errors.Wrap(err, "Apply")
 }
 
-// keyed turns the lists of a canonical encoding into objects.
-func keyed(body []byte) map[string]any {
+// listsToMaps decodes a canonical encoding and turns its lists of items into maps by item key.
+func listsToMaps(body []byte) map[string]any {
 	var m map[string]any
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.UseNumber()
 	if err := d.Decode(&m); err != nil {
-		panic(err) // body is a canonical encoding
+		panic(err) // can't happen: body is a canonical encoding
 	}
 	for list, key := range itemKeys {
 		items, ok := m[list].([]any)
@@ -151,8 +154,8 @@
 	return m
 }
 
-// unkeyed turns the objects back into lists.
-func unkeyed(body []byte) ([]byte, error) {
+// mapsToLists is the inverse of listsToMaps. The order of the items is undefined.
+func mapsToLists(body []byte) ([]byte, error) {
 	var m map[string]any
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.UseNumber()
--- a/tier/parser/document.go
+++ b/tier/parser/document.go
@@ -1,6 +1,7 @@
-// Package parser reads and writes the operators' documents: the profiles and
-// the shard sets, as strict JSON with kebab-case fields. A document with any
-// bad field is rejected whole, with the path of each.
+// Package parser decodes and encodes the operators' configuration documents, profiles and
+// shard sets. They are strict JSON with kebab-case field names: unknown, duplicate or invalid
+// fields are errors. A document with any invalid field is rejected, and the error lists the
+// path of every one.
 package parser
 
 import (
@@ -12,10 +13,10 @@
 	"cicadagrade.example/tier"
 )
 
-// Kind names the kinds of documents.
+// Kind is a kind of configuration document.
 type Kind string
 
-// The kinds.
+// The kinds of documents.
 const (
 	KindProfiles Kind = "profiles"
 	KindSet      Kind = "set"
@@ -24,29 +25,29 @@
 // Document is a configuration document: *ProfilesDocument or *SetDocument.
 type Document interface {
 	document()
-	// Kind is the document's kind.
+	// Kind returns the document's kind.
 	Kind() Kind
 }
 
-// ProfilesDocument holds all profiles.
+// ProfilesDocument is the document of all profiles.
 type ProfilesDocument struct {
 	profiles []*tier.Profile
 }
 
-// NewProfilesDocument returns a document of profiles with distinct names.
+// NewProfilesDocument returns a document of profiles, whose names have to be distinct.
 func NewProfilesDocument(profiles ...*tier.Profile) *ProfilesDocument {
 	sorted := append([]*tier.Profile(nil), profiles...)
 	sort.SliceStable(sorted, func(i, j int) bool { return sorted[i].Name() < sorted[j].Name() })
 	return &ProfilesDocument{profiles: sorted}
 }
 
-// Kind is KindProfiles.
+// Kind returns KindProfiles.
 func (d *ProfilesDocument) Kind() Kind { return KindProfiles }
 
 // Profiles lists the profiles, sorted by name.
 func (d *ProfilesDocument) Profiles() []*tier.Profile { return d.profiles }
 
-// Profile finds a profile by name.
+// Profile returns the profile with the given name.
 func (d *ProfilesDocument) Profile(name string) (*tier.Profile, bool) {
 	i := sort.Search(len(d.profiles), func(i int) bool { return d.profiles[i].Name() >= name })
 	if i == len(d.profiles) || d.profiles[i].Name() != name {
@@ -55,13 +56,13 @@
 	return d.profiles[i], true
 }
 
-// SetDocument holds one shard set.
+// SetDocument is the document of one shard set.
 type SetDocument struct{ set *tier.ShardSet }
 
-// NewSetDocument returns a document of a set.
+// NewSetDocument returns the document of a shard set.
 func NewSetDocument(set *tier.ShardSet) *SetDocument { return &SetDocument{set: set} }
 
-// Kind is KindSet.
+// Kind returns KindSet.
 func (d *SetDocument) Kind() Kind { return KindSet }
 
 // Set is the shard set.
@@ -70,6 +71,5 @@
 func (*ProfilesDocument) document() {}
 func (*SetDocument) document()      {}
 
-// Digest is a checksum of the document's canonical encoding, as 16
-// hexadecimal digits.
+// Digest returns a checksum of the document's canonical encoding, as 16 hexadecimal digits.
 func Digest(d Document) string { return fmt.Sprintf("%016x", xxhash.Sum64(Encode(d))) }
--- a/tier/parser/encode.go
+++ b/tier/parser/encode.go
@@ -9,11 +9,11 @@
 	"cicadagrade.example/tier"
 )
 
-type profilesBody struct {
-	Profiles []profileBody `json:"profiles"`
+type profilesJSON struct {
+	Profiles []profileJSON `json:"profiles"`
 }
 
-type profileBody struct {
+type profileJSON struct {
 	Name        string      `json:"name"`
 	Rank        string      `json:"rank"`
 	MinCoverage float64     `json:"min-coverage"`
@@ -24,11 +24,11 @@
 	Hedge       bool        `json:"hedge"`
 }
 
-type setBody struct {
+type setJSON struct {
 	Name          string       `json:"name"`
 	Epoch         tier.Epoch   `json:"epoch"`
-	Servers       []serverBody `json:"servers"`
-	Shards        []shardBody  `json:"shards"`
+	Servers       []serverJSON `json:"servers"`
+	Shards        []shardJSON  `json:"shards"`
 	DailyFloor    float64      `json:"daily-floor"`
 	ReportsFloor  float64      `json:"reports-floor"`
 	ReportsShare  float64      `json:"reports-share"`
@@ -38,7 +38,7 @@
 	Owners        int          `json:"owners"`
 }
 
-type serverBody struct {
+type serverJSON struct {
 	Name           string      `json:"name"`
 	Address        string      `json:"address"`
 	DataCentre     string      `json:"data-centre"`
@@ -47,14 +47,14 @@
 	ConnectionCost tier.Millis `json:"connection-cost-ms"`
 }
 
-type shardBody struct {
+type shardJSON struct {
 	ID       string   `json:"id"`
 	From     string   `json:"from"`
 	To       string   `json:"to"`
 	Replicas []string `json:"replicas"`
 }
 
-// Parse reads a document of a kind. The error is *tier.InvalidError.
+// Parse decodes a document of the given kind. The error is a *tier.InvalidError.
 func Parse(kind Kind, body []byte) (Document, error) {
 	switch kind {
 	case KindProfiles:
@@ -75,8 +75,8 @@
 	}
 }
 
-// Encode writes a document in its canonical form: compact, every field
-// present, items sorted by name or id.
+// Encode returns the canonical encoding of a document: without white space, with every field,
+// and with items sorted by name or id.
 func Encode(d Document) []byte {
 	var body any
 	switch d := d.(type) {
@@ -87,15 +87,15 @@
 	}
 	b, err := json.Marshal(body)
 	if err != nil {
-		panic(err) // the bodies hold only text, numbers and booleans
+		panic(err) // can't happen: the bodies hold only encodable values
 	}
 	return b
 }
 
-func encodeProfiles(d *ProfilesDocument) profilesBody {
-	body := profilesBody{Profiles: make([]profileBody, 0, len(d.profiles))}
+func encodeProfiles(d *ProfilesDocument) profilesJSON {
+	body := profilesJSON{Profiles: make([]profileJSON, 0, len(d.profiles))}
 	for _, p := range d.profiles {
-		body.Profiles = append(body.Profiles, profileBody{
+		body.Profiles = append(body.Profiles, profileJSON{
 			Name:        p.Name(),
 			Rank:        p.Rank().String(),
 			MinCoverage: p.MinCoverage(),
@@ -109,12 +109,12 @@
 	return body
 }
 
-func encodeSet(s *tier.ShardSet) setBody {
-	body := setBody{
+func encodeSet(s *tier.ShardSet) setJSON {
+	body := setJSON{
 		Name:          s.Name(),
 		Epoch:         s.Epoch(),
-		Servers:       make([]serverBody, 0, len(s.Servers())),
-		Shards:        make([]shardBody, 0, len(s.Shards())),
+		Servers:       make([]serverJSON, 0, len(s.Servers())),
+		Shards:        make([]shardJSON, 0, len(s.Shards())),
 		DailyFloor:    s.Floor(tier.Daily),
 		ReportsFloor:  s.Floor(tier.Reports),
 		ReportsShare:  s.ReportsShare(),
@@ -124,7 +124,7 @@
 		Owners:        s.Owners(),
 	}
 	for _, b := range s.Servers() {
-		body.Servers = append(body.Servers, serverBody{
+		body.Servers = append(body.Servers, serverJSON{
 			Name:           b.Name(),
 			Address:        b.Address(),
 			DataCentre:     b.DataCentre(),
@@ -134,7 +134,7 @@
 		})
 	}
 	for _, h := range s.Shards() {
-		body.Shards = append(body.Shards, shardBody{
+		body.Shards = append(body.Shards, shardJSON{
 			ID:       h.ID(),
 			From:     hashText(h.From()),
 			To:       hashText(h.To()),
--- a/tier/parser/node.go
+++ b/tier/parser/node.go
@@ -9,9 +9,10 @@
 	"unicode/utf8"
 )
 
-// maxDepth bounds the nesting of a document.
+// maxDepth is the greatest nesting depth of a document.
 const maxDepth = 8
 
+// nodeKind is a kind of JSON value, in the words used in error messages.
 type nodeKind string
 
 const (
@@ -23,14 +24,13 @@
 	nullNode    nodeKind = "null"
 )
 
-// node is a JSON value that keeps duplicate fields, so that they can be
-// reported.
+// node is a JSON value. Unlike a map, it keeps duplicate fields, so that they can be reported.
 type node struct {
-	kind   nodeKind
-	text   string
-	yes    bool
-	fields []field
-	items  []*node
+	kind    nodeKind
+	text    string
+	boolean bool
+	fields  []field
+	items   []*node
 }
 
 type field struct {
@@ -38,9 +38,9 @@
 	value *node
 }
 
-var errDeep = fmt.Errorf("nested more than %d levels deep", maxDepth)
+var errTooDeep = fmt.Errorf("nested more than %d levels deep", maxDepth)
 
-// readNode reads one JSON value that fills body.
+// readNode decodes body, which has to be exactly one JSON value.
 func readNode(body []byte) (*node, error) {
 	if !utf8.Valid(body) {
 		return nil, errors.New("not UTF-8")
@@ -62,7 +62,7 @@
 
 func readValue(d *json.Decoder, depth int) (*node, error) {
 	if depth > maxDepth {
-		return nil, errDeep
+		return nil, errTooDeep
 	}
 	t, err := d.Token()
 	if err != nil {
@@ -79,7 +79,7 @@
 	case json.Number:
 		return &node{kind: numberNode, text: v.String()}, nil
 	case bool:
-		return &node{kind: booleanNode, text: fmt.Sprint(v), yes: v}, nil
+		return &node{kind: booleanNode, text: fmt.Sprint(v), boolean: v}, nil
 	default:
 		return &node{kind: nullNode, text: "null"}, nil
 	}
--- a/tier/parser/object.go
+++ b/tier/parser/object.go
@@ -7,16 +7,16 @@
 	"cicadagrade.example/tier"
 )
 
-// rootPath is the path of the document itself.
+// rootPath is the path under which problems with the document itself are reported.
 const rootPath = "document"
 
-// problems gathers bad fields, one problem for each path and value.
-type problems struct {
+// problemList collects the invalid fields found in a document.
+type problemList struct {
 	list  []tier.FieldProblem
 	paths map[string]bool
 }
 
-func (p *problems) add(path, value, allowed string) {
+func (p *problemList) add(path, value, allowed string) {
 	if p.paths == nil {
 		p.paths = map[string]bool{}
 	}
@@ -24,9 +24,9 @@
 	p.list = append(p.list, tier.NewFieldProblem(path, value, allowed))
 }
 
-// merge adds what the domain objects report under prefix, but for the paths
-// that were found bad before.
-func (p *problems) merge(prefix string, list []tier.FieldProblem) {
+// addNested adds the problems that a domain object reports about itself, under prefix. It
+// leaves out paths at which a problem was added before.
+func (p *problemList) addNested(prefix string, list []tier.FieldProblem) {
 	for _, f := range list {
 		path := prefix + f.Path()
 		if !p.paths[path] {
@@ -35,62 +35,65 @@
 	}
 }
 
-// object reads the fields of one JSON object and reports what is wrong.
-type object struct {
-	prefix string
-	values map[string]*node
-	order  []string
-	known  map[string]bool
-	broken bool
-	bad    *problems
+// objectReader reads the fields of a JSON object by name and records their problems. Its
+// methods that return a value return the fallback or the zero value if the field is absent or
+// of another type.
+type objectReader struct {
+	prefix    string
+	values    map[string]*node
+	names     []string        // in the order of the document
+	requested map[string]bool // names for which a method was called
+	notObject bool
+	problems  *problemList
 }
 
-// newObject returns the fields of n, the value at path.
-func newObject(n *node, path string, bad *problems) *object {
-	o := &object{values: map[string]*node{}, known: map[string]bool{}, bad: bad}
+// newObjectReader returns a reader of n, the value at path. It adds what it finds wrong to
+// problems.
+func newObjectReader(n *node, path string, problems *problemList) *objectReader {
+	o := &objectReader{values: map[string]*node{}, requested: map[string]bool{}, problems: problems}
 	if path != rootPath {
 		o.prefix = path + "."
 	}
 	if n.kind != objectNode {
-		bad.add(path, n.text, string(objectNode))
-		o.broken = true
+		problems.add(path, n.text, string(objectNode))
+		o.notObject = true
 		return o
 	}
 	for _, f := range n.fields {
-		if _, twice := o.values[f.name]; twice {
-			bad.add(o.prefix+f.name, f.value.text, "each field once")
+		if _, duplicate := o.values[f.name]; duplicate {
+			problems.add(o.prefix+f.name, f.value.text, "each field once")
 			continue
 		}
 		o.values[f.name] = f.value
-		o.order = append(o.order, f.name)
+		o.names = append(o.names, f.name)
 	}
 	return o
 }
 
-// take returns the field's value if it is present and of the kind.
-func (o *object) take(name string, kind nodeKind) (*node, bool) {
-	o.known[name] = true
+// take returns the value of a field if it is present and of the given kind.
+func (o *objectReader) take(name string, kind nodeKind) (*node, bool) {
+	o.requested[name] = true
 	n, ok := o.values[name]
 	if !ok {
 		return nil, false
 	}
 	if n.kind != kind {
-		o.bad.add(o.prefix+name, n.text, string(kind))
+		o.problems.add(o.prefix+name, n.text, string(kind))
 		return nil, false
 	}
 	return n, true
 }
 
-// require reports a field that is absent.
-func (o *object) require(names ...string) {
+// require records a problem for each of the named fields that is absent.
+func (o *objectReader) require(names ...string) {
 	for _, name := range names {
-		if _, ok := o.values[name]; !ok && !o.broken {
-			o.bad.add(o.prefix+name, "", "required")
+		if _, ok := o.values[name]; !ok && !o.notObject {
+			o.problems.add(o.prefix+name, "", "required")
 		}
 	}
 }
 
-func (o *object) text(name string) string {
+func (o *objectReader) text(name string) string {
 	n, ok := o.take(name, textNode)
 	if !ok {
 		return ""
@@ -98,57 +101,57 @@
 	return n.text
 }
 
-func (o *object) whole(name string, fallback int64) int64 {
+func (o *objectReader) integer(name string, fallback int64) int64 {
 	n, ok := o.take(name, numberNode)
 	if !ok {
 		return fallback
 	}
 	v, err := strconv.ParseInt(n.text, 10, 64)
 	if err != nil {
-		o.bad.add(o.prefix+name, n.text, "a whole number")
+		o.problems.add(o.prefix+name, n.text, "a whole number")
 		return fallback
 	}
 	return v
 }
 
-func (o *object) fraction(name string, fallback float64) float64 {
+func (o *objectReader) fraction(name string, fallback float64) float64 {
 	n, ok := o.take(name, numberNode)
 	if !ok {
 		return fallback
 	}
 	v, err := strconv.ParseFloat(n.text, 64)
 	if err != nil {
-		o.bad.add(o.prefix+name, n.text, "a number")
+		o.problems.add(o.prefix+name, n.text, "a number")
 		return fallback
 	}
 	return v
 }
 
-func (o *object) flag(name string, fallback bool) bool {
+func (o *objectReader) boolean(name string, fallback bool) bool {
 	n, ok := o.take(name, booleanNode)
 	if !ok {
 		return fallback
 	}
-	return n.yes
+	return n.boolean
 }
 
-// hash reads a hash bound of 16 hexadecimal digits.
-func (o *object) hash(name string) uint64 {
+// hash reads a key hash, written as 16 hexadecimal digits.
+func (o *objectReader) hash(name string) uint64 {
 	n, ok := o.take(name, textNode)
 	if !ok {
 		return 0
 	}
 	v, err := strconv.ParseUint(n.text, 16, 64)
 	if err != nil || n.text != hashText(v) {
-		o.bad.add(o.prefix+name, n.text, "16 hexadecimal digits of 0-9 and a-f")
+		o.problems.add(o.prefix+name, n.text, "16 hexadecimal digits of 0-9 and a-f")
 	}
 	return v
 }
 
 func hashText(v uint64) string { return fmt.Sprintf("%016x", v) }
 
-// list returns the items of an array and the path of each.
-func (o *object) list(name string) ([]*node, []string) {
+// list returns the items of an array and their paths.
+func (o *objectReader) list(name string) ([]*node, []string) {
 	n, ok := o.take(name, arrayNode)
 	if !ok {
 		return nil, nil
@@ -160,12 +163,12 @@
 	return n.items, paths
 }
 
-func (o *object) texts(name string) []string {
+func (o *objectReader) textList(name string) []string {
 	var out []string
 	items, paths := o.list(name)
 	for i, n := range items {
 		if n.kind != textNode {
-			o.bad.add(paths[i], n.text, string(textNode))
+			o.problems.add(paths[i], n.text, string(textNode))
 			continue
 		}
 		out = append(out, n.text)
@@ -173,11 +176,11 @@
 	return out
 }
 
-// done reports the fields that nobody asked for.
-func (o *object) done() {
-	for _, name := range o.order {
-		if !o.known[name] {
-			o.bad.add(o.prefix+name, o.values[name].text, "no such field")
+// reportUnknownFields records a problem for each field that no method was called for.
+func (o *objectReader) reportUnknownFields() {
+	for _, name := range o.names {
+		if !o.requested[name] {
+			o.problems.add(o.prefix+name, o.values[name].text, "no such field")
 		}
 	}
 }
--- a/tier/parser/parser_test.go
+++ b/tier/parser/parser_test.go
@@ -15,8 +15,8 @@
 	"cicadagrade.example/tier/parser"
 )
 
-// TestDocuments parses each data file; the golden file holds either the
-// canonical encoding or the path of each bad field.
+// TestDocuments parses each file in testdata/documents. Its golden file holds either the
+// canonical encoding or the problem with each invalid field.
 func TestDocuments(t *testing.T) {
 	files, err := filepath.Glob("testdata/documents/*.json")
 	if err != nil || len(files) == 0 {
@@ -31,12 +31,12 @@
 				t.Fatal(err)
 			}
 			kind, _, _ := strings.Cut(name, "-")
-			g.Assert(t, name, []byte(outcome(t, parser.Kind(kind), body)))
+			g.Assert(t, name, []byte(encodingOrProblems(t, parser.Kind(kind), body)))
 		})
 	}
 }
 
-func outcome(t *testing.T, kind parser.Kind, body []byte) string {
+func encodingOrProblems(t *testing.T, kind parser.Kind, body []byte) string {
 	d, err := parser.Parse(kind, body)
 	if err == nil {
 		return string(parser.Encode(d)) + "\n"
@@ -83,13 +83,13 @@
 	if err != nil || parser.Digest(got) != parser.Digest(after) {
 		t.Errorf("delta %s gives %s, error %v", delta, parser.Encode(got), err)
 	}
-	if wrong, err := parser.Apply(got, []byte(`{"profiles":{"gate":{"rank":"daily"}}}`)); err != nil || parser.Digest(wrong) == parser.Digest(after) {
-		t.Errorf("another delta gives the same digest, error %v", err)
+	if other, err := parser.Apply(got, []byte(`{"profiles":{"gate":{"rank":"daily"}}}`)); err != nil || parser.Digest(other) == parser.Digest(after) {
+		t.Errorf("a changed document has the same digest, or error %v", err)
 	}
 }
 
-// FuzzParse: what parses, parses again to the same document from its
-// canonical encoding, and deltas from a fixed base lead to it.
+// FuzzParse checks that the canonical encoding of a parsed document parses to the same
+// document, and that the delta between two documents turns one into the other.
 func FuzzParse(f *testing.F) {
 	files, _ := filepath.Glob("testdata/documents/*.json")
 	for _, name := range files {
@@ -117,7 +117,7 @@
 	b := parser.Encode(d)
 	again, err := parser.Parse(d.Kind(), b)
 	if err != nil || parser.Digest(again) != parser.Digest(d) || !json.Valid(b) {
-		t.Errorf("%s: parsed again: %v", b, err)
+		t.Errorf("%s: parsing the encoding again gives another document or error %v", b, err)
 	}
 }
 
@@ -128,6 +128,6 @@
 	}
 	got, err := parser.Apply(base, delta)
 	if err != nil || parser.Digest(got) != parser.Digest(next) {
-		t.Errorf("delta %s: %v", delta, err)
+		t.Errorf("delta %s gives another document or error %v", delta, err)
 	}
 }
--- a/tier/parser/profiles.go
+++ b/tier/parser/profiles.go
@@ -14,38 +14,38 @@
 	profilesAllowed = "1 to 256 profiles"
 )
 
-// ParseProfiles reads a profiles document. The error is *tier.InvalidError.
+// ParseProfiles decodes a profiles document. The error is a *tier.InvalidError.
 func ParseProfiles(body []byte) (*ProfilesDocument, error) {
-	bad := &problems{}
+	problems := &problemList{}
 	n, err := readNode(body)
 	if err != nil {
-		bad.add(rootPath, err.Error(), "one JSON document")
-		return nil, errors.Wrap(tier.NewInvalidError(profilesObject, bad.list), "ParseProfiles")
+		problems.add(rootPath, err.Error(), "one JSON document")
+		return nil, errors.Wrap(tier.NewInvalidError(profilesObject, problems.list), "ParseProfiles")
 	}
-	o := newObject(n, rootPath, bad)
+	o := newObjectReader(n, rootPath, problems)
 	o.require("profiles")
 	items, paths := o.list("profiles")
-	o.done()
-	if len(bad.list) == 0 && (len(items) < 1 || len(items) > maxProfiles) {
-		bad.add("profiles", fmt.Sprint(len(items)), profilesAllowed)
+	o.reportUnknownFields()
+	if len(problems.list) == 0 && (len(items) < 1 || len(items) > maxProfiles) {
+		problems.add("profiles", fmt.Sprint(len(items)), profilesAllowed)
 	}
-	profiles := readProfiles(items, paths, bad)
-	if err := tier.NewInvalidError(profilesObject, bad.list); err != nil {
+	profiles := readProfiles(items, paths, problems)
+	if err := tier.NewInvalidError(profilesObject, problems.list); err != nil {
 		return nil, errors.Wrap(err, "ParseProfiles")
 	}
 	return NewProfilesDocument(profiles...), nil
 }
 
-func readProfiles(items []*node, paths []string, bad *problems) []*tier.Profile {
+func readProfiles(items []*node, paths []string, problems *problemList) []*tier.Profile {
 	names := map[string]bool{}
 	profiles := make([]*tier.Profile, 0, len(items))
 	for i, n := range items {
-		p := readProfile(n, paths[i], bad)
+		p := readProfile(n, paths[i], problems)
 		if p == nil {
 			continue
 		}
 		if names[p.Name()] {
-			bad.add(paths[i]+".name", p.Name(), "each name once")
+			problems.add(paths[i]+".name", p.Name(), "each name once")
 		}
 		names[p.Name()] = true
 		profiles = append(profiles, p)
@@ -53,9 +53,9 @@
 	return profiles
 }
 
-func readProfile(n *node, path string, bad *problems) *tier.Profile {
-	o := newObject(n, path, bad)
-	if o.broken {
+func readProfile(n *node, path string, problems *problemList) *tier.Profile {
+	o := newObjectReader(n, path, problems)
+	if o.notObject {
 		return nil
 	}
 	var d tier.Profile
@@ -68,35 +68,36 @@
 		tier.WithDeadline(o.millis("deadline-ms", d.Deadline())),
 		tier.WithMaxDeadline(o.millis("max-deadline-ms", d.MaxDeadline())),
 		tier.WithImposedWait(o.millis("imposed-wait-ms", d.ImposedWait())),
-		tier.WithQueueLimit(int(o.whole("queue-limit", int64(d.QueueLimit())))),
-		tier.WithHedge(o.flag("hedge", d.Hedge())),
+		tier.WithQueueLimit(int(o.integer("queue-limit", int64(d.QueueLimit())))),
+		tier.WithHedge(o.boolean("hedge", d.Hedge())),
 	)
-	o.done()
-	bad.mergeError(o.prefix, err)
+	o.reportUnknownFields()
+	problems.addNestedError(o.prefix, err)
 	return p
 }
 
-func (o *object) millis(name string, fallback tier.Millis) tier.Millis {
-	return tier.Millis(o.whole(name, int64(fallback)))
+func (o *objectReader) millis(name string, fallback tier.Millis) tier.Millis {
+	return tier.Millis(o.integer(name, int64(fallback)))
 }
 
-func (o *object) rank(name string, fallback tier.Rank) tier.Rank {
+func (o *objectReader) rank(name string, fallback tier.Rank) tier.Rank {
 	n, ok := o.take(name, textNode)
 	if !ok {
 		return fallback
 	}
 	r, err := tier.ParseRank(n.text)
 	if err != nil {
-		o.bad.add(o.prefix+name, n.text, "urgent, daily or reports")
+		o.problems.add(o.prefix+name, n.text, "urgent, daily or reports")
 		return fallback
 	}
 	return r
 }
 
-// mergeError adds the problems of a domain object's *tier.InvalidError.
-func (p *problems) mergeError(prefix string, err error) {
+// addNestedError adds the problems listed by err, if it is a *tier.InvalidError, under
+// prefix.
+func (p *problemList) addNestedError(prefix string, err error) {
 	var e *tier.InvalidError
 	if errors.As(err, &e) {
-		p.merge(prefix, e.Problems())
+		p.addNested(prefix, e.Problems())
 	}
 }
--- a/tier/profile.go
+++ b/tier/profile.go
@@ -6,7 +6,7 @@
 	"github.com/pkg/errors"
 )
 
-// Bounds of a profile's fields.
+// Defaults and upper bounds of a profile's fields.
 const (
 	DefaultDeadline    = 1 * Second
 	DefaultMaxDeadline = 10 * Second
@@ -24,7 +24,8 @@
 // ValidName reports whether s is a kebab-case name of at most 63 characters.
 func ValidName(s string) bool { return nameFormat.MatchString(s) }
 
-// Profile states what a kind of search is owed.
+// Profile is the service level of one kind of request: its urgency, deadlines, least coverage
+// and treatment in an owner's queues.
 type Profile struct {
 	name        string
 	rank        Rank
@@ -42,27 +43,27 @@
 // WithRank sets the urgency of the profile's requests.
 func WithRank(r Rank) ProfileOption { return func(p *Profile) { p.rank = r } }
 
-// WithMinCoverage sets the least fraction of shards, above 0 and at most 1,
-// that an answer may cover; below it the request fails.
+// WithMinCoverage sets the least fraction of shards, above 0 and at most 1, that an answer
+// has to cover. A search that covers less fails.
 func WithMinCoverage(f float64) ProfileOption { return func(p *Profile) { p.minCoverage = f } }
 
-// WithDeadline sets the deadline of requests that name none.
+// WithDeadline sets the deadline of requests that don't give one.
 func WithDeadline(m Millis) ProfileOption { return func(p *Profile) { p.deadline = m } }
 
-// WithMaxDeadline sets the longest deadline that a request may name.
+// WithMaxDeadline sets the longest deadline that a request may give.
 func WithMaxDeadline(m Millis) ProfileOption { return func(p *Profile) { p.maxDeadline = m } }
 
-// WithImposedWait sets the longest that requests of this profile may hold
-// back waiting work of other profiles at an owner.
+// WithImposedWait sets how long an owner may prefer requests of this profile while requests
+// of another profile wait. After that time a waiting request of the other profile is served.
 func WithImposedWait(m Millis) ProfileOption { return func(p *Profile) { p.imposedWait = m } }
 
-// WithQueueLimit sets how many of this profile's queries an owner queues.
+// WithQueueLimit sets how many requests of this profile an owner queues.
 func WithQueueLimit(n int) ProfileOption { return func(p *Profile) { p.queueLimit = n } }
 
 // WithHedge allows or forbids hedged leaf calls.
 func WithHedge(on bool) ProfileOption { return func(p *Profile) { p.hedge = on } }
 
-// NewProfile returns a checked profile, with defaults where no option speaks.
+// NewProfile returns a validated profile, with defaults for the options not given.
 func NewProfile(name string, opts ...ProfileOption) (*Profile, error) {
 	p := &Profile{name: name}
 	p.Defaults()
@@ -86,7 +87,7 @@
 	p.hedge = true
 }
 
-// Validate reports every bad field in an *InvalidError.
+// Validate returns an *InvalidError that lists every invalid field, or nil.
 func (p *Profile) Validate() error {
 	var l problemList
 	l.check(ValidName(p.name), "name", p.name, nameAllowed)
@@ -100,25 +101,26 @@
 	return NewInvalidError("profile "+p.name, l)
 }
 
-// Name is the name that callers give.
+// Name is the name by which requests select the profile.
 func (p *Profile) Name() string { return p.name }
 
 // Rank is the urgency of the profile's requests.
 func (p *Profile) Rank() Rank { return p.rank }
 
-// MinCoverage is the least fraction of shards that an answer may cover.
+// MinCoverage is the least fraction of shards that an answer has to cover.
 func (p *Profile) MinCoverage() float64 { return p.minCoverage }
 
-// Deadline is the deadline of requests that name none.
+// Deadline is the deadline of requests that don't give one.
 func (p *Profile) Deadline() Millis { return p.deadline }
 
-// MaxDeadline is the longest deadline that a request may name.
+// MaxDeadline is the longest deadline that a request may give.
 func (p *Profile) MaxDeadline() Millis { return p.maxDeadline }
 
-// ImposedWait is the longest that this profile may hold back other work.
+// ImposedWait is how long an owner may prefer requests of this profile while requests of
+// another profile wait.
 func (p *Profile) ImposedWait() Millis { return p.imposedWait }
 
-// QueueLimit is how many of this profile's queries an owner queues.
+// QueueLimit is how many requests of this profile an owner queues.
 func (p *Profile) QueueLimit() int { return p.queueLimit }
 
 // Hedge reports whether leaf calls may be hedged.
--- a/tier/rank.go
+++ b/tier/rank.go
@@ -21,7 +21,7 @@
 
 var rankNames = [...]string{"urgent", "daily", "reports"}
 
-// ParseRank reads the name of a rank.
+// ParseRank returns the rank with the given name. The error is an *UnknownRankError.
 func ParseRank(s string) (Rank, error) {
 	for i, n := range rankNames {
 		if n == s {
@@ -34,7 +34,7 @@
 // Valid reports whether r is one of the ranks.
 func (r Rank) Valid() bool { return r >= Urgent && r <= Reports }
 
-// String is the rank's name in documents and answers.
+// String returns the rank's name, as used in documents and answers.
 func (r Rank) String() string {
 	if !r.Valid() {
 		return fmt.Sprintf("rank(%d)", int(r))
@@ -42,7 +42,7 @@
 	return rankNames[r]
 }
 
-// MarshalText writes the rank's name.
+// MarshalText encodes the rank as its name.
 func (r Rank) MarshalText() ([]byte, error) {
 	if !r.Valid() {
 		return nil, errors.WithStack(&UnknownRankError{name: r.String()})
@@ -50,7 +50,7 @@
 	return []byte(r.String()), nil
 }
 
-// UnmarshalText reads the rank's name.
+// UnmarshalText decodes the rank's name.
 func (r *Rank) UnmarshalText(b []byte) error {
 	v, err := ParseRank(string(b))
 	if err != nil {
@@ -60,13 +60,13 @@
 	return nil
 }
 
-// UnknownRankError says that a name is not that of a rank.
+// UnknownRankError reports a name that is not the name of a rank.
 type UnknownRankError struct{ name string }
 
-// Name is the name that was read.
+// Name is the unknown name.
 func (e *UnknownRankError) Name() string { return e.name }
 
-// Error names the ranks that exist.
+// Error returns the unknown name and lists the valid ones.
 func (e *UnknownRankError) Error() string {
 	return fmt.Sprintf("unknown rank %q: use urgent, daily or reports", e.name)
 }
--- a/tier/ring/ring.go
+++ b/tier/ring/ring.go
@@ -1,38 +1,38 @@
-// Package ring joins duties: a bounded ring of values between goroutines.
+// Package ring provides a bounded queue that passes values between goroutines.
 package ring
 
 import "context"
 
-// Ring is a bounded first-in, first-out ring. It is safe for concurrent use.
-type Ring[T any] struct{ c chan T }
+// Ring is a bounded first-in, first-out queue. It is safe for concurrent use.
+type Ring[T any] struct{ values chan T }
 
-// New returns a ring that holds at most size values.
-func New[T any](size int) *Ring[T] { return &Ring[T]{c: make(chan T, size)} }
+// New returns a queue that holds at most capacity values.
+func New[T any](capacity int) *Ring[T] { return &Ring[T]{values: make(chan T, capacity)} }
 
-// TryPush adds v unless the ring is full, and reports whether it did.
-func (r *Ring[T]) TryPush(v T) bool {
+// TryPush adds v unless the queue is full, and reports whether it did.
+func (q *Ring[T]) TryPush(v T) bool {
 	select {
-	case r.c <- v:
+	case q.values <- v:
 		return true
 	default:
 		return false
 	}
 }
 
-// Push adds v, waiting for room until ctx ends.
-func (r *Ring[T]) Push(ctx context.Context, v T) error {
+// Push adds v. While the queue is full it waits, until ctx ends.
+func (q *Ring[T]) Push(ctx context.Context, v T) error {
 	select {
-	case r.c <- v:
+	case q.values <- v:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// Pop takes the oldest value, waiting for one until ctx ends.
-func (r *Ring[T]) Pop(ctx context.Context) (T, error) {
+// Pop removes and returns the oldest value. While the queue is empty it waits, until ctx ends.
+func (q *Ring[T]) Pop(ctx context.Context) (T, error) {
 	select {
-	case v := <-r.c:
+	case v := <-q.values:
 		return v, nil
 	case <-ctx.Done():
 		var zero T
@@ -40,8 +40,8 @@
 	}
 }
 
-// Out is the receiving end, for a duty that also waits for other things.
-func (r *Ring[T]) Out() <-chan T { return r.c }
+// Out returns the channel from which values are received, for use in a select statement.
+func (q *Ring[T]) Out() <-chan T { return q.values }
 
-// Len is how many values wait.
-func (r *Ring[T]) Len() int { return len(r.c) }
+// Len is the number of values in the queue.
+func (q *Ring[T]) Len() int { return len(q.values) }
--- a/tier/router/main_test.go
+++ b/tier/router/main_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-// TestMain gives the properties one seed, so that CI gives the same verdict every
-// time; -rapid.seed plays others.
+// TestMain sets a fixed seed for the property tests, so that every run of CI checks the same
+// cases. -rapid.seed sets another seed.
 func TestMain(m *testing.M) {
 	flag.Parse()
-	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
-		if err := f.Value.Set("20261204"); err != nil {
+	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
+		if err := seed.Value.Set("20261204"); err != nil {
 			panic(err)
 		}
 	}
--- a/tier/router/route.go
+++ b/tier/router/route.go
@@ -2,146 +2,148 @@
 
 import "cicadagrade.example/tier"
 
-// Target is a service of a route with its share of the route's requests.
+// Target is a service that a route sends requests to, with its weight.
 type Target struct {
 	service string
 	weight  float64
 }
 
-// NewTarget returns a target. A weight of 0 takes no requests.
+// NewTarget returns a target. A target of weight 0 gets no requests.
 func NewTarget(service string, weight float64) Target {
 	return Target{service: service, weight: weight}
 }
 
-// Service names the service.
+// Service is the name of the service.
 func (t Target) Service() string { return t.service }
 
-// Weight is the target's share, relative to the other targets of its route.
+// Weight is the target's share of requests, relative to the other targets of its route.
 func (t Target) Weight() float64 { return t.weight }
 
-// Route says where requests with one host and path prefix go, and what they
-// are owed.
+// Route says where requests with a given host and path prefix are sent, and with which
+// timeout, urgency and number of attempts.
 type Route struct {
-	name         string
-	host         string
-	prefix       string
-	repeatable   bool
-	timeout      tier.Millis
-	aim          tier.Millis
-	rank         int
-	attempts     int
-	targets      []Target
-	shards       []string
-	top          int
-	minimumShare float64
+	name          string
+	host          string
+	prefix        string
+	idempotent    bool
+	timeout       tier.Millis
+	latencyTarget tier.Millis
+	rank          int
+	maxAttempts   int
+	targets       []Target
+	shards        []string
+	topK          int
+	minimumShare  float64
 }
 
-// Option sets a part of a route.
+// Option sets an optional field of a route.
 type Option func(*Route)
 
-// NewRoute returns a route for a host and a path prefix that begins and ends
+// NewRoute returns a route for a host in lower case and a path prefix that begins and ends
 // with a slash.
 func NewRoute(name, host, prefix string, options ...Option) *Route {
-	r := &Route{name: name, host: host, prefix: prefix, attempts: 1}
+	r := &Route{name: name, host: host, prefix: prefix, maxAttempts: 1}
 	for _, o := range options {
 		o(r)
 	}
 	return r
 }
 
-// Repeatable lets requests of the route run more than once.
-func Repeatable() Option { return func(r *Route) { r.repeatable = true } }
+// Repeatable says that requests of the route may run more than once.
+func Repeatable() Option { return func(r *Route) { r.idempotent = true } }
 
-// WithTimes sets how long a request may be kept waiting at most, and within
-// which time its answer is worth most.
-func WithTimes(timeout, aim tier.Millis) Option {
-	return func(r *Route) { r.timeout, r.aim = timeout, aim }
+// WithTimes sets the longest time that a request may take, and the time within which it
+// should be answered.
+func WithTimes(timeout, latencyTarget tier.Millis) Option {
+	return func(r *Route) { r.timeout, r.latencyTarget = timeout, latencyTarget }
 }
 
 // WithRank sets the rank; 0 is the most urgent.
 func WithRank(rank int) Option { return func(r *Route) { r.rank = rank } }
 
-// WithAttempts sets to how many leafs one request may be sent, for each shard.
-func WithAttempts(n int) Option { return func(r *Route) { r.attempts = max(n, 1) } }
+// WithAttempts sets to how many leafs a request may be sent at most, for each shard.
+func WithAttempts(n int) Option { return func(r *Route) { r.maxAttempts = max(n, 1) } }
 
-// ToTargets sends each request to one of the targets.
+// ToTargets makes the route send each request to one of the targets.
 func ToTargets(targets ...Target) Option { return func(r *Route) { r.targets = targets } }
 
-// ToShards asks every shard and merges the top greatest records. An answer
-// needs at least minimumShare of the shards, from 0 to 1.
-func ToShards(top int, minimumShare float64, shards ...string) Option {
-	return func(r *Route) { r.top, r.minimumShare, r.shards = top, minimumShare, shards }
+// ToShards makes the route send each request to every shard and merge the replies to the topK
+// greatest records. An answer needs replies of at least minimumShare, from 0 to 1, of the
+// shards.
+func ToShards(topK int, minimumShare float64, shards ...string) Option {
+	return func(r *Route) { r.topK, r.minimumShare, r.shards = topK, minimumShare, shards }
 }
 
 // Name is the operator's name for the route.
 func (r *Route) Name() string { return r.name }
 
-// Host is the host name it serves, in lower case.
+// Host is the host name that the route serves, in lower case.
 func (r *Route) Host() string { return r.host }
 
-// Prefix is the path prefix it serves.
+// Prefix is the path prefix that the route serves.
 func (r *Route) Prefix() string { return r.prefix }
 
 // Repeatable reports whether a request may run more than once.
-func (r *Route) Repeatable() bool { return r.repeatable }
+func (r *Route) Repeatable() bool { return r.idempotent }
 
-// Timeout is the longest time to keep a request waiting.
+// Timeout is the longest time that a request may take.
 func (r *Route) Timeout() tier.Millis { return r.timeout }
 
-// Aim is the latency objective.
-func (r *Route) Aim() tier.Millis { return r.aim }
+// Aim is the time within which a request should be answered.
+func (r *Route) Aim() tier.Millis { return r.latencyTarget }
 
 // Rank is the urgency; 0 is the most urgent.
 func (r *Route) Rank() int { return r.rank }
 
-// Attempts is to how many leafs a request may be sent, for each shard.
-func (r *Route) Attempts() int { return r.attempts }
+// Attempts is to how many leafs a request may be sent at most, for each shard.
+func (r *Route) Attempts() int { return r.maxAttempts }
 
 // Targets are the services that share the route's requests.
 func (r *Route) Targets() []Target { return r.targets }
 
-// Shards are the services that each hold a part of the records; empty for a
-// route to targets.
+// Shards are the services that each hold one part of the records. It is empty for a route to
+// targets.
 func (r *Route) Shards() []string { return r.shards }
 
-// Scattered reports whether requests go to all shards.
+// Scattered reports whether requests are sent to all shards and the replies merged.
 func (r *Route) Scattered() bool { return len(r.shards) > 0 }
 
 // Top is how many records an answer has at most.
-func (r *Route) Top() int { return r.top }
+func (r *Route) Top() int { return r.topK }
 
-// MinimumParts is the least number of shards that an answer needs.
+// MinimumParts is the least number of shards whose replies an answer needs.
 func (r *Route) MinimumParts() int { return r.MinimumPartsOf(len(r.shards)) }
 
-// MinimumPartsOf is the least number of a share of n shards that meets the
-// route's minimum.
+// MinimumPartsOf is the least number out of n shards, all or some of the route's, whose
+// replies meet the route's minimum share.
 func (r *Route) MinimumPartsOf(n int) int {
-	// The tolerance keeps 0.75 * 20 at 15 whatever the rounding.
+	// The tolerance absorbs floating-point errors, so that 0.75 * 20 gives 15 and not 16.
 	const tolerance = 1e-9
-	least := int(r.minimumShare * float64(n))
-	for float64(least) < r.minimumShare*float64(n)-tolerance {
-		least++
+	parts := int(r.minimumShare * float64(n))
+	for float64(parts) < r.minimumShare*float64(n)-tolerance {
+		parts++
 	}
-	return max(least, min(1, n))
+	return max(parts, min(1, n))
 }
 
-// Target picks the service of a request. draw is uniform in [0, 1).
+// Target picks the service for a request by weight. draw is a random number, uniform in
+// [0, 1).
 func (r *Route) Target(draw float64) string {
 	total := 0.0
 	for _, t := range r.targets {
 		total += t.weight
 	}
-	at := draw * total
+	remaining := draw * total
 	last := ""
 	for _, t := range r.targets {
 		if t.weight <= 0 {
 			continue
 		}
 		last = t.service
-		if at < t.weight {
+		if remaining < t.weight {
 			return last
 		}
-		at -= t.weight
+		remaining -= t.weight
 	}
 	if last == "" && len(r.targets) > 0 {
 		return r.targets[0].service
--- a/tier/router/router_test.go
+++ b/tier/router/router_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestLongestPrefixOfTheHostWins(t *testing.T) {
+func TestLongestPrefixOfHostWins(t *testing.T) {
 	table := NewTable(7, []*Route{
 		NewRoute("short", "a.example", "/x/"),
 		NewRoute("long", "a.example", "/x/y/"),
@@ -29,7 +29,8 @@
 	}
 }
 
-// The least number of parts is the first whose share reaches the minimum.
+// TestMinimumParts checks that the result is the least number of shards whose share reaches
+// the minimum, without an error from rounding.
 func TestMinimumParts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 300).Draw(t, "shards")
@@ -40,19 +41,19 @@
 			want = max(1, percent*n/100)
 		}
 		if got := r.MinimumParts(); got != want {
-			t.Fatalf("%d of %d for %d%%, expected %d", got, n, percent, want)
+			t.Fatalf("%d of %d shards for a minimum of %d%%, expected %d", got, n, percent, want)
 		}
 	})
 }
 
-func TestTargetsGetTheirWeights(t *testing.T) {
+func TestRequestsAreSplitByWeight(t *testing.T) {
 	r := NewRoute("r", "h", "/", ToTargets(NewTarget("a", 3), NewTarget("b", 0), NewTarget("c", 1)))
-	count := map[string]int{}
+	requests := map[string]int{}
 	const draws = 4000
 	for i := range draws {
-		count[r.Target(float64(i)/draws)]++
+		requests[r.Target(float64(i)/draws)]++
 	}
-	if count["a"] != draws*3/4 || count["b"] != 0 || count["c"] != draws/4 {
-		t.Errorf("%v of %d", count, draws)
+	if requests["a"] != draws*3/4 || requests["b"] != 0 || requests["c"] != draws/4 {
+		t.Errorf("got %v of %d requests, expected 3 to 1 for a and c, and none for b", requests, draws)
 	}
 }
--- a/tier/router/table.go
+++ b/tier/router/table.go
@@ -1,6 +1,5 @@
-// Package router finds the route of a request in one version of the operator's
-// configuration. A version never changes once built: a request keeps the one
-// that it began with.
+// Package router finds the route of a request in one version of the operators' configuration.
+// A version is immutable, and a request uses the same version from its start to its end.
 package router
 
 import (
@@ -10,84 +9,84 @@
 	"cicadagrade.example/tier"
 )
 
-// Limits bound what a caller may send.
+// Limits are bounds on the requests and connections of callers.
 type Limits struct {
-	headerBytes int
-	bodyBytes   int
-	headerTime  tier.Millis
-	idleTime    tier.Millis
+	maxHeaderBytes int
+	maxBodyBytes   int
+	headerTimeout  tier.Millis
+	idleTimeout    tier.Millis
 }
 
-// NewLimits returns the sizes in bytes, the time to send a header, and the
-// time that a connection may be idle. 0 is no limit.
-func NewLimits(headerBytes, bodyBytes int, headerTime, idleTime tier.Millis) Limits {
-	return Limits{headerBytes: headerBytes, bodyBytes: bodyBytes, headerTime: headerTime, idleTime: idleTime}
+// NewLimits returns limits on the sizes of header and body, on the time to send a header, and
+// on the time that a connection may be idle. 0 means no limit.
+func NewLimits(maxHeaderBytes, maxBodyBytes int, headerTimeout, idleTimeout tier.Millis) Limits {
+	return Limits{maxHeaderBytes: maxHeaderBytes, maxBodyBytes: maxBodyBytes, headerTimeout: headerTimeout, idleTimeout: idleTimeout}
 }
 
-// HeaderBytes is the most that a request's header may have.
-func (l Limits) HeaderBytes() int { return l.headerBytes }
+// HeaderBytes is the largest size of a request's header.
+func (l Limits) HeaderBytes() int { return l.maxHeaderBytes }
 
-// BodyBytes is the most that a request's body may have.
-func (l Limits) BodyBytes() int { return l.bodyBytes }
+// BodyBytes is the largest size of a request's body.
+func (l Limits) BodyBytes() int { return l.maxBodyBytes }
 
 // HeaderTime is how long a caller may take to send a header.
-func (l Limits) HeaderTime() tier.Millis { return l.headerTime }
+func (l Limits) HeaderTime() tier.Millis { return l.headerTimeout }
 
 // IdleTime is how long a connection may be idle.
-func (l Limits) IdleTime() tier.Millis { return l.idleTime }
+func (l Limits) IdleTime() tier.Millis { return l.idleTimeout }
 
-// Table is one version of the configuration.
+// Table is the routing table of one version of the configuration.
 type Table struct {
-	version int64
-	routes  map[string][]*Route
-	used    map[string]bool // services that routes lead to
-	limits  Limits
-	count   int
+	version      int64
+	routesByHost map[string][]*Route
+	usedServices map[string]bool // services that some route sends requests to
+	limits       Limits
+	routeCount   int
 }
 
 // NewTable returns a table of routes.
 func NewTable(version int64, routes []*Route, limits Limits) *Table {
 	t := &Table{
-		version: version,
-		routes:  map[string][]*Route{},
-		used:    map[string]bool{},
-		limits:  limits,
-		count:   len(routes),
+		version:      version,
+		routesByHost: map[string][]*Route{},
+		usedServices: map[string]bool{},
+		limits:       limits,
+		routeCount:   len(routes),
 	}
 	for _, r := range routes {
-		t.routes[r.host] = append(t.routes[r.host], r)
+		t.routesByHost[r.host] = append(t.routesByHost[r.host], r)
 		for _, s := range r.shards {
-			t.used[s] = true
+			t.usedServices[s] = true
 		}
 		for _, target := range r.targets {
-			t.used[target.service] = true
+			t.usedServices[target.service] = true
 		}
 	}
-	for _, list := range t.routes {
+	for _, list := range t.routesByHost {
 		sort.SliceStable(list, func(i, j int) bool { return len(list[i].prefix) > len(list[j].prefix) })
 	}
 	return t
 }
 
-// Version is the operator's number of the table; higher is newer.
+// Version is the version of the configuration; a higher one is newer.
 func (t *Table) Version() int64 { return t.version }
 
-// Limits bound what callers may send.
+// Limits are the bounds on the requests and connections of callers.
 func (t *Table) Limits() Limits { return t.limits }
 
 // Routes is the number of routes.
-func (t *Table) Routes() int { return t.count }
+func (t *Table) Routes() int { return t.routeCount }
 
-// Uses reports whether some route leads to a service.
-func (t *Table) Uses(service string) bool { return t.used[service] }
+// Uses reports whether some route sends requests to a service.
+func (t *Table) Uses(service string) bool { return t.usedServices[service] }
 
-// Match finds the route with the longest prefix of path among those of host,
-// which may carry a port.
+// Match returns the route of a host, which may be followed by a port, whose prefix is the
+// longest one that path begins with.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
 	}
-	for _, r := range t.routes[strings.ToLower(host)] {
+	for _, r := range t.routesByHost[strings.ToLower(host)] {
 		if strings.HasPrefix(path, r.prefix) {
 			return r, true
 		}
--- a/tier/shard.go
+++ b/tier/shard.go
@@ -1,7 +1,7 @@
 package tier
 
-// Shard is one part of a set: the records whose key hash lies in [from, to],
-// both inclusive, held by each of its replicas.
+// Shard is one part of a shard set: the records whose key hash lies between from and to, both
+// inclusive. Each of its replicas holds all of them.
 type Shard struct {
 	id       string
 	from     uint64
@@ -9,12 +9,13 @@
 	replicas []string
 }
 
-// NewShard returns a shard held by the named backend servers.
+// NewShard returns a shard. replicas are the names of the backend servers that hold it,
+// preferred ones first.
 func NewShard(id string, from, to uint64, replicas ...string) Shard {
 	return Shard{id: id, from: from, to: to, replicas: replicas}
 }
 
-// ID is unique within the set's shard map.
+// ID is the shard's id, unique within its shard map.
 func (s Shard) ID() string { return s.id }
 
 // From is the lowest key hash that the shard holds.
@@ -23,10 +24,10 @@
 // To is the highest key hash that the shard holds.
 func (s Shard) To() uint64 { return s.to }
 
-// Replicas names the backend servers that hold it, preferred ones first.
+// Replicas lists the names of the backend servers that hold the shard, preferred ones first.
 func (s Shard) Replicas() []string { return s.replicas }
 
-// Holds reports whether the shard holds keys of this hash.
+// Holds reports whether the shard holds records whose key has this hash.
 func (s Shard) Holds(hash uint64) bool { return hash >= s.from && hash <= s.to }
 
 func (s Shard) validate(path string, servers map[string]bool, l *problemList) {
--- a/tier/shardset.go
+++ b/tier/shardset.go
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 )
 
-// Bounds and defaults of a shard set's fields.
+// Defaults and upper bounds of a shard set's fields.
 const (
 	DefaultHedgeQuantile = 0.95
 	DefaultHedgeBudget   = 0.05
@@ -25,8 +25,9 @@
 	MaxServers           = 4096
 )
 
-// ShardSet is a shard map with the servers that hold it and the settings of
-// its owners.
+// ShardSet is a named collection of records: the shards that it is split into, the backend
+// servers that hold them, and the settings by which its owners schedule calls. The shards with
+// their replicas are its shard map.
 type ShardSet struct {
 	name          string
 	epoch         Epoch
@@ -38,44 +39,46 @@
 	hedgeQuantile float64
 	hedgeBudget   float64
 	coldRamp      Millis
-	owners        int
+	ownerCount    int
 	byName        map[string]int
 }
 
 // ShardSetOption sets one field of a shard set.
 type ShardSetOption func(*ShardSet)
 
-// WithEpoch sets the shard map's epoch, at least 1.
+// WithEpoch sets the epoch of the shard map, at least 1.
 func WithEpoch(e Epoch) ShardSetOption { return func(s *ShardSet) { s.epoch = e } }
 
 // WithServers sets the backend servers.
 func WithServers(b ...Backend) ShardSetOption { return func(s *ShardSet) { s.servers = b } }
 
-// WithShards sets the shards, which divide all key hashes among them.
+// WithShards sets the shards. Together they have to hold every key hash exactly once.
 func WithShards(h ...Shard) ShardSetOption { return func(s *ShardSet) { s.shards = h } }
 
-// WithFloors sets the fractions of service that the lower ranks keep.
+// WithFloors sets the fractions of the servers' slot time that daily and reports requests
+// get however much more urgent work is waiting.
 func WithFloors(daily, reports float64) ShardSetOption {
 	return func(s *ShardSet) { s.dailyFloor, s.reportsFloor = daily, reports }
 }
 
-// WithReportsShare sets the largest fraction of a server's slots that
-// reports hold at once.
+// WithReportsShare sets the largest fraction of a server's slots that reports requests may
+// occupy at once.
 func WithReportsShare(f float64) ShardSetOption { return func(s *ShardSet) { s.reportsShare = f } }
 
-// WithHedging sets the latency quantile after which a leaf call is hedged,
-// and the extra calls allowed, as a fraction of first attempts.
+// WithHedging sets the latency quantile after which a leaf call is hedged, and how many extra
+// calls are allowed, as a fraction of first attempts.
 func WithHedging(quantile, budget float64) ShardSetOption {
 	return func(s *ShardSet) { s.hedgeQuantile, s.hedgeBudget = quantile, budget }
 }
 
-// WithColdRamp sets how long a cold server takes to reach its full share.
+// WithColdRamp sets over which time a cold server's share of calls grows to the full one.
 func WithColdRamp(m Millis) ShardSetOption { return func(s *ShardSet) { s.coldRamp = m } }
 
-// WithOwners sets how many VMs of a data centre split the set's slots.
-func WithOwners(n int) ShardSetOption { return func(s *ShardSet) { s.owners = n } }
+// WithOwners sets how many VMs of a data centre own the set and divide its slots among
+// them.
+func WithOwners(n int) ShardSetOption { return func(s *ShardSet) { s.ownerCount = n } }
 
-// NewShardSet returns a checked set, with defaults where no option speaks.
+// NewShardSet returns a validated set, with defaults for the options not given.
 func NewShardSet(name string, opts ...ShardSetOption) (*ShardSet, error) {
 	s := &ShardSet{name: name}
 	s.Defaults()
@@ -92,7 +95,7 @@
 	return s, nil
 }
 
-// Defaults sets every field but name, servers and shards.
+// Defaults sets every field but name, servers and shards to its default.
 func (s *ShardSet) Defaults() {
 	s.epoch = 1
 	s.dailyFloor = DefaultDailyFloor
@@ -101,10 +104,10 @@
 	s.hedgeQuantile = DefaultHedgeQuantile
 	s.hedgeBudget = DefaultHedgeBudget
 	s.coldRamp = DefaultColdRamp
-	s.owners = DefaultOwners
+	s.ownerCount = DefaultOwners
 }
 
-// Validate reports every bad field in an *InvalidError.
+// Validate returns an *InvalidError that lists every invalid field, or nil.
 func (s *ShardSet) Validate() error {
 	var l problemList
 	l.check(ValidName(s.name), "name", s.name, nameAllowed)
@@ -116,7 +119,7 @@
 	l.check(s.hedgeQuantile >= 0.5 && s.hedgeQuantile < 1, "hedge-quantile", s.hedgeQuantile, "at least 0.5 and below 1")
 	l.check(s.hedgeBudget >= 0 && s.hedgeBudget <= MaxHedgeBudget, "hedge-budget", s.hedgeBudget, "0 to 0.25")
 	l.check(s.coldRamp >= 0 && s.coldRamp <= MaxColdRamp, "cold-ramp-ms", s.coldRamp, "0 to 600000")
-	l.check(s.owners >= 1 && s.owners <= MaxOwners, "owners", s.owners, "1 to 64")
+	l.check(s.ownerCount >= 1 && s.ownerCount <= MaxOwners, "owners", s.ownerCount, "1 to 64")
 	names := s.validateServers(&l)
 	s.validateShards(names, &l)
 	return NewInvalidError("set "+s.name, l)
@@ -134,8 +137,8 @@
 	return names
 }
 
-// validateShards checks that the shards divide all key hashes, without gap
-// or overlap.
+// validateShards checks each shard and, if there is no problem so far, that the shards hold
+// every key hash without gaps or overlaps.
 func (s *ShardSet) validateShards(servers map[string]bool, l *problemList) {
 	l.check(len(s.shards) >= 1 && len(s.shards) <= MaxShards, "shards", len(s.shards), "1 to 4096 shards")
 	ids := make(map[string]bool, len(s.shards))
@@ -163,16 +166,16 @@
 	return err == nil && a.Port() > 0
 }
 
-// Name is the name that callers give.
+// Name is the name by which requests select the set.
 func (s *ShardSet) Name() string { return s.name }
 
-// Epoch numbers the shard map.
+// Epoch is the epoch of the shard map.
 func (s *ShardSet) Epoch() Epoch { return s.epoch }
 
 // Servers lists the backend servers.
 func (s *ShardSet) Servers() []Backend { return s.servers }
 
-// Server finds a backend server by name.
+// Server returns the backend server with the given name.
 func (s *ShardSet) Server(name string) (Backend, bool) {
 	i, ok := s.byName[name]
 	if !ok {
@@ -184,7 +187,7 @@
 // Shards lists the shards.
 func (s *ShardSet) Shards() []Shard { return s.shards }
 
-// ShardOf finds the shard that holds a record key.
+// ShardOf returns the shard that holds a record key.
 func (s *ShardSet) ShardOf(key string) Shard {
 	h := HashKey(key)
 	for _, sh := range s.shards {
@@ -195,7 +198,7 @@
 	return Shard{}
 }
 
-// DataCentres lists the data centres of the servers, sorted by name.
+// DataCentres lists the names of the servers' data centres, sorted.
 func (s *ShardSet) DataCentres() []string {
 	seen := map[string]bool{}
 	var out []string
@@ -209,8 +212,8 @@
 	return out
 }
 
-// Floor is the fraction of service that a rank keeps whatever the others
-// ask; the most urgent rank needs none.
+// Floor is the fraction of the servers' slot time that a rank gets however much more urgent
+// work is waiting. It is 0 for the most urgent rank, which is served first anyway.
 func (s *ShardSet) Floor(r Rank) float64 {
 	switch r {
 	case Daily:
@@ -222,18 +225,18 @@
 	}
 }
 
-// ReportsShare is the largest fraction of a server's slots that reports
-// hold at once.
+// ReportsShare is the largest fraction of a server's slots that reports requests may occupy
+// at once.
 func (s *ShardSet) ReportsShare() float64 { return s.reportsShare }
 
 // HedgeQuantile is the latency quantile after which a leaf call is hedged.
 func (s *ShardSet) HedgeQuantile() float64 { return s.hedgeQuantile }
 
-// HedgeBudget is the fraction of first attempts allowed as extra calls.
+// HedgeBudget is how many extra calls are allowed, as a fraction of first attempts.
 func (s *ShardSet) HedgeBudget() float64 { return s.hedgeBudget }
 
-// ColdRamp is how long a cold server takes to reach its full share.
+// ColdRamp is the time over which a cold server's share of calls grows to the full one.
 func (s *ShardSet) ColdRamp() Millis { return s.coldRamp }
 
-// Owners is how many VMs of a data centre split the set's slots.
-func (s *ShardSet) Owners() int { return s.owners }
+// Owners is how many VMs of a data centre own the set and divide its slots among them.
+func (s *ShardSet) Owners() int { return s.ownerCount }
--- a/tier/snapshot.go
+++ b/tier/snapshot.go
@@ -2,13 +2,15 @@
 
 import "fmt"
 
-// Epoch numbers the shard maps of a set; a higher one replaces a lower one.
+// Epoch is the number of a shard map of a set. A map with a higher epoch replaces one with a
+// lower epoch.
 type Epoch uint64
 
-// Version numbers the index versions of a set.
+// Version is the number of an index version, a state of the records of a set.
 type Version uint64
 
-// Snapshot names the one state of a set that an answer reflects.
+// Snapshot identifies the state of a set that an answer reflects: an index version under a
+// shard map.
 type Snapshot struct {
 	epoch   Epoch
 	version Version
@@ -23,5 +25,5 @@
 // Version is the index version.
 func (s Snapshot) Version() Version { return s.version }
 
-// String is the form in answers, such as "3.17".
+// String returns epoch and version as written in answers, such as "3.17".
 func (s Snapshot) String() string { return fmt.Sprintf("%d.%d", s.epoch, s.version) }
--- a/tier/vm.go
+++ b/tier/vm.go
@@ -1,9 +1,9 @@
 package tier
 
-// VMState is what a VM says of itself, or its peers of it.
+// VMState is the membership state of a VM.
 type VMState int
 
-// The states of a VM. Dead is only ever said by peers.
+// The states of a VM. A VM announces the first three itself; only its peers declare it dead.
 const (
 	VMJoining VMState = iota
 	VMLive
@@ -13,7 +13,7 @@
 
 var vmStateNames = [...]string{"joining", "live", "leaving", "dead"}
 
-// String is the state's name in status pages and logs.
+// String returns the state's name, as used in status pages and logs.
 func (s VMState) String() string {
 	if s < VMJoining || s > VMDead {
 		return "unknown"
@@ -21,7 +21,7 @@
 	return vmStateNames[s]
 }
 
-// VM is one entry VM in one of its lives.
+// VM is one incarnation of an entry VM, as a member of the deployment.
 type VM struct {
 	name        string
 	dataCentre  string
@@ -33,14 +33,14 @@
 // VMOption sets one field of a VM.
 type VMOption func(*VM)
 
-// WithIncarnation sets the VM's life.
+// WithIncarnation sets the VM's incarnation.
 func WithIncarnation(i Incarnation) VMOption { return func(v *VM) { v.incarnation = i } }
 
 // WithVMState sets the VM's state.
 func WithVMState(s VMState) VMOption { return func(v *VM) { v.state = s } }
 
-// NewVM returns a joining VM that peers reach at address, an IP number and
-// port.
+// NewVM returns a VM that peers reach at address, an IP address and port. Without options it
+// is joining.
 func NewVM(name, dataCentre, address string, opts ...VMOption) VM {
 	v := VM{name: name, dataCentre: dataCentre, address: address}
 	for _, o := range opts {
@@ -49,22 +49,22 @@
 	return v
 }
 
-// Name is unique among the VMs of a deployment.
+// Name is the VM's name, unique within its deployment.
 func (v VM) Name() string { return v.name }
 
-// DataCentre is the data centre it runs in.
+// DataCentre is the data centre that the VM runs in.
 func (v VM) DataCentre() string { return v.dataCentre }
 
-// Address is where peers reach it, an IP number and port.
+// Address is the IP address and port at which peers reach the VM.
 func (v VM) Address() string { return v.address }
 
-// Incarnation is its life.
+// Incarnation is the VM's incarnation.
 func (v VM) Incarnation() Incarnation { return v.incarnation }
 
-// State is its state.
+// State is the VM's membership state.
 func (v VM) State() VMState { return v.state }
 
-// With returns a copy with options applied.
+// With returns a copy of v with the options applied.
 func (v VM) With(opts ...VMOption) VM {
 	for _, o := range opts {
 		o(&v)
