--- a/tier/measurer/measurer_test.go
+++ b/tier/measurer/measurer_test.go
@@ -13,13 +13,13 @@
 )
 
 var (
-	long = flag.Bool("long", false, "run each scenario for its whole time")
-	only = flag.String("only", "", "run only scenarios whose name or way contains this")
+	long = flag.Bool("long", false, "run each scenario for its full duration")
+	only = flag.String("only", "", "run only scenarios whose name or sharing mode contains this text")
 )
 
-// TestMeasureLoad prints the table of docs/design/load.md with -long -v. It
-// also checks what holds in every scenario.
-func TestMeasureLoad(t *testing.T) {
+// TestScenarios runs all scenarios and checks that an owner never overbooks a server. With
+// -long -v it prints the table of results of docs/design/load.md.
+func TestScenarios(t *testing.T) {
 	out := io.Discard
 	if *long {
 		out = os.Stdout
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	for _, s := range scenarios() {
-		if !strings.Contains(s.name+" "+s.way.String(), *only) {
+		if !strings.Contains(s.name+" "+s.sharing.String(), *only) {
 			continue
 		}
 		if !*long {
@@ -41,99 +41,99 @@
 		if err := r.Print(out); err != nil {
 			t.Fatal(err)
 		}
-		if s.way == Owner && r.Overbooked() > 0 {
+		if s.sharing == Owner && r.Overbooked() > 0 {
 			t.Errorf("%s: an owner overbooked a server by %d", s.name, r.Overbooked())
 		}
 	}
 }
 
-func urgentOnly(load float64) []Option {
+func urgentLoadOnly(load float64) []Option {
 	return []Option{WithLoad(tier.Urgent, load), WithLoad(tier.Daily, 0), WithLoad(tier.Reports, 0), WithDuration(200 * tier.Second)}
 }
 
 func scenarios() []*Scenario {
 	var out []*Scenario
 	for _, load := range []float64{0.2, 0.3, 0.4} {
-		o := func(name string, opts ...Option) {
-			out = append(out, New(fmt.Sprintf("%s, load %.1f", name, load), append(opts, urgentOnly(load)...)...))
+		add := func(name string, opts ...Option) {
+			out = append(out, New(fmt.Sprintf("%s, load %.1f", name, load), append(opts, urgentLoadOnly(load)...)...))
 		}
-		o("no straggler, no hedge", WithHedge(false))
-		o("no straggler, hedge")
-		o("straggler, no hedge", WithStraggler(20), WithHedge(false))
-		o("straggler, hedge", WithStraggler(20))
+		add("no straggler, no hedge", WithHedge(false))
+		add("no straggler, hedge")
+		add("straggler, no hedge", WithStraggler(20), WithHedge(false))
+		add("straggler, hedge", WithStraggler(20))
 	}
-	flood := WithDuration(40 * tier.Second)
-	for _, w := range []Way{Alone, Static, Owner} {
+	floodDuration := WithDuration(40 * tier.Second)
+	for _, sharing := range []Way{Alone, Static, Owner} {
 		out = append(out,
-			New("no flood", flood, WithWay(w)),
-			New("reports flood", flood, WithWay(w), WithLoad(tier.Reports, 10)),
-			New("urgent flood", flood, WithWay(w), WithLoad(tier.Urgent, 10)),
-			New("both floods", flood, WithWay(w), WithLoad(tier.Urgent, 10), WithLoad(tier.Reports, 10)),
+			New("no flood", floodDuration, WithWay(sharing)),
+			New("reports flood", floodDuration, WithWay(sharing), WithLoad(tier.Reports, 10)),
+			New("urgent flood", floodDuration, WithWay(sharing), WithLoad(tier.Urgent, 10)),
+			New("both floods", floodDuration, WithWay(sharing), WithLoad(tier.Urgent, 10), WithLoad(tier.Reports, 10)),
 		)
 	}
 	large := WithShape(Large())
 	return append(out,
-		New("no flood, large set", flood, large),
-		New("reports flood, large set", flood, large, WithLoad(tier.Reports, 10)),
-		New("reports flood, large set, reports share 0.75", flood, large, WithLoad(tier.Reports, 10), WithReportsShare(0.75)),
-		New("urgent flood, large set", flood, large, WithLoad(tier.Urgent, 10)),
-		New("both floods, large set", flood, large, WithLoad(tier.Urgent, 10), WithLoad(tier.Reports, 10)),
-		New("reports flood, reports share 1.0", flood, WithLoad(tier.Reports, 10), WithReportsShare(1)),
-		New("reports flood through one VM", flood, WithLoad(tier.Reports, 10), WithOneEntry()),
-		New("urgent flood, callers leave after 50 ms", flood, WithLoad(tier.Urgent, 10), WithPatience(50)),
-		New("servers shed half of their slots for 10 s of 40", flood, WithShedding(1, 10*tier.Second, 20*tier.Second)),
-		New("servers shed everything for 10 s of 40", flood, WithShedding(2, 10*tier.Second, 20*tier.Second)),
+		New("no flood, large set", floodDuration, large),
+		New("reports flood, large set", floodDuration, large, WithLoad(tier.Reports, 10)),
+		New("reports flood, large set, reports share 0.75", floodDuration, large, WithLoad(tier.Reports, 10), WithReportsShare(0.75)),
+		New("urgent flood, large set", floodDuration, large, WithLoad(tier.Urgent, 10)),
+		New("both floods, large set", floodDuration, large, WithLoad(tier.Urgent, 10), WithLoad(tier.Reports, 10)),
+		New("reports flood, reports share 1.0", floodDuration, WithLoad(tier.Reports, 10), WithReportsShare(1)),
+		New("reports flood through one VM", floodDuration, WithLoad(tier.Reports, 10), WithOneEntry()),
+		New("urgent flood, callers leave after 50 ms", floodDuration, WithLoad(tier.Urgent, 10), WithPatience(50)),
+		New("servers shed half of their slots for 10 s of 40", floodDuration, WithShedding(1, 10*tier.Second, 20*tier.Second)),
+		New("servers shed everything for 10 s of 40", floodDuration, WithShedding(2, 10*tier.Second, 20*tier.Second)),
 	)
 }
 
-// targets are the figures that load.md promises.
-type targets struct {
-	stragglerRatio float64 // p99 with a straggler over p99 without
-	extra          float64 // extra leaf calls for each first one
-	urgentRatio    float64 // urgent p99 in a reports flood over that without
-	urgentRefused  int     // in a reports flood
-	reportsUseful  float64 // in an urgent flood
-	reportsPartial int     // in an urgent flood
-	floodUseful    float64 // of all slot time, in an urgent flood
-	reportsFlood   float64 // of all slot time that is useful in a reports flood
-	overbooked     int
+// figures are the measured figures for which docs/design/load.md states targets.
+type figures struct {
+	stragglerRatio     float64 // urgent p99 with a straggler over that without
+	extraFraction      float64 // extra leaf calls per first attempt
+	urgentRatio        float64 // urgent p99 in a flood of reports over that without
+	urgentRefused      int     // urgent queries, in a flood of reports
+	reportsUseful      float64 // fraction of all slot time, in a flood of urgent queries
+	reportsPartial     int     // reports queries, in a flood of urgent queries
+	urgentFloodUseful  float64 // fraction of all slot time, of all ranks, in a flood of urgent queries
+	reportsFloodUseful float64 // the same in a flood of reports
+	overbooked         int
 }
 
-func measureTargets(t *testing.T, seed uint64, span tier.Millis, way Way, hedge bool, load float64) targets {
+func measureFigures(t *testing.T, seed uint64, duration tier.Millis, sharing Way, hedge bool, load float64) figures {
 	run := func(opts ...Option) *Result {
-		r, err := Run(New("target", append([]Option{WithSeed(seed), WithDuration(span), WithWay(way)}, opts...)...))
+		r, err := Run(New("target", append([]Option{WithSeed(seed), WithDuration(duration), WithWay(sharing)}, opts...)...))
 		if err != nil {
 			t.Fatal(err)
 		}
 		return r
 	}
-	alone := append(urgentOnly(load), WithDuration(4*span), WithHedge(hedge))
-	calm := run(alone...)
-	straggler := run(append(alone, WithStraggler(20))...)
-	base := run()
-	reports := run(WithLoad(tier.Reports, 10))
-	urgent := run(WithLoad(tier.Urgent, 10), WithLoad(tier.Reports, 0.2))
+	urgentOnly := append(urgentLoadOnly(load), WithDuration(4*duration), WithHedge(hedge))
+	noStraggler := run(urgentOnly...)
+	straggler := run(append(urgentOnly, WithStraggler(20))...)
+	noFlood := run()
+	reportsFlood := run(WithLoad(tier.Reports, 10))
+	urgentFlood := run(WithLoad(tier.Urgent, 10), WithLoad(tier.Reports, 0.2))
 	p99 := func(r *Result) float64 { return float64(r.Quantile(tier.Urgent, 0.99)) }
-	return targets{
-		stragglerRatio: p99(straggler) / p99(calm),
-		extra:          straggler.ExtraFraction(),
-		urgentRatio:    p99(reports) / p99(base),
-		urgentRefused:  reports.Refused(tier.Urgent),
-		reportsUseful:  urgent.Useful(tier.Reports),
-		reportsPartial: urgent.Partial(tier.Reports),
-		floodUseful:    urgent.TotalUseful(),
-		reportsFlood:   reports.TotalUseful(),
-		overbooked:     max(reports.Overbooked(), urgent.Overbooked()),
+	return figures{
+		stragglerRatio:     p99(straggler) / p99(noStraggler),
+		extraFraction:      straggler.ExtraFraction(),
+		urgentRatio:        p99(reportsFlood) / p99(noFlood),
+		urgentRefused:      reportsFlood.Refused(tier.Urgent),
+		reportsUseful:      urgentFlood.Useful(tier.Reports),
+		reportsPartial:     urgentFlood.Partial(tier.Reports),
+		urgentFloodUseful:  urgentFlood.TotalUseful(),
+		reportsFloodUseful: reportsFlood.TotalUseful(),
+		overbooked:         max(reportsFlood.Overbooked(), urgentFlood.Overbooked()),
 	}
 }
 
-// missed names the targets that are not met.
-func (m targets) missed() string {
+// missedTargets returns the names of the targets that are not met.
+func (m figures) missedTargets() string {
 	var out []string
 	for name, ok := range map[string]bool{
-		"straggler": m.stragglerRatio <= 1.5, "extra": m.extra <= 0.05, "urgent-p99": m.urgentRatio <= 1.25,
+		"straggler": m.stragglerRatio <= 1.5, "extra": m.extraFraction <= 0.05, "urgent-p99": m.urgentRatio <= 1.25,
 		"urgent-refused": m.urgentRefused == 0, "reports-floor": m.reportsUseful >= tier.DefaultReportsFloor, "reports-finish": m.reportsPartial == 0,
-		"useful": m.floodUseful >= 0.9, "overbooked": m.overbooked == 0,
+		"useful": m.urgentFloodUseful >= 0.9, "overbooked": m.overbooked == 0,
 	} {
 		if !ok {
 			out = append(out, name)
@@ -143,35 +143,35 @@
 	return strings.Join(out, " ")
 }
 
-// TestTargets checks an owner, and sees the check object to VMs by
-// themselves and to a straggler without hedges at a load that queues.
+// TestTargets checks that the mode Owner meets the targets. To show that the check can fail, it
+// also expects the mode Alone without hedging, at a load that makes calls queue, to miss them.
 func TestTargets(t *testing.T) {
-	seeds, span := uint64(1), 10*tier.Second
+	seeds, duration := uint64(1), 10*tier.Second
 	if *long {
-		seeds, span = 5, 40*tier.Second
+		seeds, duration = 5, 40*tier.Second
 	}
 	for seed := uint64(1); seed <= seeds; seed++ {
-		m := measureTargets(t, seed, span, Owner, true, 0.3)
+		m := measureFigures(t, seed, duration, Owner, true, 0.3)
 		t.Logf("seed %d: %+v", seed, m)
-		if s := m.missed(); s != "" {
-			t.Errorf("seed %d missed %s", seed, s)
+		if s := m.missedTargets(); s != "" {
+			t.Errorf("seed %d missed the targets %s", seed, s)
 		}
 	}
-	broken := measureTargets(t, 1, 5*tier.Second, Alone, false, 0.4)
-	t.Logf("alone: %+v", broken)
-	if s := broken.missed(); s != "overbooked reports-floor straggler urgent-p99 urgent-refused" {
-		t.Errorf("VMs by themselves missed %q", s)
+	alone := measureFigures(t, 1, 5*tier.Second, Alone, false, 0.4)
+	t.Logf("alone: %+v", alone)
+	if s := alone.missedTargets(); s != "overbooked reports-floor straggler urgent-p99 urgent-refused" {
+		t.Errorf("the mode Alone missed the targets %q", s)
 	}
 }
 
-// TestRetryAfterMeansSomething lets a burst of daily work come, three times
-// what the servers take. Those refused come again at most three times: most
-// are accepted if they wait as told, and half if they don't.
-func TestRetryAfterMeansSomething(t *testing.T) {
+// TestRetryAfterSpreadsRetries simulates a burst of daily work of three times what the servers
+// can handle. Refused queries are retried up to three times. In the end most queries are
+// accepted if callers wait for the retry-after time, and about half if they retry at once.
+func TestRetryAfterSpreadsRetries(t *testing.T) {
 	for _, c := range []struct {
 		impatient bool
-		least     float64
-		most      float64
+		minimum   float64
+		maximum   float64
 	}{{false, 0.75, 1}, {true, 0, 0.6}} {
 		r, err := Run(New("burst", WithDuration(10*tier.Second), WithBurst(2*tier.Second), WithReturns(3, c.impatient)))
 		if err != nil {
@@ -179,9 +179,9 @@
 		}
 		n := r.Offered(tier.Daily)
 		accepted := 1 - float64(r.Refused(tier.Daily))/float64(n)
-		t.Logf("impatient %v: %d queries came again %d times, %.3f accepted, %d partial", c.impatient, n, r.Returned(tier.Daily), accepted, r.Partial(tier.Daily))
-		if accepted < c.least || accepted > c.most {
-			t.Errorf("impatient %v: %.3f accepted", c.impatient, accepted)
+		t.Logf("impatient %v: %d queries were retried %d times, %.3f accepted, %d partial", c.impatient, n, r.Returned(tier.Daily), accepted, r.Partial(tier.Daily))
+		if accepted < c.minimum || accepted > c.maximum {
+			t.Errorf("impatient %v: a fraction of %.3f was accepted", c.impatient, accepted)
 		}
 	}
 }
--- a/tier/measurer/run.go
+++ b/tier/measurer/run.go
@@ -13,172 +13,177 @@
 	"cicadagrade.example/tier/dispatcher"
 )
 
-// publishInterval is how often fronts hear an owner's threshold.
+// publishInterval is the interval at which an owner publishes its admission threshold to
+// fronts.
 const publishInterval = 100 * tier.Millis(1)
 
-// burstFactor is by how much more daily work comes in a burst.
+// burstFactor is the factor on the arrival rate of daily queries during a burst.
 const burstFactor = 10
 
-// query is one query from its arrival to its end.
+// query is a search as its caller sees it, including retries.
 type query struct {
 	id      uint64
 	rank    tier.Rank
 	arrived tier.Millis
-	returns int // times that it came again after a refusal
+	retries int // after refusals
 }
 
-// happening is something due in simulated time: an arrival of a rank, the
-// end of a job, or a publication.
-type happening struct {
-	at    tier.Millis
-	order int
-	rank  tier.Rank
-	job   *job
-	on    *server
-	kind  happeningKind
-	entry int
-	query uint64
-	shed  int
+// event is something that happens at a point in simulated time. Which fields are set depends
+// on its kind.
+type event struct {
+	at            tier.Millis
+	sequence      int
+	rank          tier.Rank
+	job           *job
+	server        *server
+	kind          eventKind
+	entryVM       int
+	query         uint64
+	sheddingSlots int
 }
 
-type happeningKind int
+// eventKind says what happens at an event.
+type eventKind int
 
 const (
-	arrival happeningKind = iota
-	jobEnd
-	publication
-	comeback  // of a refused query
-	refusal   // of a job that its server shed
-	departure // of a caller
-	shedding
+	arrival eventKind = iota
+	jobEnded
+	thresholdPublished
+	retry    // of a refused query
+	callShed // the reply to a call that a server shed
+	callerLeft
+	sheddingChanged
 )
 
-type run struct {
-	scenario    *Scenario
-	random      *rand.Rand
-	now         tier.Millis
-	due         happenings
-	order       int
-	profiles    [len(tier.Ranks)]*tier.Profile
-	dispatchers []*dispatcher.Dispatcher
-	servers     map[string]*server
-	shards      []string
-	jobs        []map[uint64]*job // by dispatcher and attempt
-	on          map[*job]*server
-	queries     map[uint64]*query
-	fronts      []*admitter.Admitter
-	published   admitter.ReceivedThreshold
-	result      *Result
+// simulation is one run of a scenario.
+type simulation struct {
+	scenario     *Scenario
+	random       *rand.Rand
+	now          tier.Millis
+	events       eventQueue
+	lastSequence int
+	profiles     [len(tier.Ranks)]*tier.Profile
+	dispatchers  []*dispatcher.Dispatcher
+	servers      map[string]*server
+	shards       []string
+	jobs         []map[uint64]*job // by dispatcher and attempt number
+	serverOf     map[*job]*server
+	queries      map[uint64]*query
+	fronts       []*admitter.Admitter
+	published    admitter.ReceivedThreshold
+	result       *Result
 }
 
-// Run measures a scenario.
+// Run simulates a scenario and returns its figures.
 func Run(s *Scenario) (*Result, error) {
 	if err := s.Validate(); err != nil {
 		return nil, errors.Wrap(err, "Run")
 	}
-	r := &run{
+	sm := &simulation{
 		scenario: s, random: rand.New(rand.NewPCG(s.seed, 2)), servers: map[string]*server{},
-		on: map[*job]*server{}, queries: map[uint64]*query{}, result: newResult(s),
+		serverOf: map[*job]*server{}, queries: map[uint64]*query{}, result: newResult(s),
 	}
-	if err := r.build(); err != nil {
+	if err := sm.setUp(); err != nil {
 		return nil, errors.Wrap(err, "Run")
 	}
-	r.loop()
-	r.finish()
-	return r.result, nil
+	sm.runEvents()
+	sm.collectCounters()
+	return sm.result, nil
 }
 
-func (r *run) build() error {
-	set, err := r.scenario.set()
+func (sm *simulation) setUp() error {
+	set, err := sm.scenario.shardSet()
 	if err != nil {
 		return err
 	}
 	for _, b := range set.Servers() {
-		r.servers[b.Name()] = &server{slots: r.scenario.shape.slots, factor: 1}
+		sm.servers[b.Name()] = &server{slots: sm.scenario.shape.slots, slowdown: 1}
 	}
-	r.servers[serverName(0)].factor = r.scenario.straggler
+	sm.servers[serverName(0)].slowdown = sm.scenario.straggler
 	for _, h := range set.Shards() {
-		r.shards = append(r.shards, h.ID())
+		sm.shards = append(sm.shards, h.ID())
 	}
 	for _, k := range tier.Ranks {
-		if r.profiles[k], err = r.scenario.profile(k); err != nil {
+		if sm.profiles[k], err = sm.scenario.profile(k); err != nil {
 			return err
 		}
 	}
-	r.start(set)
+	sm.startDispatchers(set)
 	return nil
 }
 
-func (r *run) start(set *tier.ShardSet) {
+func (sm *simulation) startDispatchers(set *tier.ShardSet) {
 	n := entryVMs
-	if r.scenario.way == Owner {
+	if sm.scenario.sharing == Owner {
 		n = 1
 	}
 	for i := range n {
-		d := dispatcher.New(set, "here", dispatcher.WithSeed(r.scenario.seed+uint64(i)), dispatcher.WithTakeoverDelay(0))
-		r.dispatchers = append(r.dispatchers, d)
-		r.jobs = append(r.jobs, map[uint64]*job{})
+		d := dispatcher.New(set, "here", dispatcher.WithSeed(sm.scenario.seed+uint64(i)), dispatcher.WithTakeoverDelay(0))
+		sm.dispatchers = append(sm.dispatchers, d)
+		sm.jobs = append(sm.jobs, map[uint64]*job{})
 		for _, b := range set.Servers() {
-			r.act(i, d.Step(0, dispatcher.NewBackendChanged(b.Name(), tier.BackendLive)))
+			sm.perform(i, d.Step(0, dispatcher.NewBackendChanged(b.Name(), tier.BackendLive)))
 		}
 	}
 	for range entryVMs {
-		r.fronts = append(r.fronts, admitter.New())
+		sm.fronts = append(sm.fronts, admitter.New())
 	}
 	for _, k := range tier.Ranks {
-		r.plan(k)
+		sm.scheduleArrival(k)
 	}
-	if s := r.scenario; s.sheddingTo > 0 {
-		r.add(happening{at: s.sheddingFrom, kind: shedding, shed: s.shedSlots})
-		r.add(happening{at: s.sheddingTo, kind: shedding})
+	if s := sm.scenario; s.sheddingTo > 0 {
+		sm.addEvent(event{at: s.sheddingFrom, kind: sheddingChanged, sheddingSlots: s.sheddingSlots})
+		sm.addEvent(event{at: s.sheddingTo, kind: sheddingChanged})
 	}
-	if r.scenario.way == Owner {
-		r.add(happening{at: publishInterval, kind: publication})
+	if sm.scenario.sharing == Owner {
+		sm.addEvent(event{at: publishInterval, kind: thresholdPublished})
 	}
 }
 
-func (r *run) add(h happening) {
-	r.order++
-	h.order = r.order
-	heap.Push(&r.due, h)
+func (sm *simulation) addEvent(h event) {
+	sm.lastSequence++
+	h.sequence = sm.lastSequence
+	heap.Push(&sm.events, h)
 }
 
-// plan sets the next arrival of a rank.
-func (r *run) plan(k tier.Rank) {
-	if r.scenario.loads[k] == 0 {
+// scheduleArrival schedules the next arrival of a query of a rank, unless it is after the end
+// of arrivals.
+func (sm *simulation) scheduleArrival(k tier.Rank) {
+	if sm.scenario.loads[k] == 0 {
 		return
 	}
-	gap := r.scenario.gap(k)
-	if k == tier.Daily && r.now < r.scenario.burst {
+	gap := sm.scenario.meanInterarrival(k)
+	if k == tier.Daily && sm.now < sm.scenario.burstDuration {
 		gap /= burstFactor
 	}
-	at := r.now + tier.Millis(math.Round(r.random.ExpFloat64()*gap))
-	if at <= r.scenario.duration {
-		r.add(happening{at: at, rank: k, kind: arrival})
+	at := sm.now + tier.Millis(math.Round(sm.random.ExpFloat64()*gap))
+	if at <= sm.scenario.duration {
+		sm.addEvent(event{at: at, rank: k, kind: arrival})
 	}
 }
 
-// loop runs until nothing is due.
-func (r *run) loop() {
+// runEvents handles events and dispatcher ticks in order of time until there are none left, or
+// until the deadlines of the last queries are long past.
+func (sm *simulation) runEvents() {
 	for {
-		i, at, ok := r.nextTick()
-		if len(r.due) > 0 && (!ok || r.due[0].at <= at) {
-			h := heap.Pop(&r.due).(happening)
-			r.now = h.at
-			r.happen(h)
+		i, at, ok := sm.nextTick()
+		if len(sm.events) > 0 && (!ok || sm.events[0].at <= at) {
+			h := heap.Pop(&sm.events).(event)
+			sm.now = h.at
+			sm.handle(h)
 			continue
 		}
-		if !ok || r.now > r.scenario.duration+2*deadlines[tier.Reports] {
+		if !ok || sm.now > sm.scenario.duration+2*deadlines[tier.Reports] {
 			return
 		}
-		r.now = max(r.now, at)
-		r.act(i, r.dispatchers[i].Step(r.now, &dispatcher.Tick{}))
+		sm.now = max(sm.now, at)
+		sm.perform(i, sm.dispatchers[i].Step(sm.now, &dispatcher.Tick{}))
 	}
 }
 
-func (r *run) nextTick() (int, tier.Millis, bool) {
+func (sm *simulation) nextTick() (int, tier.Millis, bool) {
 	first, at, found := 0, tier.Millis(0), false
-	for i, d := range r.dispatchers {
+	for i, d := range sm.dispatchers {
 		if t, ok := d.NextTick(); ok && (!found || t < at) {
 			first, at, found = i, t, true
 		}
@@ -186,184 +191,186 @@
 	return first, at, found
 }
 
-func (r *run) happen(h happening) {
+func (sm *simulation) handle(h event) {
 	switch h.kind {
 	case arrival:
-		r.plan(h.rank)
-		r.arrive(h.rank)
-	case jobEnd:
+		sm.scheduleArrival(h.rank)
+		sm.addQuery(h.rank)
+	case jobEnded:
 		if !h.job.ended {
-			r.end(h.job, h.on, &dispatcher.ReplyOK{})
+			sm.endJob(h.job, h.server, &dispatcher.ReplyOK{})
 		}
-	case comeback:
-		r.ask(r.queries[h.query])
-	case refusal:
+	case retry:
+		sm.submit(sm.queries[h.query])
+	case callShed:
 		e := dispatcher.NewCallEnded(h.job.attempt, dispatcher.NewReplyNotRun(dispatcher.NotRunShed))
-		r.act(h.job.entry, r.dispatchers[h.job.entry].Step(r.now, e))
-	case departure:
-		r.act(h.entry, r.dispatchers[h.entry].Step(r.now, dispatcher.NewCancelled(h.query)))
-	case shedding:
-		for _, s := range r.servers {
-			s.shed = h.shed
+		sm.perform(h.job.entryVM, sm.dispatchers[h.job.entryVM].Step(sm.now, e))
+	case callerLeft:
+		sm.perform(h.entryVM, sm.dispatchers[h.entryVM].Step(sm.now, dispatcher.NewCancelled(h.query)))
+	case sheddingChanged:
+		for _, s := range sm.servers {
+			s.shedSlots = h.sheddingSlots
 		}
-	case publication:
-		r.published = admitter.NewReceivedThreshold(r.dispatchers[0].Status().Threshold(), r.now)
-		if r.now < r.scenario.duration {
-			r.add(happening{at: r.now + publishInterval, kind: publication})
+	case thresholdPublished:
+		sm.published = admitter.NewReceivedThreshold(sm.dispatchers[0].Status().Threshold(), sm.now)
+		if sm.now < sm.scenario.duration {
+			sm.addEvent(event{at: sm.now + publishInterval, kind: thresholdPublished})
 		}
 	}
 }
 
-// arrive lets a query come to an entry VM.
-func (r *run) arrive(k tier.Rank) {
-	id := uint64(len(r.queries) + 1)
-	q := &query{id: id, rank: k, arrived: r.now}
-	r.queries[id] = q
-	r.result.ranks[k].offered++
-	r.ask(q)
+// addQuery creates a query and submits it.
+func (sm *simulation) addQuery(k tier.Rank) {
+	id := uint64(len(sm.queries) + 1)
+	q := &query{id: id, rank: k, arrived: sm.now}
+	sm.queries[id] = q
+	sm.result.ranks[k].offered++
+	sm.submit(q)
 }
 
-// ask sends a query to an entry VM, and from there to its owner.
-func (r *run) ask(q *query) {
+// submit sends a query to an entry VM. In the mode Owner, that VM refuses it by the published
+// threshold or passes it to the owner.
+func (sm *simulation) submit(q *query) {
 	k := q.rank
-	entry := 0
-	if !r.scenario.oneEntry {
-		entry = r.random.IntN(entryVMs)
-	}
-	if r.scenario.way == Owner {
-		if after, ok := r.fronts[entry].Admit(r.now, k, r.published); !ok && r.published != (admitter.ReceivedThreshold{}) {
-			r.result.ranks[k].atFront++
-			r.refused(q, after)
+	entryVM := 0
+	if !sm.scenario.singleEntryVM {
+		entryVM = sm.random.IntN(entryVMs)
+	}
+	if sm.scenario.sharing == Owner {
+		if retryAfter, ok := sm.fronts[entryVM].Admit(sm.now, k, sm.published); !ok && sm.published != (admitter.ReceivedThreshold{}) {
+			sm.result.ranks[k].refusedByFront++
+			sm.retryOrRefuse(q, retryAfter)
 			return
 		}
-		entry = 0
+		entryVM = 0
 	}
-	if r.scenario.patience > 0 {
-		r.add(happening{at: r.now + r.scenario.patience, kind: departure, entry: entry, query: q.id})
+	if sm.scenario.callerTimeout > 0 {
+		sm.addEvent(event{at: sm.now + sm.scenario.callerTimeout, kind: callerLeft, entryVM: entryVM, query: q.id})
 	}
-	e := dispatcher.NewSubmit(q.id, r.profiles[k], r.now+deadlines[k], r.shards)
-	r.act(entry, r.dispatchers[entry].Step(r.now, e))
+	e := dispatcher.NewSubmit(q.id, sm.profiles[k], sm.now+deadlines[k], sm.shards)
+	sm.perform(entryVM, sm.dispatchers[entryVM].Step(sm.now, e))
 }
 
-// refused lets a query come again after the time it was told, or ends it.
-func (r *run) refused(q *query, after tier.Millis) {
-	if q.returns == r.scenario.returns {
-		r.result.ranks[q.rank].refused++
+// retryOrRefuse schedules the retry of a refused query, or counts it as refused if it has no
+// retries left.
+func (sm *simulation) retryOrRefuse(q *query, retryAfter tier.Millis) {
+	if q.retries == sm.scenario.maxRetries {
+		sm.result.ranks[q.rank].refused++
 		return
 	}
-	q.returns++
-	r.result.ranks[q.rank].returned++
-	if r.scenario.impatient {
-		after = 1
+	q.retries++
+	sm.result.ranks[q.rank].retries++
+	if sm.scenario.impatient {
+		retryAfter = 1
 	}
-	r.add(happening{at: r.now + after, kind: comeback, query: q.id})
+	sm.addEvent(event{at: sm.now + retryAfter, kind: retry, query: q.id})
 }
 
-func (r *run) act(entry int, actions []dispatcher.Action) {
+func (sm *simulation) perform(entryVM int, actions []dispatcher.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case *dispatcher.Call:
-			r.call(entry, a)
+			sm.startCall(entryVM, a)
 		case *dispatcher.CancelCall:
-			r.cancel(entry, a.Attempt())
+			sm.cancelCall(entryVM, a.Attempt())
 		case *dispatcher.PartDone:
-			r.done(entry, a)
+			sm.recordAnswer(entryVM, a)
 		case *dispatcher.PartRefused:
 			if a.Reason() == tier.RefuseCallerGone {
-				r.result.ranks[r.queries[a.Part()].rank].gone++
+				sm.result.ranks[sm.queries[a.Part()].rank].abandoned++
 				continue
 			}
-			r.refused(r.queries[a.Part()], a.RetryAfter())
+			sm.retryOrRefuse(sm.queries[a.Part()], a.RetryAfter())
 		default:
 			panic(fmt.Sprintf("unexpected action %T", a))
 		}
 	}
 }
 
-func (r *run) call(entry int, c *dispatcher.Call) {
-	s := r.servers[c.Server()]
-	k := r.queries[c.Part()].rank
-	took := (fixedTime + randomTime*r.random.ExpFloat64()) * leafTimes[k] * s.factor
-	j := &job{entry: entry, attempt: c.Attempt(), took: tier.Millis(math.Round(took)), rank: k}
-	r.jobs[entry][j.attempt] = j
+func (sm *simulation) startCall(entryVM int, c *dispatcher.Call) {
+	s := sm.servers[c.Server()]
+	k := sm.queries[c.Part()].rank
+	serviceTime := (fixedServiceTime + meanRandomServiceTime*sm.random.ExpFloat64()) * serviceTimeFactors[k] * s.slowdown
+	j := &job{entryVM: entryVM, attempt: c.Attempt(), serviceTime: tier.Millis(math.Round(serviceTime)), rank: k}
+	sm.jobs[entryVM][j.attempt] = j
 	if s.sheds() {
 		j.ended = true
-		r.add(happening{at: r.now, kind: refusal, job: j})
+		sm.addEvent(event{at: sm.now, kind: callShed, job: j})
 		return
 	}
-	r.on[j] = s
-	r.begin(s.arrive(j), s)
+	sm.serverOf[j] = s
+	sm.scheduleJobEnd(s.addJob(j), s)
 }
 
-func (r *run) begin(j *job, s *server) {
+func (sm *simulation) scheduleJobEnd(j *job, s *server) {
 	if j != nil {
-		r.add(happening{at: r.now + j.took, kind: jobEnd, job: j, on: s})
+		sm.addEvent(event{at: sm.now + j.serviceTime, kind: jobEnded, job: j, server: s})
 	}
 }
 
-// cancel ends a job at once; its dispatcher hears of it.
-func (r *run) cancel(entry int, attempt uint64) {
-	if j := r.jobs[entry][attempt]; j != nil && !j.ended {
-		r.end(j, r.on[j], &dispatcher.ReplyFailed{})
+// cancelCall ends the job of a call at once and reports the call as failed to its dispatcher.
+func (sm *simulation) cancelCall(entryVM int, attempt uint64) {
+	if j := sm.jobs[entryVM][attempt]; j != nil && !j.ended {
+		sm.endJob(j, sm.serverOf[j], &dispatcher.ReplyFailed{})
 	}
 }
 
-func (r *run) end(j *job, s *server, result dispatcher.Result) {
-	r.begin(s.leave(r.now, j), s)
-	delete(r.on, j)
-	r.act(j.entry, r.dispatchers[j.entry].Step(r.now, dispatcher.NewCallEnded(j.attempt, result)))
+func (sm *simulation) endJob(j *job, s *server, result dispatcher.Result) {
+	sm.scheduleJobEnd(s.endJob(sm.now, j), s)
+	delete(sm.serverOf, j)
+	sm.perform(j.entryVM, sm.dispatchers[j.entryVM].Step(sm.now, dispatcher.NewCallEnded(j.attempt, result)))
 }
 
-func (r *run) done(entry int, a *dispatcher.PartDone) {
-	q := r.queries[a.Part()]
-	k := &r.result.ranks[q.rank]
-	if p := r.scenario.patience; p > 0 && r.now >= q.arrived+p {
-		k.gone++
+func (sm *simulation) recordAnswer(entryVM int, a *dispatcher.PartDone) {
+	q := sm.queries[a.Part()]
+	k := &sm.result.ranks[q.rank]
+	if p := sm.scenario.callerTimeout; p > 0 && sm.now >= q.arrived+p {
+		k.abandoned++
 		return
 	}
 	if len(a.Misses()) > 0 {
 		k.partial++
 		return
 	}
-	k.latencies = append(k.latencies, r.now-q.arrived)
+	k.latencies = append(k.latencies, sm.now-q.arrived)
 	for _, w := range a.Winners() {
-		if j := r.jobs[entry][w.Attempt()]; j.at <= r.scenario.duration {
-			k.useful += j.took
+		if j := sm.jobs[entryVM][w.Attempt()]; j.endedAt <= sm.scenario.duration {
+			k.usefulSlotTime += j.serviceTime
 		}
 	}
 }
 
-func (r *run) finish() {
-	for _, d := range r.dispatchers {
+func (sm *simulation) collectCounters() {
+	for _, d := range sm.dispatchers {
 		c := d.Status().Counters()
-		r.result.calls += c.Calls()
-		r.result.extra += c.ExtraCalls()
-		r.result.shed += c.NotRunCalls()
+		sm.result.calls += c.Calls()
+		sm.result.extraCalls += c.ExtraCalls()
+		sm.result.shedCalls += c.NotRunCalls()
 	}
-	for _, s := range r.servers {
-		r.result.overbooked = max(r.result.overbooked, s.most)
+	for _, s := range sm.servers {
+		sm.result.overbooked = max(sm.result.overbooked, s.maxExcess)
 	}
 }
 
-// happenings is a heap ordered by time, then by order of adding.
-type happenings []happening
+// eventQueue is a heap of events ordered by time, and by the order in which they were added.
+type eventQueue []event
 
-func (h happenings) Len() int { return len(h) }
+func (h eventQueue) Len() int { return len(h) }
 
-func (h happenings) Less(i, j int) bool {
+func (h eventQueue) Less(i, j int) bool {
 	if h[i].at != h[j].at {
 		return h[i].at < h[j].at
 	}
-	return h[i].order < h[j].order
+	return h[i].sequence < h[j].sequence
 }
 
-func (h happenings) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h eventQueue) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push is for container/heap.
-func (h *happenings) Push(x any) { *h = append(*h, x.(happening)) }
+// Push implements heap.Interface.
+func (h *eventQueue) Push(x any) { *h = append(*h, x.(event)) }
 
-// Pop is for container/heap.
-func (h *happenings) Pop() any {
+// Pop implements heap.Interface.
+func (h *eventQueue) Pop() any {
 	last := len(*h) - 1
 	x := (*h)[last]
 	*h = (*h)[:last]
--- a/tier/measurer/scenario.go
+++ b/tier/measurer/scenario.go
@@ -1,6 +1,6 @@
-// Package measurer measures the policy under load: it drives dispatchers
-// against modelled backend servers in simulated time and reports latency and
-// useful work by rank. Equal scenarios give equal figures.
+// Package measurer simulates load to measure the scheduling policy: it drives dispatchers
+// against modelled backend servers in simulated time and reports latency and useful work by
+// rank. It is deterministic: equal scenarios give equal figures.
 package measurer
 
 import (
@@ -13,24 +13,24 @@
 // Way is how the entry VMs of a data centre share its backend servers.
 type Way int
 
-// The ways.
+// The sharing modes.
 const (
-	Alone  Way = iota // each VM by itself, without ranks, up to its share of the connections
-	Static            // each VM by itself with a fixed share of the slots, at least one
-	Owner             // one owner counts the slots, and fronts apply its thresholds
+	Alone  Way = iota // each VM schedules by itself and without ranks, up to its share of the connections
+	Static            // each VM schedules by itself, with a fixed share of the slots and at least one
+	Owner             // one VM schedules all slots, and fronts apply its admission thresholds
 )
 
-// String is the way's name in tables.
+// String returns the mode's name, as used in tables.
 func (w Way) String() string { return [...]string{"alone", "static", "owner"}[w] }
 
 // The modelled data centre.
 const (
-	entryVMs   = 7
-	fixedTime  = 8.0 // of a leaf call, in milliseconds
-	randomTime = 4.0 // mean of the exponential rest
+	entryVMs              = 7
+	fixedServiceTime      = 8.0 // in milliseconds; part of every leaf call's service time
+	meanRandomServiceTime = 4.0 // in milliseconds; the rest is exponentially distributed
 )
 
-// Shape is the size of a shard set. Each shard has two replicas.
+// Shape is the size of a shard set and of its servers. Each shard has two replicas.
 type Shape struct {
 	shards      int
 	servers     int
@@ -38,17 +38,18 @@
 	connections int
 }
 
-// Small is a set such as portao: twenty shards, each on its own two servers.
+// Small is sized like the set portao: twenty shards, each on two servers of its own.
 func Small() Shape { return Shape{shards: 20, servers: 40, slots: 2, connections: 25} }
 
-// Large is a set such as contas: fourteen shards on seven larger servers.
+// Large is sized like the set contas: fourteen shards on seven servers with more slots.
 func Large() Shape { return Shape{shards: 14, servers: 7, slots: 4, connections: 100} }
 
-// all is every slot of the set.
-func (s Shape) all() int { return s.servers * s.slots }
+// totalSlots is the number of slots of all servers.
+func (s Shape) totalSlots() int { return s.servers * s.slots }
 
-// replicas are the servers of a shard: its own two, or two neighbours.
-func (s Shape) replicas(i int) []string {
+// replicasOf returns the servers of a shard: two of its own if there are enough, and otherwise
+// two adjacent ones that it shares with other shards.
+func (s Shape) replicasOf(i int) []string {
 	first := i % s.servers
 	if s.servers == 2*s.shards {
 		first = 2 * i
@@ -56,84 +57,85 @@
 	return []string{serverName(first), serverName((first + 1) % s.servers)}
 }
 
-// leafTimes is the factor on leaf service time by rank.
-var leafTimes = [len(tier.Ranks)]float64{1, 1, 2}
+// serviceTimeFactors are the factors on the service time of leaf calls, by rank.
+var serviceTimeFactors = [len(tier.Ranks)]float64{1, 1, 2}
 
-// deadlines are those of the queries of a rank.
+// deadlines are the deadlines of queries, by rank, from their arrival on.
 var deadlines = [len(tier.Ranks)]tier.Millis{300, 1 * tier.Second, 5 * tier.Second}
 
-// Scenario is one run.
+// Scenario describes one run of the simulation.
 type Scenario struct {
-	name         string
-	seed         uint64
-	way          Way
-	shape        Shape
-	duration     tier.Millis
-	loads        [len(tier.Ranks)]float64 // as fractions of all slots
-	straggler    float64                  // factor on one server's service times
-	hedge        bool
-	oneEntry     bool        // all queries come through one VM
-	reportsShare float64     // of a server's slots
-	patience     tier.Millis // after which callers go away, or 0
-	returns      int         // times that a refused query comes again
-	impatient    bool        // it comes again after 1 ms rather than the time told
-	burst        tier.Millis // how long daily work comes ten times as often
-	shedSlots    int         // of each server, for which it sheds calls
-	sheddingFrom tier.Millis
-	sheddingTo   tier.Millis
+	name          string
+	seed          uint64
+	sharing       Way
+	shape         Shape
+	duration      tier.Millis
+	loads         [len(tier.Ranks)]float64 // as fractions of all slot time
+	straggler     float64                  // factor on one server's service times
+	hedge         bool
+	singleEntryVM bool        // all queries arrive at one VM
+	reportsShare  float64     // largest fraction of a server's slots
+	callerTimeout tier.Millis // after which callers leave, or 0 for never
+	maxRetries    int         // of a refused query
+	impatient     bool        // retries come after 1 ms instead of the retry-after time
+	burstDuration tier.Millis // duration, from the start, of a tenfold rate of daily queries
+	sheddingSlots int         // slots of each server for which it sheds calls
+	sheddingFrom  tier.Millis
+	sheddingTo    tier.Millis
 }
 
-// Option sets one thing of a scenario.
+// Option sets one parameter of a scenario.
 type Option func(*Scenario)
 
-// WithSeed seeds arrivals and service times.
+// WithSeed sets the seed of arrivals and service times.
 func WithSeed(seed uint64) Option { return func(s *Scenario) { s.seed = seed } }
 
-// WithWay sets how the VMs share the servers.
-func WithWay(w Way) Option { return func(s *Scenario) { s.way = w } }
+// WithWay sets how the entry VMs share the servers.
+func WithWay(w Way) Option { return func(s *Scenario) { s.sharing = w } }
 
 // WithShape sets the size of the shard set.
 func WithShape(h Shape) Option { return func(s *Scenario) { s.shape = h } }
 
-// WithDuration sets how long queries arrive.
+// WithDuration sets for how long queries arrive.
 func WithDuration(m tier.Millis) Option { return func(s *Scenario) { s.duration = m } }
 
-// WithLoad sets what a rank asks for, as a fraction of all slot time.
+// WithLoad sets the work that queries of a rank bring, as a fraction of all slot time.
 func WithLoad(r tier.Rank, fraction float64) Option {
 	return func(s *Scenario) { s.loads[r] = fraction }
 }
 
-// WithStraggler makes one server slower by a factor.
+// WithStraggler multiplies the service times of one server by a factor.
 func WithStraggler(factor float64) Option { return func(s *Scenario) { s.straggler = factor } }
 
 // WithHedge allows or forbids hedged calls.
 func WithHedge(on bool) Option { return func(s *Scenario) { s.hedge = on } }
 
-// WithOneEntry sends all queries through one VM.
-func WithOneEntry() Option { return func(s *Scenario) { s.oneEntry = true } }
+// WithOneEntry makes all queries arrive at one VM.
+func WithOneEntry() Option { return func(s *Scenario) { s.singleEntryVM = true } }
 
-// WithReportsShare sets the slots that reports may hold at once.
+// WithReportsShare sets the largest fraction of a server's slots that reports may occupy at
+// once.
 func WithReportsShare(f float64) Option { return func(s *Scenario) { s.reportsShare = f } }
 
-// WithPatience makes every caller go away after a time without an answer.
-func WithPatience(m tier.Millis) Option { return func(s *Scenario) { s.patience = m } }
+// WithPatience makes every caller leave that has no answer after a time.
+func WithPatience(m tier.Millis) Option { return func(s *Scenario) { s.callerTimeout = m } }
 
-// WithReturns makes refused queries come again, a number of times, after the
-// time they were told, or after 1 ms if they are impatient.
+// WithReturns makes callers retry a refused query up to n times, after the retry-after time
+// that they were given, or after 1 ms if they are impatient.
 func WithReturns(n int, impatient bool) Option {
-	return func(s *Scenario) { s.returns, s.impatient = n, impatient }
+	return func(s *Scenario) { s.maxRetries, s.impatient = n, impatient }
 }
 
-// WithBurst makes daily work come ten times as often at first.
-func WithBurst(span tier.Millis) Option { return func(s *Scenario) { s.burst = span } }
+// WithBurst makes daily queries arrive at ten times their rate for a time from the start on.
+func WithBurst(m tier.Millis) Option { return func(s *Scenario) { s.burstDuration = m } }
 
-// WithShedding makes every server shed calls for a number of its slots during
-// a span of time.
+// WithShedding makes every server shed calls for a number of its slots between two points in
+// time.
 func WithShedding(slots int, from, to tier.Millis) Option {
-	return func(s *Scenario) { s.shedSlots, s.sheddingFrom, s.sheddingTo = slots, from, to }
+	return func(s *Scenario) { s.sheddingSlots, s.sheddingFrom, s.sheddingTo = slots, from, to }
 }
 
-// New returns a scenario with defaults where no option speaks.
+// New returns a scenario, with defaults for the options not given.
 func New(name string, opts ...Option) *Scenario {
 	s := &Scenario{name: name}
 	s.Defaults()
@@ -143,10 +145,11 @@
 	return s
 }
 
-// Defaults sets a load of six tenths of all slots, with an owner.
+// Defaults sets every field but the name to its default: a small set with an owner, and work
+// for six tenths of all slot time.
 func (s *Scenario) Defaults() {
 	s.seed = 1
-	s.way = Owner
+	s.sharing = Owner
 	s.shape = Small()
 	s.duration = 20 * tier.Second
 	s.loads = [...]float64{0.2, 0.3, 0.1}
@@ -155,7 +158,7 @@
 	s.reportsShare = tier.DefaultReportsShare
 }
 
-// Validate reports every bad field in a *tier.InvalidError.
+// Validate returns a *tier.InvalidError that lists every invalid field, or nil.
 func (s *Scenario) Validate() error {
 	var problems []tier.FieldProblem
 	if s.duration < tier.Second {
@@ -172,26 +175,27 @@
 	return tier.NewInvalidError("scenario "+s.name, problems)
 }
 
-// Name is the scenario's name in tables.
+// Name is the scenario's name, as used in tables.
 func (s *Scenario) Name() string { return s.name }
 
-// gap is the mean time between the queries of a rank, in milliseconds.
-func (s *Scenario) gap(r tier.Rank) float64 {
-	work := float64(s.shape.shards) * leafTimes[r] * (fixedTime + randomTime)
-	return work / (s.loads[r] * float64(s.shape.all()))
+// meanInterarrival is the mean time between two queries of a rank, in milliseconds.
+func (s *Scenario) meanInterarrival(r tier.Rank) float64 {
+	work := float64(s.shape.shards) * serviceTimeFactors[r] * (fixedServiceTime + meanRandomServiceTime)
+	return work / (s.loads[r] * float64(s.shape.totalSlots()))
 }
 
-// profile is that of a rank's queries. Without ranks all are alike.
+// profile returns the profile of a rank's queries. In the mode Alone, which has no ranks, all
+// queries have the same one.
 func (s *Scenario) profile(r tier.Rank) (*tier.Profile, error) {
-	if s.way == Alone {
+	if s.sharing == Alone {
 		return tier.NewProfile("all", tier.WithRank(tier.Daily), tier.WithHedge(s.hedge), tier.WithQueueLimit(tier.MaxQueueLimit))
 	}
 	return tier.NewProfile(r.String(), tier.WithRank(r), tier.WithHedge(s.hedge))
 }
 
-// slotsOf is how many calls each dispatcher holds on a server at once.
-func (s *Scenario) slotsOf() int {
-	switch s.way {
+// slotsPerDispatcher is how many calls each dispatcher may have at a server at once.
+func (s *Scenario) slotsPerDispatcher() int {
+	switch s.sharing {
 	case Alone:
 		return s.shape.connections / entryVMs
 	case Static:
@@ -201,10 +205,10 @@
 	}
 }
 
-func (s *Scenario) set() (*tier.ShardSet, error) {
+func (s *Scenario) shardSet() (*tier.ShardSet, error) {
 	var servers []tier.Backend
 	for i := range s.shape.servers {
-		servers = append(servers, tier.NewBackend(serverName(i), "127.0.0.1:1", "here", tier.WithSlots(s.slotsOf())))
+		servers = append(servers, tier.NewBackend(serverName(i), "127.0.0.1:1", "here", tier.WithSlots(s.slotsPerDispatcher())))
 	}
 	var shards []tier.Shard
 	for i := range s.shape.shards {
@@ -221,5 +225,5 @@
 	if i == s.shards-1 {
 		to = math.MaxUint64
 	}
-	return tier.NewShard(fmt.Sprintf("s%d", i), uint64(i)*step, to, s.replicas(i)...)
+	return tier.NewShard(fmt.Sprintf("s%d", i), uint64(i)*step, to, s.replicasOf(i)...)
 }
--- a/tier/measurer/server.go
+++ b/tier/measurer/server.go
@@ -4,50 +4,50 @@
 
 // job is one leaf call at a modelled server.
 type job struct {
-	entry   int // the entry VM that sent it
-	attempt uint64
-	took    tier.Millis // service time
-	rank    tier.Rank
-	ended   bool
-	at      tier.Millis // of its end
-	started bool
+	entryVM     int // index of the entry VM that sent the call
+	attempt     uint64
+	serviceTime tier.Millis
+	rank        tier.Rank
+	ended       bool
+	endedAt     tier.Millis
+	started     bool
 }
 
-// server is a modelled backend server: its slots run jobs, and what is sent
-// beyond them waits in order of arrival.
+// server is a modelled backend server. Its slots run jobs, and jobs beyond them wait in order
+// of arrival.
 type server struct {
-	slots   int
-	factor  float64 // on service times
-	running int
-	waiting []*job
-	shed    int // slots that it sheds calls for
-	most    int // calls held at once beyond the slots
+	slots     int
+	slowdown  float64 // factor on service times
+	running   int
+	waiting   []*job
+	shedSlots int // slots for which it sheds calls
+	maxExcess int // most calls held at once beyond the slots
 }
 
-// sheds reports whether the server turns a new call away.
-func (s *server) sheds() bool { return s.shed > 0 && s.running >= s.slots-s.shed }
+// sheds reports whether the server would shed a new call.
+func (s *server) sheds() bool { return s.shedSlots > 0 && s.running >= s.slots-s.shedSlots }
 
-// arrive takes a job and returns it if it starts at once.
-func (s *server) arrive(j *job) *job {
-	s.most = max(s.most, s.running+len(s.waiting)+1-s.slots)
+// addJob adds a job and returns it if it starts at once, or nil if it has to wait.
+func (s *server) addJob(j *job) *job {
+	s.maxExcess = max(s.maxExcess, s.running+len(s.waiting)+1-s.slots)
 	if s.running < s.slots {
-		return s.begin(j)
+		return s.startJob(j)
 	}
 	s.waiting = append(s.waiting, j)
 	return nil
 }
 
-func (s *server) begin(j *job) *job {
+func (s *server) startJob(j *job) *job {
 	s.running++
 	j.started = true
 	return j
 }
 
-// leave ends a job and returns the one that starts in its place, if any.
-func (s *server) leave(now tier.Millis, j *job) *job {
-	j.ended, j.at = true, now
+// endJob ends a job, running or waiting, and returns the job that starts in its slot, if any.
+func (s *server) endJob(now tier.Millis, j *job) *job {
+	j.ended, j.endedAt = true, now
 	if !j.started {
-		s.drop(j)
+		s.removeWaiting(j)
 		return nil
 	}
 	s.running--
@@ -56,12 +56,12 @@
 	}
 	next := s.waiting[0]
 	s.waiting = s.waiting[1:]
-	return s.begin(next)
+	return s.startJob(next)
 }
 
-func (s *server) drop(j *job) {
-	for i, o := range s.waiting {
-		if o == j {
+func (s *server) removeWaiting(j *job) {
+	for i, other := range s.waiting {
+		if other == j {
 			s.waiting = append(s.waiting[:i], s.waiting[i+1:]...)
 			return
 		}
