--- a/tier/prover/check_test.go
+++ b/tier/prover/check_test.go
@@ -10,37 +10,39 @@
 	"cicadagrade.example/tier"
 )
 
-// checkQuery compares an outcome with what was served and arrived.
-func (w *world) checkQuery(q *query) {
-	switch o := q.outcome.(type) {
+// checkSearch compares the outcome of a search with the replies that servers sent and that
+// reached the front.
+func (cl *cluster) checkSearch(sr *search) {
+	switch o := sr.outcome.(type) {
 	case *tier.Answered:
-		w.counts["answered"]++
+		cl.counts["answered"]++
 		if !o.Coverage().Complete() {
-			w.counts["partial"]++
+			cl.counts["partial"]++
 		}
-		w.checkAnswer(q, w.tamper(q, o))
+		cl.checkAnswer(sr, cl.applyNaiveMerge(sr, o))
 	case *tier.Unknown:
-		w.counts["unknown"]++
+		cl.counts["unknown"]++
 		if s, c, ok := o.Partial(); ok {
-			w.checkCoverage(q, s, c)
+			cl.checkCoverage(sr, s, c)
 		}
 	case *tier.Refused:
-		w.counts["refused"]++
+		cl.counts["refused"]++
 	}
 }
 
-// tamper stands for naive makers of answers.
-func (w *world) tamper(q *query, a *tier.Answered) *tier.Answered {
+// applyNaiveMerge replaces an answer by that of a naive implementation, if the mutation says
+// so.
+func (cl *cluster) applyNaiveMerge(sr *search, a *tier.Answered) *tier.Answered {
 	records, coverage := a.Records(), a.Coverage()
-	if w.faults.asked {
-		covered := slices.Compact(slices.Sorted(slices.Values(q.asked)))
+	if cl.mutation.coverAsked {
+		covered := slices.Compact(slices.Sorted(slices.Values(sr.askedShards)))
 		missing := slices.DeleteFunc(slices.Clone(coverage.Missing()), func(m tier.Miss) bool { return slices.Contains(covered, m.Shard()) })
 		coverage = tier.NewCoverage(covered, missing)
 	}
-	if w.faults.doubled {
+	if cl.mutation.keepDuplicates {
 		records = nil
 		for _, shard := range a.Coverage().Covered() {
-			for _, whole := range q.served[a.Snapshot()][shard][:1] {
+			for _, whole := range sr.servedRecords[a.Snapshot()][shard][:1] {
 				records = append(records, whole...)
 			}
 		}
@@ -48,21 +50,22 @@
 	return tier.NewAnswered(a.Snapshot(), coverage, records)
 }
 
-// checkAnswer: the records are those of the covered shards at one snapshot,
-// for this caller, each key once, and the map's owner of a key has the say.
-func (w *world) checkAnswer(q *query, a *tier.Answered) {
-	w.checkCoverage(q, a.Snapshot(), a.Coverage())
-	merged := q.merged[a.Snapshot()]
-	set := w.sets[a.Snapshot().Epoch()]
+// checkAnswer checks that the records are those of the covered shards at the snapshot, for this
+// search and without duplicate keys. If several shards returned a key, the value has to be that
+// of the shard that holds the key according to the shard map.
+func (cl *cluster) checkAnswer(sr *search, a *tier.Answered) {
+	cl.checkCoverage(sr, a.Snapshot(), a.Coverage())
+	merged := sr.expectedMerge[a.Snapshot()]
+	set := cl.sets[a.Snapshot().Epoch()]
 	got := map[string]bool{}
 	for _, r := range a.Records() {
 		if got[r.Key()] {
-			w.objectf("doubled: %s holds %s twice", q.term, r.Key())
+			cl.violationf("doubled: %s has the key %s twice", sr.term, r.Key())
 		}
 		got[r.Key()] = true
 		_, owned := merged[set.ShardOf(r.Key()).ID()]
-		if r != record(r.Key(), a.Snapshot(), q.term, owned) {
-			w.objectf("record: %s at %s holds %s = %q", q.term, a.Snapshot(), r.Key(), r.Value())
+		if r != recordAt(r.Key(), a.Snapshot(), sr.term, owned) {
+			cl.violationf("record: %s at %s has %s = %q", sr.term, a.Snapshot(), r.Key(), r.Value())
 		}
 	}
 	want := map[string]bool{}
@@ -72,118 +75,121 @@
 		}
 	}
 	if len(want) != len(got) {
-		w.objectf("whole: %s holds %d keys of %d", q.term, len(got), len(want))
+		cl.violationf("whole: %s has %d keys, expected %d", sr.term, len(got), len(want))
 	}
 }
 
-// checkCoverage: covered is what was merged, no more and no less, and every
-// other shard of the map is missing with a reason.
-func (w *world) checkCoverage(q *query, at tier.Snapshot, c tier.Coverage) {
-	var told []string
+// checkCoverage checks that the covered shards are exactly those that were merged, and that
+// every other shard of the shard map is missing with a reason.
+func (cl *cluster) checkCoverage(sr *search, at tier.Snapshot, c tier.Coverage) {
+	var got []string
 	for _, id := range c.Covered() {
-		told = append(told, id+"+")
+		got = append(got, id+"+")
 	}
 	for _, m := range c.Missing() {
-		told = append(told, m.Shard()+"-")
+		got = append(got, m.Shard()+"-")
 		if m.Reason() == "" {
-			w.objectf("coverage: %s misses %s without a reason", q.term, m.Shard())
+			cl.violationf("coverage: %s misses %s without a reason", sr.term, m.Shard())
 		}
 	}
 	var want []string
-	for _, h := range w.sets[at.Epoch()].Shards() {
-		if _, ok := q.merged[at][h.ID()]; ok {
+	for _, h := range cl.sets[at.Epoch()].Shards() {
+		if _, ok := sr.expectedMerge[at][h.ID()]; ok {
 			want = append(want, h.ID()+"+")
 		} else {
 			want = append(want, h.ID()+"-")
 		}
 	}
-	slices.Sort(told)
+	slices.Sort(got)
 	slices.Sort(want)
-	if !slices.Equal(told, want) {
-		w.objectf("coverage: %s at %s says %v, not %v", q.term, at, told, want)
+	if !slices.Equal(got, want) {
+		cl.violationf("coverage: %s at %s says %v, not %v", sr.term, at, got, want)
 	}
 }
 
-// checkEnd looks at what only the whole history shows.
-func (w *world) checkEnd() {
-	for _, q := range w.queries {
-		if _, ok := q.outcome.(*tier.Refused); ok && q.calls > 0 {
-			w.objectf("refused: %s made %d leaf calls", q.term, q.calls)
+// checkHistory makes the checks that need the whole history: that each request and VM came to
+// an end, that bookings ran at most once, and that no VM went back to an older configuration.
+func (cl *cluster) checkHistory() {
+	for _, sr := range cl.searches {
+		if _, ok := sr.outcome.(*tier.Refused); ok && sr.leafCalls > 0 {
+			cl.violationf("refused: %s made %d leaf calls", sr.term, sr.leafCalls)
 		}
-		if q.outcome == nil && !q.vm.dead && q.vm.life == q.life {
-			w.objectf("ended: %s never did", q.term)
+		if sr.outcome == nil && !sr.vm.dead && sr.vm.incarnation == sr.incarnation {
+			cl.violationf("ended: %s has no outcome", sr.term)
 		}
 	}
-	for _, b := range w.bookings {
-		w.checkBooking(b)
+	for _, b := range cl.bookings {
+		cl.checkBooking(b)
 	}
-	for _, v := range w.vms {
-		if !v.dead && !v.core.Idle() {
-			w.objectf("ended: %s is not idle", v.name)
+	for _, v := range cl.vms {
+		if !v.dead && !v.dispatcher.Idle() {
+			cl.violationf("ended: %s is not idle", v.name)
 		}
 	}
-	for vm, uses := range w.config {
-		if !registers(uses) {
-			w.objectf("config: %s used a lower revision", vm)
+	for vm, operations := range cl.configOperations {
+		if !isMaxRegisterHistory(operations) {
+			cl.violationf("config: %s went back to a lower revision", vm)
 		}
 	}
 }
 
-func (w *world) checkBooking(b *booking) {
+func (cl *cluster) checkBooking(b *booking) {
 	if b.runs > 1 {
-		w.objectf("once: %s ran %d times", b.key, b.runs)
+		cl.violationf("once: %s ran %d times", b.key, b.runs)
 	}
 	switch o := b.outcome.(type) {
 	case *tier.Booked:
-		w.counts["booked"]++
+		cl.counts["booked"]++
 		if o.Receipt() != b.key || b.runs == 0 {
-			w.objectf("receipt: %s got that of %s, %d runs", b.key, o.Receipt(), b.runs)
+			cl.violationf("receipt: %s got the receipt of %s after %d runs", b.key, o.Receipt(), b.runs)
 		}
 	case *tier.Refused:
-		w.counts["booking refused"]++
+		cl.counts["booking refused"]++
 		if b.runs > 0 {
-			w.objectf("refused: %s ran", b.key)
+			cl.violationf("refused: %s ran", b.key)
 		}
 	}
 }
 
-// use is an operation on the configuration of a VM: a document offered to it,
-// or a search and the revision that it went by. The times are stamps.
-type use struct {
-	offered uint64
-	seen    uint64
-	called  int64
-	ended   int64
+// configOperation is an operation on the configuration of a VM: a document offered to it, or a
+// search and the revision that it used. The times are logical timestamps.
+type configOperation struct {
+	offered   uint64
+	used      uint64
+	startedAt int64
+	endedAt   int64
 }
 
-func (w *world) stamp() int64 {
-	w.stamps++
-	return w.stamps
+func (cl *cluster) nextTimestamp() int64 {
+	cl.lastTimestamp++
+	return cl.lastTimestamp
 }
 
-func (v *vm) note(u use) {
-	u.ended = v.w.stamp()
-	id := fmt.Sprintf("%s/%d", v.name, v.life)
-	v.w.config[id] = append(v.w.config[id], u)
+func (v *vm) recordConfigOperation(o configOperation) {
+	o.endedAt = v.cluster.nextTimestamp()
+	id := fmt.Sprintf("%s/%d", v.name, v.incarnation)
+	v.cluster.configOperations[id] = append(v.cluster.configOperations[id], o)
 }
 
-// highest is the model: a register that takes a revision if it is higher.
-var highest = porcupine.Model{
+// maxRegister is the sequential model of a VM's configuration: a register that adopts an offered
+// revision if it is higher than the current one. A search reads the register.
+var maxRegister = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, _ any) (bool, any) {
-		held, u := state.(uint64), input.(use)
-		if u.offered > 0 {
-			return true, max(held, u.offered)
+		held, o := state.(uint64), input.(configOperation)
+		if o.offered > 0 {
+			return true, max(held, o.offered)
 		}
-		return u.seen == held, held
+		return o.used == held, held
 	},
 }
 
-// registers reports whether the operations are those of such a register.
-func registers(uses []use) bool {
+// isMaxRegisterHistory reports whether the operations are linearisable with respect to
+// maxRegister.
+func isMaxRegisterHistory(operations []configOperation) bool {
 	var ops []porcupine.Operation
-	for i, u := range uses {
-		ops = append(ops, porcupine.Operation{ClientId: i, Input: u, Call: u.called, Return: u.ended})
+	for i, o := range operations {
+		ops = append(ops, porcupine.Operation{ClientId: i, Input: o, Call: o.startedAt, Return: o.endedAt})
 	}
-	return porcupine.CheckOperationsTimeout(highest, ops, 10*time.Second) == porcupine.Ok
+	return porcupine.CheckOperationsTimeout(maxRegister, ops, 10*time.Second) == porcupine.Ok
 }
--- a/tier/prover/front_test.go
+++ b/tier/prover/front_test.go
@@ -10,34 +10,34 @@
 	"cicadagrade.example/tier/planner"
 )
 
-// query is one search with what its check needs to know.
-type query struct {
-	vm      *vm
-	life    int
-	term    string
-	plan    *planner.Plan
-	tickAt  tier.Millis
-	outcome tier.Outcome
-	use     use
-	calls   int                                                 // leaf calls started for it
-	open    map[uint64]bool                                     // parts that wait for their first reply
-	served  map[tier.Snapshot]map[string][][]tier.Record        // whole replies that servers sent
-	merged  map[tier.Snapshot]map[string]map[string]tier.Record // those that reached the front in time
-	asks    map[uint64]*ask
-	asked   []string
+// search is a search with what is needed to check its answer.
+type search struct {
+	vm              *vm
+	incarnation     int
+	term            string
+	plan            *planner.Plan
+	tickAt          tier.Millis
+	outcome         tier.Outcome
+	configOperation configOperation
+	leafCalls       int                                                 // leaf calls started for it
+	waitingParts    map[uint64]bool                                     // parts without a reply so far
+	servedRecords   map[tier.Snapshot]map[string][][]tier.Record        // intact replies that servers sent
+	expectedMerge   map[tier.Snapshot]map[string]map[string]tier.Record // those that reached the front in time, by key
+	partRequests    map[uint64]*partRequest
+	askedShards     []string // in all parts, answered or not
 }
 
-func (q *query) serve(at tier.Snapshot, shard string, records []tier.Record) {
-	if q.served[at] == nil {
-		q.served[at] = map[string][][]tier.Record{}
+func (sr *search) recordServed(at tier.Snapshot, shard string, records []tier.Record) {
+	if sr.servedRecords[at] == nil {
+		sr.servedRecords[at] = map[string][][]tier.Record{}
 	}
-	q.served[at][shard] = append(q.served[at][shard], slices.Clone(records))
+	sr.servedRecords[at][shard] = append(sr.servedRecords[at][shard], slices.Clone(records))
 }
 
 var profiles = func() []*tier.Profile {
 	var out []*tier.Profile
-	for i, least := range []float64{1, 0.5, 0.3} {
-		p, err := tier.NewProfile(fmt.Sprintf("p%d", i), tier.WithRank(tier.Ranks[i]), tier.WithMinCoverage(least), tier.WithQueueLimit(20))
+	for i, minCoverage := range []float64{1, 0.5, 0.3} {
+		p, err := tier.NewProfile(fmt.Sprintf("p%d", i), tier.WithRank(tier.Ranks[i]), tier.WithMinCoverage(minCoverage), tier.WithQueueLimit(20))
 		if err != nil {
 			panic(err)
 		}
@@ -46,209 +46,211 @@
 	return out
 }()
 
-// search starts a search on a VM.
-func (v *vm) search(patience tier.Millis) {
-	w := v.w
-	q := &query{
-		vm: v, life: v.life, term: fmt.Sprintf("t%d", len(w.queries)), open: map[uint64]bool{}, asks: map[uint64]*ask{},
-		served: map[tier.Snapshot]map[string][][]tier.Record{}, merged: map[tier.Snapshot]map[string]map[string]tier.Record{},
+// startSearch starts a search on a VM.
+func (v *vm) startSearch(timeout tier.Millis) {
+	cl := v.cluster
+	sr := &search{
+		vm: v, incarnation: v.incarnation, term: fmt.Sprintf("t%d", len(cl.searches)), waitingParts: map[uint64]bool{}, partRequests: map[uint64]*partRequest{},
+		servedRecords: map[tier.Snapshot]map[string][][]tier.Record{}, expectedMerge: map[tier.Snapshot]map[string]map[string]tier.Record{},
 	}
-	q.use = use{seen: v.ref.Revision(), called: w.stamp()}
-	w.queries = append(w.queries, q)
-	q.plan = planner.New(w.now, v.dataCentre, profiles[w.random.IntN(3)], v.set, v, w.now+patience, planner.WithBudget(v.budget))
-	q.step(&planner.Tick{})
-	if w.chance(5) {
-		v.deliver(v.life, w.upTo(patience), func() { q.step(&planner.CallerGone{}) })
+	sr.configOperation = configOperation{used: v.ref.Revision(), startedAt: cl.nextTimestamp()}
+	cl.searches = append(cl.searches, sr)
+	sr.plan = planner.New(cl.now, v.dataCentre, profiles[cl.rng.IntN(3)], v.set, v, cl.now+timeout, planner.WithBudget(v.budget))
+	sr.step(&planner.Tick{})
+	if cl.withProbability(5) {
+		v.scheduleOn(v.incarnation, cl.upTo(timeout), func() { sr.step(&planner.CallerGone{}) })
 	}
 }
 
-func (q *query) step(e planner.Event) {
-	w := q.vm.w
-	for _, a := range q.plan.Step(w.now, e) {
+func (sr *search) step(e planner.Event) {
+	cl := sr.vm.cluster
+	for _, a := range sr.plan.Step(cl.now, e) {
 		switch a := a.(type) {
 		case *planner.SendPart:
-			q.open[a.Part()] = true
-			q.asked = append(q.asked, a.Shards()...)
-			k := &ask{query: q, send: a, answeredBy: map[*vm]bool{}, cancel: func() {}}
-			q.asks[a.Part()] = k
-			k.next()
+			sr.waitingParts[a.Part()] = true
+			sr.askedShards = append(sr.askedShards, a.Shards()...)
+			pr := &partRequest{search: sr, send: a, answeredBy: map[*vm]bool{}, cancel: func() {}}
+			sr.partRequests[a.Part()] = pr
+			pr.tryNextOwner()
 		case *planner.CancelPart:
-			q.open[a.Part()] = false
-			q.asks[a.Part()].cancel()
+			sr.waitingParts[a.Part()] = false
+			sr.partRequests[a.Part()].cancel()
 		case *planner.Finish:
-			q.outcome = a.Outcome()
-			q.vm.note(q.use)
-			w.checkQuery(q)
+			sr.outcome = a.Outcome()
+			sr.vm.recordConfigOperation(sr.configOperation)
+			cl.checkSearch(sr)
 		}
 	}
-	next, ok := q.plan.Next()
-	if !ok || q.tickAt > w.now && q.tickAt <= next {
+	next, ok := sr.plan.Next()
+	if !ok || sr.tickAt > cl.now && sr.tickAt <= next {
 		return
 	}
-	q.tickAt = max(next, w.now+1)
-	at := q.tickAt
-	q.vm.deliver(q.life, at-w.now, func() {
-		if q.tickAt == at {
-			q.tickAt = 0
-			q.step(&planner.Tick{})
+	sr.tickAt = max(next, cl.now+1)
+	at := sr.tickAt
+	sr.vm.scheduleOn(sr.incarnation, at-cl.now, func() {
+		if sr.tickAt == at {
+			sr.tickAt = 0
+			sr.step(&planner.Tick{})
 		}
 	})
 }
 
-// replied notes what a reply brings whole, if its part still waits, and
-// passes it to the plan.
-func (q *query) replied(part uint64, at tier.Snapshot, results []merger.ShardResult, held []planner.HeldVersions, leafCalls int) {
-	if q.outcome == nil && q.open[part] {
-		q.open[part] = false
+// partReplied passes an owner's reply to the plan. If it is the first reply of the part and the
+// search has no outcome yet, the shard results that arrived intact are expected in the answer.
+func (sr *search) partReplied(part uint64, at tier.Snapshot, results []merger.ShardResult, held []planner.HeldVersions, leafCalls int) {
+	if sr.outcome == nil && sr.waitingParts[part] {
+		sr.waitingParts[part] = false
 		for _, r := range results {
-			for _, whole := range q.served[at][r.Shard()] {
+			for _, whole := range sr.servedRecords[at][r.Shard()] {
 				if r.Miss() == "" && r.Count() == len(r.Records()) && r.Digest() == tier.Digest(whole) && slices.Equal(r.Records(), whole) {
-					q.merge(at, r.Shard(), whole)
+					sr.addExpectedMerge(at, r.Shard(), whole)
 				}
 			}
 		}
 	}
-	q.step(planner.NewPartReplied(part, at, results, held, leafCalls))
+	sr.step(planner.NewPartReplied(part, at, results, held, leafCalls))
 }
 
-func (q *query) merge(at tier.Snapshot, shard string, whole []tier.Record) {
-	if q.merged[at] == nil {
-		q.merged[at] = map[string]map[string]tier.Record{}
+func (sr *search) addExpectedMerge(at tier.Snapshot, shard string, whole []tier.Record) {
+	if sr.expectedMerge[at] == nil {
+		sr.expectedMerge[at] = map[string]map[string]tier.Record{}
 	}
-	q.merged[at][shard] = map[string]tier.Record{}
+	sr.expectedMerge[at][shard] = map[string]tier.Record{}
 	for _, r := range whole {
-		q.merged[at][shard][r.Key()] = r
+		sr.expectedMerge[at][shard][r.Key()] = r
 	}
 }
 
-func (q *query) lost(part uint64, e planner.Event) {
-	q.open[part] = false
-	q.step(e)
+func (sr *search) partLost(part uint64, e planner.Event) {
+	sr.waitingParts[part] = false
+	sr.step(e)
 }
 
-// ask is one part on its way to the owners of a data centre, tried in turn.
-type ask struct {
-	query *query
-	send  *planner.SendPart
-	tried int
-	lost  bool // an owner that had it died
-	over  bool
+// partRequest sends a part to the owners of a data centre, one after the other, until one
+// takes it.
+type partRequest struct {
+	search      *search
+	send        *planner.SendPart
+	ownersTried int
+	ownerDied   bool // an owner died after it was sent the part
+	ended       bool
 
 	answeredBy map[*vm]bool
 	cancel     func()
 }
 
-// back has the front learn something of the ask, once.
-func (k *ask) back(after tier.Millis, do func()) {
-	k.query.vm.deliver(k.query.life, after, func() {
-		if !k.over {
+// notifyFront calls do at the front after a delay, unless the part request has ended by then.
+func (pr *partRequest) notifyFront(after tier.Millis, do func()) {
+	pr.search.vm.scheduleOn(pr.search.incarnation, after, func() {
+		if !pr.ended {
 			do()
 		}
 	})
 }
 
-func (k *ask) end(e planner.Event) {
-	k.over = true
-	k.query.lost(k.send.Part(), e)
+func (pr *partRequest) end(e planner.Event) {
+	pr.ended = true
+	pr.search.partLost(pr.send.Part(), e)
 }
 
-// fail ends a part that may have run.
-func (k *ask) fail(r tier.MissReason) {
-	if k.query.vm.w.faults.refusing {
-		k.end(planner.NewPartRefused(k.send.Part(), tier.RefuseUnreachable, 0))
+// fail ends the part request as one that may have run.
+func (pr *partRequest) fail(r tier.MissReason) {
+	if pr.search.vm.cluster.mutation.lostAsRefused {
+		pr.end(planner.NewPartRefused(pr.send.Part(), tier.RefuseUnreachable, 0))
 		return
 	}
-	k.end(planner.NewPartFailed(k.send.Part(), r))
+	pr.end(planner.NewPartFailed(pr.send.Part(), r))
 }
 
-func (k *ask) next() {
-	q, w, part := k.query, k.query.vm.w, k.send.Part()
-	owners := q.vm.owners(k.send.DataCentre())
+func (pr *partRequest) tryNextOwner() {
+	sr, cl, part := pr.search, pr.search.vm.cluster, pr.send.Part()
+	owners := sr.vm.owners(pr.send.DataCentre())
 	switch {
-	case k.tried < len(owners):
-	case k.lost:
-		k.back(0, func() { k.fail(tier.MissCutOff) })
+	case pr.ownersTried < len(owners):
+	case pr.ownerDied:
+		pr.notifyFront(0, func() { pr.fail(tier.MissCutOff) })
 		return
 	default:
-		k.back(0, func() { k.end(planner.NewPartRefused(part, tier.RefuseUnreachable, 0)) })
+		pr.notifyFront(0, func() { pr.end(planner.NewPartRefused(part, tier.RefuseUnreachable, 0)) })
 		return
 	}
-	to := owners[k.tried]
-	k.tried++
-	if k.tried == 1 {
-		k.back(k.send.Deadline()-w.now, func() { k.fail(tier.MissDeadline) })
+	to := owners[pr.ownersTried]
+	pr.ownersTried++
+	if pr.ownersTried == 1 {
+		pr.notifyFront(pr.send.Deadline()-cl.now, func() { pr.fail(tier.MissDeadline) })
 	}
-	if w.cuts[q.vm.dataCentre+to.dataCentre] && w.chance(50) {
-		k.back(5, k.next) // no connection: not sent
+	if cl.cutLinks[sr.vm.dataCentre+to.dataCentre] && cl.withProbability(50) {
+		pr.notifyFront(5, pr.tryNextOwner) // no connection, so nothing was sent
 		return
 	}
-	took, ok := w.way(q.vm.dataCentre, to.dataCentre)
+	took, ok := cl.linkDelay(sr.vm.dataCentre, to.dataCentre)
 	if ok {
-		w.after(took, func() { k.reach(to) })
+		cl.schedule(took, func() { pr.submit(to) })
 	}
 }
 
-// reach submits the part at its owner.
-func (k *ask) reach(to *vm) {
+// submit submits the part to an owner that the message reached.
+func (pr *partRequest) submit(to *vm) {
 	if to.dead {
-		k.back(1, k.next)
+		pr.notifyFront(1, pr.tryNextOwner)
 		return
 	}
-	to.asks = append(to.asks, k)
-	to.deliver(to.life, 0, func() {
-		p := &part{query: k.query, snapshot: k.send.Snapshot()}
-		p.end = func(end any, leafCalls int) { k.answered(to, end, leafCalls) }
-		to.submit(p, profiles[0], k.send.Deadline(), k.send.Shards())
+	to.partRequests = append(to.partRequests, pr)
+	to.scheduleOn(to.incarnation, 0, func() {
+		p := &part{search: pr.search, snapshot: pr.send.Snapshot()}
+		p.end = func(end any, leafCalls int) { pr.ownerEnded(to, end, leafCalls) }
+		to.submit(p, profiles[0], pr.send.Deadline(), pr.send.Shards())
 		number := p.number
-		k.cancel = func() {
-			to.deliver(to.life, to.w.upTo(20), func() { to.step(dispatcher.NewCancelled(number)) })
+		pr.cancel = func() {
+			to.scheduleOn(to.incarnation, to.cluster.upTo(20), func() { to.step(dispatcher.NewCancelled(number)) })
 		}
 	})
 }
 
-// answered brings an owner's end of the part back: it may be lost, repeated
-// or damaged on the way, or name another snapshot.
-func (k *ask) answered(from *vm, end any, leafCalls int) {
-	q, w, part := k.query, from.w, k.send.Part()
-	k.answeredBy[from] = true
-	took, ok := w.way(from.dataCentre, q.vm.dataCentre)
+// ownerEnded sends the owner's result of the part back to the front. The reply may be lost,
+// duplicated or truncated on the way, or name another snapshot.
+func (pr *partRequest) ownerEnded(from *vm, end any, leafCalls int) {
+	sr, cl, part := pr.search, from.cluster, pr.send.Part()
+	pr.answeredBy[from] = true
+	took, ok := cl.linkDelay(from.dataCentre, sr.vm.dataCentre)
 	if !ok {
 		return
 	}
 	if r, refused := end.(*dispatcher.PartRefused); refused {
-		k.back(took, func() {
-			if k.lost && !w.faults.refusing {
-				k.fail(tier.MissRefused)
+		pr.notifyFront(took, func() {
+			if pr.ownerDied && !cl.mutation.lostAsRefused {
+				pr.fail(tier.MissRefused)
 				return
 			}
-			k.end(planner.NewPartRefused(part, r.Reason(), r.RetryAfter()))
+			pr.end(planner.NewPartRefused(part, r.Reason(), r.RetryAfter()))
 		})
 		return
 	}
 	results := end.([]merger.ShardResult)
-	if w.chance(3) {
-		results = damage(results)
+	if cl.withProbability(3) {
+		results = truncateResult(results)
 	}
-	held := from.heldOf(results, k.send.Snapshot().Epoch())
-	at := k.send.Snapshot()
-	if w.chance(2) {
+	held := from.heldVersions(results, pr.send.Snapshot().Epoch())
+	at := pr.send.Snapshot()
+	if cl.withProbability(2) {
 		at = tier.NewSnapshot(at.Epoch(), at.Version()+1)
 	}
 	deliver := func() {
-		k.over = true
-		if k.lost && !w.faults.refusing {
+		pr.ended = true
+		if pr.ownerDied && !cl.mutation.lostAsRefused {
 			leafCalls = max(leafCalls, 1)
 		}
-		q.replied(part, at, results, held, leafCalls)
+		sr.partReplied(part, at, results, held, leafCalls)
 	}
-	q.vm.deliver(q.life, took, deliver)
-	if w.chance(5) {
-		q.vm.deliver(q.life, took+w.upTo(50), deliver)
+	sr.vm.scheduleOn(sr.incarnation, took, deliver)
+	if cl.withProbability(5) {
+		sr.vm.scheduleOn(sr.incarnation, took+cl.upTo(50), deliver)
 	}
 }
 
-// damage cuts one result short or has it answer for another shard.
-func damage(results []merger.ShardResult) []merger.ShardResult {
+// truncateResult returns a copy of results in which the first result that has records lacks its
+// last one.
+func truncateResult(results []merger.ShardResult) []merger.ShardResult {
 	out := slices.Clone(results)
 	for i, r := range out {
 		if n := len(r.Records()); n > 0 {
@@ -259,7 +261,7 @@
 	return out
 }
 
-func (v *vm) heldOf(results []merger.ShardResult, e tier.Epoch) []planner.HeldVersions {
+func (v *vm) heldVersions(results []merger.ShardResult, e tier.Epoch) []planner.HeldVersions {
 	var out []planner.HeldVersions
 	for _, r := range results {
 		if r.Miss() != "" {
@@ -270,7 +272,7 @@
 	return out
 }
 
-// booking is one booking under its own claim.
+// booking is a booking with an idempotency key of its own.
 type booking struct {
 	vm      *vm
 	key     string
@@ -278,26 +280,26 @@
 	outcome tier.Outcome
 }
 
-// book sends a booking to its owner once.
-func (v *vm) book(patience tier.Millis) {
-	w := v.w
-	b := &booking{vm: v, key: fmt.Sprintf("b%d", len(w.bookings))}
-	w.bookings = append(w.bookings, b)
+// startBooking sends a booking to an owner, without retries.
+func (v *vm) startBooking(timeout tier.Millis) {
+	cl := v.cluster
+	b := &booking{vm: v, key: fmt.Sprintf("b%d", len(cl.bookings))}
+	cl.bookings = append(cl.bookings, b)
 	to := v
-	if l := v.owners(w.dataCentres[w.random.IntN(len(w.dataCentres))]); len(l) > 0 {
+	if l := v.owners(cl.dataCentres[cl.rng.IntN(len(cl.dataCentres))]); len(l) > 0 {
 		to = l[0]
 	}
-	took, ok := w.way(v.dataCentre, to.dataCentre)
+	took, ok := cl.linkDelay(v.dataCentre, to.dataCentre)
 	if !ok {
 		return
 	}
-	life, deadline, shard := v.life, w.now+patience, v.set.ShardOf(keys[w.random.IntN(len(keys))]).ID()
-	w.after(took, func() {
-		to.deliver(to.life, 0, func() {
+	incarnation, deadline, shard := v.incarnation, cl.now+timeout, v.set.ShardOf(keys[cl.rng.IntN(len(keys))]).ID()
+	cl.schedule(took, func() {
+		to.scheduleOn(to.incarnation, 0, func() {
 			p := &part{booking: b}
 			p.end = func(end any, _ int) {
-				if back, ok := w.way(to.dataCentre, v.dataCentre); ok {
-					v.deliver(life, back, func() { b.ended(end) })
+				if back, ok := cl.linkDelay(to.dataCentre, v.dataCentre); ok {
+					v.scheduleOn(incarnation, back, func() { b.setOutcome(end) })
 				}
 			}
 			to.submit(p, profiles[0], deadline, []string{shard})
@@ -305,7 +307,7 @@
 	})
 }
 
-func (b *booking) ended(end any) {
+func (b *booking) setOutcome(end any) {
 	switch e := end.(type) {
 	case string:
 		b.outcome = tier.NewBooked(e, false)
--- a/tier/prover/history_test.go
+++ b/tier/prover/history_test.go
@@ -17,164 +17,167 @@
 	firstSeed = flag.Uint64("first-seed", 1, "the seed of the first history")
 )
 
-// playHistory has callers search and book on all VMs while versions, maps,
-// members and links change.
-func playHistory(seed uint64, f faults) *world {
-	w := newWorld(seed, f)
-	w.disturb()
+// runHistory simulates callers that search and book at all VMs while index versions, shard maps,
+// members and links change, and checks the history.
+func runHistory(seed uint64, m mutation) *cluster {
+	cl := newCluster(seed, m)
+	cl.scheduleDisturbances()
 	searches := 50
-	if w.chance(20) {
-		searches = 200 // more than the slots can serve, at times
+	if cl.withProbability(20) {
+		searches = 200 // at times more than the slots can serve
 	}
 	for range searches {
-		v := w.vms[w.random.IntN(len(w.vms))]
-		w.after(w.upTo(workEnd), func() { v.deliver(v.life, 0, func() { v.search(v.w.patience()) }) })
+		v := cl.vms[cl.rng.IntN(len(cl.vms))]
+		cl.schedule(cl.upTo(lastRequestStart), func() { v.scheduleOn(v.incarnation, 0, func() { v.startSearch(v.cluster.randomTimeout()) }) })
 	}
 	for range 25 {
-		v := w.vms[w.random.IntN(len(w.vms))]
-		w.after(w.upTo(workEnd), func() { v.deliver(v.life, 0, func() { v.book(v.w.patience()) }) })
+		v := cl.vms[cl.rng.IntN(len(cl.vms))]
+		cl.schedule(cl.upTo(lastRequestStart), func() { v.scheduleOn(v.incarnation, 0, func() { v.startBooking(v.cluster.randomTimeout()) }) })
 	}
-	w.play()
-	w.checkEnd()
-	return w
+	cl.runEvents()
+	cl.checkHistory()
+	return cl
 }
 
-func (w *world) patience() tier.Millis {
-	if w.chance(10) {
+func (cl *cluster) randomTimeout() tier.Millis {
+	if cl.withProbability(10) {
 		return 8 * tier.Second
 	}
-	return 30 + w.upTo(600)
+	return 30 + cl.upTo(600)
 }
 
-func (w *world) disturb() {
-	epochsAt := []tier.Millis{700 + w.upTo(600), 2200 + w.upTo(600)}
-	w.publish(1, 0)
+func (cl *cluster) scheduleDisturbances() {
+	epochsAt := []tier.Millis{700 + cl.upTo(600), 2200 + cl.upTo(600)}
+	cl.publish(1, 0)
 	for i, at := range []tier.Millis{400, epochsAt[0], epochsAt[0] + 500, epochsAt[1]} {
-		w.after(at, func() { w.publish(2+i, 500) })
+		cl.schedule(at, func() { cl.publish(2+i, 500) })
 	}
-	for _, s := range w.servers {
-		s.disturb(epochsAt)
-		w.after(0, s.probe)
+	for _, s := range cl.servers {
+		s.scheduleDisturbances(epochsAt)
+		cl.schedule(0, s.probe)
 	}
 	for range 3 {
-		v, at := w.vms[w.random.IntN(len(w.vms))], w.upTo(workEnd)
-		w.after(at, func() {
+		v, at := cl.vms[cl.rng.IntN(len(cl.vms))], cl.upTo(lastRequestStart)
+		cl.schedule(at, func() {
 			if !v.dead {
-				v.die()
+				v.crash()
 			}
 		})
-		w.after(at+500+w.upTo(2500), func() {
+		cl.schedule(at+500+cl.upTo(2500), func() {
 			if v.dead {
-				v.begin()
-				v.spread()
+				v.start()
+				v.announceLiveness()
 			}
 		})
-		p := w.vms[w.random.IntN(len(w.vms))]
-		w.after(w.upTo(workEnd), func() { p.pause(200 + w.upTo(1200)) })
+		p := cl.vms[cl.rng.IntN(len(cl.vms))]
+		cl.schedule(cl.upTo(lastRequestStart), func() { p.pause(200 + cl.upTo(1200)) })
 	}
-	w.after(w.upTo(workEnd), w.cutLink)
+	cl.schedule(cl.upTo(lastRequestStart), cl.cutLink)
 }
 
-// publish offers a revision to every VM, late and repeated.
-func (w *world) publish(revision int, within tier.Millis) {
-	w.published = revision
-	for _, v := range w.vms {
-		for range 1 + w.random.IntN(2) {
-			v.deliver(v.life, w.upTo(3*within), func() { v.offer(w.states[revision-1]) })
+// publish offers a revision of the set document to every VM, with a random delay and possibly
+// twice.
+func (cl *cluster) publish(revision int, within tier.Millis) {
+	cl.publishedRevision = revision
+	for _, v := range cl.vms {
+		for range 1 + cl.rng.IntN(2) {
+			v.scheduleOn(v.incarnation, cl.upTo(3*within), func() { v.offerDocument(cl.documentStates[revision-1]) })
 		}
 	}
 }
 
-// cutLink cuts two data centres off from each other for a while.
-func (w *world) cutLink() {
-	i := w.random.IntN(len(w.dataCentres))
-	a, b := w.dataCentres[i], w.dataCentres[(i+1)%len(w.dataCentres)]
+// cutLink cuts the link between two data centres for some time. VMs learn of it with a delay.
+func (cl *cluster) cutLink() {
+	i := cl.rng.IntN(len(cl.dataCentres))
+	a, b := cl.dataCentres[i], cl.dataCentres[(i+1)%len(cl.dataCentres)]
 	set := func(cut bool) {
-		w.cuts[a+b], w.cuts[b+a] = cut, cut
-		for _, v := range w.vms {
+		cl.cutLinks[a+b], cl.cutLinks[b+a] = cut, cut
+		for _, v := range cl.vms {
 			if other := map[string]string{a: b, b: a}[v.dataCentre]; other != "" {
-				v.deliver(v.life, w.upTo(300), func() { v.cut[other] = w.cuts[a+b] })
+				v.scheduleOn(v.incarnation, cl.upTo(300), func() { v.believedUnreachable[other] = cl.cutLinks[a+b] })
 			}
 		}
 	}
 	set(true)
-	w.after(300+w.upTo(1000), func() { set(false) })
+	cl.schedule(300+cl.upTo(1000), func() { set(false) })
 }
 
-// probe tells VMs what the server says of itself, now and again, out of
-// order at times.
+// probe sends the server's health reply to the VMs at random intervals. Replies may be lost or
+// arrive out of order.
 func (s *server) probe() {
-	w := s.w
+	cl := s.cluster
 	held := map[tier.Epoch][]tier.Version{}
 	for e := range tier.Epoch(4) {
-		if l := s.tells(e); len(l) > 0 {
+		if l := s.reportedVersions(e); len(l) > 0 {
 			held[e] = l
 		}
 	}
 	state := s.state
-	for _, v := range w.vms {
-		if w.chance(10) {
+	for _, v := range cl.vms {
+		if cl.withProbability(10) {
 			continue
 		}
-		after := 1 + w.upTo(30)
+		after := 1 + cl.upTo(30)
 		if v.dataCentre != s.backend.DataCentre() {
-			after += w.upTo(150)
+			after += cl.upTo(150)
 		}
-		v.deliver(v.life, after, func() { v.hear(s, state, held) })
+		v.scheduleOn(v.incarnation, after, func() { v.probeReplied(s, state, held) })
 	}
-	if w.now < workEnd+8*tier.Second {
-		w.after(80+w.upTo(40), s.probe)
+	if cl.now < lastRequestStart+8*tier.Second {
+		cl.schedule(80+cl.upTo(40), s.probe)
 	}
 }
 
-func TestWholePath(t *testing.T) {
+// TestRandomHistories checks random histories, and that each kind of outcome and of faulty reply
+// occurs in them.
+func TestRandomHistories(t *testing.T) {
 	counts := map[string]int{}
 	for i := range *histories {
 		seed := *firstSeed + uint64(i)
-		w := playHistory(seed, faults{takeover: dispatcher.DefaultTakeoverDelay})
-		for _, p := range w.problems {
+		cl := runHistory(seed, mutation{takeoverDelay: dispatcher.DefaultTakeoverDelay})
+		for _, p := range cl.violations {
 			t.Errorf("seed %d: %s", seed, p)
 		}
-		for k, n := range w.counts {
+		for k, n := range cl.counts {
 			counts[k] += n
 		}
 	}
 	for _, k := range slices.Sorted(maps.Keys(counts)) {
 		t.Logf("%s: %d", k, counts[k])
 	}
-	for _, k := range []string{"answered", "partial", "refused", "unknown", "booked", "booking refused", "repeated", "crossed"} {
+	for _, k := range []string{"answered", "partial", "refused", "unknown", "booked", "booking refused", "duplicate reply", "reply to another call"} {
 		if counts[k] == 0 {
-			t.Errorf("the histories hold no %s", k)
+			t.Errorf("the histories have no case of %q", k)
 		}
 	}
 }
 
-// TestChecksObject breaks one mechanism at a time and expects the check that
-// guards it to object.
-func TestChecksObject(t *testing.T) {
+// TestChecksFindViolations breaks one mechanism at a time and expects the check that guards it to
+// report a violation.
+func TestChecksFindViolations(t *testing.T) {
 	const takeover = dispatcher.DefaultTakeoverDelay
 	for name, c := range map[string]struct {
-		faults faults
-		want   string
+		mutation mutation
+		want     string
 	}{
-		"snapshot":  {faults{takeover: takeover, ignored: correlator.FieldSnapshot}, ": record:"},
-		"caller":    {faults{takeover: takeover, ignored: correlator.FieldAttempt}, ": record:"},
-		"truncated": {faults{takeover: takeover, ignored: correlator.FieldCount}, ": coverage:"},
-		"corrupt":   {faults{takeover: takeover, ignored: correlator.FieldDigest}, ": record:"},
-		"asked":     {faults{takeover: takeover, asked: true}, ": coverage:"},
-		"doubled":   {faults{takeover: takeover, doubled: true}, ": doubled:"},
-		"hedged":    {faults{takeover: takeover, hedged: true}, ": once:"},
-		"lower":     {faults{takeover: takeover, lower: true}, ": config:"},
-		"refusing":  {faults{takeover: takeover, refusing: true}, ": refused:"},
-		"takeover":  {faults{}, ": slots:"},
+		"snapshot":  {mutation{takeoverDelay: takeover, ignoredField: correlator.FieldSnapshot}, ": record:"},
+		"caller":    {mutation{takeoverDelay: takeover, ignoredField: correlator.FieldAttempt}, ": record:"},
+		"truncated": {mutation{takeoverDelay: takeover, ignoredField: correlator.FieldCount}, ": coverage:"},
+		"corrupt":   {mutation{takeoverDelay: takeover, ignoredField: correlator.FieldDigest}, ": record:"},
+		"asked":     {mutation{takeoverDelay: takeover, coverAsked: true}, ": coverage:"},
+		"doubled":   {mutation{takeoverDelay: takeover, keepDuplicates: true}, ": doubled:"},
+		"hedged":    {mutation{takeoverDelay: takeover, hedgeBookings: true}, ": once:"},
+		"lower":     {mutation{takeoverDelay: takeover, acceptOlderConfig: true}, ": config:"},
+		"refusing":  {mutation{takeoverDelay: takeover, lostAsRefused: true}, ": refused:"},
+		"takeover":  {mutation{}, ": slots:"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(100) {
-				if strings.Contains(strings.Join(playHistory(seed+1, c.faults).problems, "\n"), c.want) {
+				if strings.Contains(strings.Join(runHistory(seed+1, c.mutation).violations, "\n"), c.want) {
 					return
 				}
 			}
-			t.Errorf("100 histories pass")
+			t.Errorf("no violation of the expected kind in 100 histories")
 		})
 	}
 }
--- a/tier/prover/server_test.go
+++ b/tier/prover/server_test.go
@@ -9,77 +9,78 @@
 	"cicadagrade.example/tier/dispatcher"
 )
 
-// server is a backend server.
+// server is a simulated backend server.
 type server struct {
-	w         *world
-	backend   tier.Backend
-	held      map[tier.Epoch][]tier.Version
-	state     tier.BackendState
-	slow      bool
-	liar      bool // tells of a version that it does not hold
-	leftovers bool // keeps records of its neighbour shards
-	open      []*call
+	cluster             *cluster
+	backend             tier.Backend
+	heldVersions        map[tier.Epoch][]tier.Version
+	state               tier.BackendState
+	slow                bool
+	overstatesVersions  bool // at times reports a version that it does not hold
+	keepsForeignRecords bool // returns outdated records of other shards too
+	openCalls           []*call
 }
 
-func (w *world) makeServers() {
-	for _, d := range w.dataCentres {
+func (cl *cluster) createServers() {
+	for _, d := range cl.dataCentres {
 		for i := range 3 {
-			b := tier.NewBackend(fmt.Sprintf("%s-s%d", d, i), fmt.Sprintf("127.0.0.1:%d", 1+len(w.servers)), d, tier.WithSlots(2+w.random.IntN(2)))
+			b := tier.NewBackend(fmt.Sprintf("%s-s%d", d, i), fmt.Sprintf("127.0.0.1:%d", 1+len(cl.servers)), d, tier.WithSlots(2+cl.rng.IntN(2)))
 			s := &server{
-				w: w, backend: b, state: tier.BackendLive, slow: w.chance(15), liar: w.chance(20), leftovers: w.chance(40),
-				held: map[tier.Epoch][]tier.Version{1: {1}},
+				cluster: cl, backend: b, state: tier.BackendLive, slow: cl.withProbability(15), overstatesVersions: cl.withProbability(20), keepsForeignRecords: cl.withProbability(40),
+				heldVersions: map[tier.Epoch][]tier.Version{1: {1}},
 			}
-			w.servers = append(w.servers, s)
-			w.byName[b.Name()] = s
+			cl.servers = append(cl.servers, s)
+			cl.serverByName[b.Name()] = s
 		}
 	}
 }
 
-// disturb schedules index versions, map changes and bad times of a server.
-func (s *server) disturb(epochsAt []tier.Millis) {
-	w := s.w
+// scheduleDisturbances schedules the server's changes to new index versions and shard maps, and
+// possibly a period in which it sheds load or is leaving.
+func (s *server) scheduleDisturbances(epochsAt []tier.Millis) {
+	cl := s.cluster
 	for i, at := range epochsAt {
 		e := tier.Epoch(2 + i)
-		at += w.upTo(500)
-		w.after(at, func() { s.held[e] = slices.Clone(s.newest()) })
-		w.after(at+w.upTo(600), func() { delete(s.held, e-1) })
+		at += cl.upTo(500)
+		cl.schedule(at, func() { s.heldVersions[e] = slices.Clone(s.newestEpochVersions()) })
+		cl.schedule(at+cl.upTo(600), func() { delete(s.heldVersions, e-1) })
 	}
 	for v := tier.Version(2); v < 5; v++ {
-		at := tier.Millis(v-1)*900 + w.upTo(400)
-		w.after(at, func() { s.swap(func(l []tier.Version) []tier.Version { return append(slices.Clone(l), v) }) })
-		w.after(at+w.upTo(300), func() {
-			s.swap(func(l []tier.Version) []tier.Version {
+		at := tier.Millis(v-1)*900 + cl.upTo(400)
+		cl.schedule(at, func() { s.updateVersions(func(l []tier.Version) []tier.Version { return append(slices.Clone(l), v) }) })
+		cl.schedule(at+cl.upTo(300), func() {
+			s.updateVersions(func(l []tier.Version) []tier.Version {
 				return slices.DeleteFunc(slices.Clone(l), func(o tier.Version) bool { return o < v })
 			})
 		})
 	}
-	if w.chance(30) {
-		at := w.upTo(workEnd)
-		bad := []tier.BackendState{tier.BackendShedding, tier.BackendLeaving}[w.random.IntN(2)]
-		w.after(at, func() { s.state = bad })
-		w.after(at+w.upTo(800), func() { s.state = tier.BackendLive })
+	if cl.withProbability(30) {
+		at := cl.upTo(lastRequestStart)
+		bad := []tier.BackendState{tier.BackendShedding, tier.BackendLeaving}[cl.rng.IntN(2)]
+		cl.schedule(at, func() { s.state = bad })
+		cl.schedule(at+cl.upTo(800), func() { s.state = tier.BackendLive })
 	}
 }
 
-func (s *server) swap(f func([]tier.Version) []tier.Version) {
-	for e, l := range s.held {
-		s.held[e] = f(l)
+func (s *server) updateVersions(f func([]tier.Version) []tier.Version) {
+	for e, l := range s.heldVersions {
+		s.heldVersions[e] = f(l)
 	}
 }
 
-func (s *server) newest() []tier.Version {
+func (s *server) newestEpochVersions() []tier.Version {
 	for e := tier.Epoch(3); e > 0; e-- {
-		if l, ok := s.held[e]; ok {
+		if l, ok := s.heldVersions[e]; ok {
 			return l
 		}
 	}
 	return nil
 }
 
-// tells is what the server says that it holds under an epoch.
-func (s *server) tells(e tier.Epoch) []tier.Version {
-	l := slices.Clone(s.held[e])
-	if s.liar && len(l) > 0 && s.w.chance(30) {
+// reportedVersions returns the index versions that the server claims to hold under an epoch.
+func (s *server) reportedVersions(e tier.Epoch) []tier.Version {
+	l := slices.Clone(s.heldVersions[e])
+	if s.overstatesVersions && len(l) > 0 && s.cluster.withProbability(30) {
 		l = append(l, slices.Max(l)+1)
 	}
 	return l
@@ -96,8 +97,8 @@
 
 // holds reports whether the server holds a shard at a snapshot.
 func (s *server) holds(shard string, at tier.Snapshot) bool {
-	h, ok := shardOf(s.w.sets[at.Epoch()], shard)
-	return ok && slices.Contains(h.Replicas(), s.backend.Name()) && slices.Contains(s.held[at.Epoch()], at.Version())
+	h, ok := shardOf(s.cluster.sets[at.Epoch()], shard)
+	return ok && slices.Contains(h.Replicas(), s.backend.Name()) && slices.Contains(s.heldVersions[at.Epoch()], at.Version())
 }
 
 var keys = func() []string {
@@ -108,9 +109,9 @@
 	return out
 }()
 
-// record is the truth: what a key holds at a snapshot for a term. A record
-// that a server kept of another shard is out of date.
-func record(key string, at tier.Snapshot, term string, owned bool) tier.Record {
+// recordAt returns the record of a key at a snapshot for a search term. A server that does not
+// own the key has an outdated value.
+func recordAt(key string, at tier.Snapshot, term string, owned bool) tier.Record {
 	v := at.String() + " " + term + " " + key
 	if !owned {
 		v += " old"
@@ -119,103 +120,104 @@
 }
 
 func (s *server) records(shard string, at tier.Snapshot, term string) []tier.Record {
-	h, _ := shardOf(s.w.sets[at.Epoch()], shard)
+	h, _ := shardOf(s.cluster.sets[at.Epoch()], shard)
 	var out []tier.Record
 	for i, k := range keys {
 		owned := h.Holds(tier.HashKey(k))
-		if owned || s.leftovers && i%3 == 0 {
-			out = append(out, record(k, at, term, owned))
+		if owned || s.keepsForeignRecords && i%3 == 0 {
+			out = append(out, recordAt(k, at, term, owned))
 		}
 	}
 	return out
 }
 
-// arrive handles a leaf call.
-func (s *server) arrive(c *call) {
+// handleCall handles a leaf call.
+func (s *server) handleCall(c *call) {
 	if c.released {
 		return
 	}
-	a := &answer{}
+	a := &leafReply{}
 	switch {
 	case s.state == tier.BackendLeaving:
 		a.notRun = dispatcher.NewReplyNotRun(dispatcher.NotRunLeaving)
-	case s.state == tier.BackendShedding && s.w.chance(50) || s.w.chance(2):
+	case s.state == tier.BackendShedding && s.cluster.withProbability(50) || s.cluster.withProbability(2):
 		a.notRun = dispatcher.NewReplyNotRun(dispatcher.NotRunShed)
 	case c.part.booking != nil:
-		s.book(c, a)
+		s.runBooking(c, a)
 	case s.holds(c.shard, c.snapshot):
-		s.serve(c, c.snapshot, a)
-	case s.w.chance(70) || len(s.held[c.snapshot.Epoch()]) == 0:
+		s.runSearch(c, c.snapshot, a)
+	case s.cluster.withProbability(70) || len(s.heldVersions[c.snapshot.Epoch()]) == 0:
 		a.notRun = dispatcher.NewReplyNotRun(dispatcher.NotRunWrongSnapshot)
 	default:
-		// What it has, and says so in its reply.
-		s.serve(c, tier.NewSnapshot(c.snapshot.Epoch(), slices.Max(s.held[c.snapshot.Epoch()])), a)
+		// Serves the newest version that it has, and names that in its reply.
+		s.runSearch(c, tier.NewSnapshot(c.snapshot.Epoch(), slices.Max(s.heldVersions[c.snapshot.Epoch()])), a)
 	}
-	took := 1 + s.w.upTo(15)
+	took := 1 + s.cluster.upTo(15)
 	if s.slow {
 		took *= 20
 	}
-	if s.w.chance(2) {
-		return // it hangs
+	if s.cluster.withProbability(2) {
+		return // the call hangs
 	}
-	s.w.after(took, func() { s.reply(c, a) })
+	s.cluster.schedule(took, func() { s.sendReply(c, a) })
 }
 
-func (s *server) book(c *call, a *answer) {
+func (s *server) runBooking(c *call, a *leafReply) {
 	b := c.part.booking
 	b.runs++
 	r := correlator.NewBookingReply(c.id.String(), setName, c.shard, b.key)
-	if s.w.chance(5) {
+	if s.cluster.withProbability(5) {
 		r = correlator.NewBookingReply("other/1/1", setName, c.shard, "other")
 	}
-	a.receipt = &r
+	a.booking = &r
 }
 
-// serve makes the reply to a search and notes what was served whole.
-func (s *server) serve(c *call, at tier.Snapshot, a *answer) {
-	records := s.records(c.shard, at, c.part.query.term)
+// runSearch creates the reply to a search, which may be that to another call, truncated or
+// corrupted. It records the records served in an intact reply.
+func (s *server) runSearch(c *call, at tier.Snapshot, a *leafReply) {
+	records := s.records(c.shard, at, c.part.search.term)
 	id, shard, count, digest := c.id.String(), c.shard, len(records), tier.Digest(records)
-	kind := s.w.random.IntN(100)
-	other := s.other(c)
+	kind := s.cluster.rng.IntN(100)
+	other := s.otherSearch(c)
 	switch {
 	case kind < 3 && other != nil:
 		id, shard, at = other.id.String(), other.shard, other.snapshot
-		records = s.records(shard, at, other.part.query.term)
+		records = s.records(shard, at, other.part.search.term)
 		count, digest = len(records), tier.Digest(records)
-		s.w.counts["crossed"]++
+		s.cluster.counts["reply to another call"]++
 	case kind < 6 && count > 0:
 		records = records[:count-1]
 	case kind < 9 && count > 0:
 		records[0] = tier.NewRecord(records[0].Key(), "corrupt")
 	default:
-		c.part.query.serve(at, c.shard, records)
+		c.part.search.recordServed(at, c.shard, records)
 	}
 	r := correlator.NewSearchReply(id, setName, shard, at, records, count, digest)
-	a.reply = &r
-	a.epoch, a.held = c.snapshot.Epoch(), s.tells(c.snapshot.Epoch())
+	a.search = &r
+	a.epoch, a.held = c.snapshot.Epoch(), s.reportedVersions(c.snapshot.Epoch())
 }
 
-// other is another search that runs here.
-func (s *server) other(c *call) *call {
-	for _, o := range s.open {
-		if o.part.query != nil && o.part.query != c.part.query && s.holds(o.shard, o.snapshot) {
+// otherSearch returns a call of another search that runs on the server, or nil.
+func (s *server) otherSearch(c *call) *call {
+	for _, o := range s.openCalls {
+		if o.part.search != nil && o.part.search != c.part.search && s.holds(o.shard, o.snapshot) {
 			return o
 		}
 	}
 	return nil
 }
 
-func (s *server) reply(c *call, a *answer) {
+func (s *server) sendReply(c *call, a *leafReply) {
 	if c.released {
 		return
 	}
 	c.release()
-	if s.w.chance(2) {
+	if s.cluster.withProbability(2) {
 		return // lost; the VM waits until the deadline
 	}
-	deliver := func() { c.vm.replied(c, a) }
-	c.vm.deliver(c.life, s.w.upTo(2), deliver)
-	if s.w.chance(5) {
-		c.vm.deliver(c.life, s.w.upTo(50), deliver)
+	deliver := func() { c.vm.callReplied(c, a) }
+	c.vm.scheduleOn(c.incarnation, s.cluster.upTo(2), deliver)
+	if s.cluster.withProbability(5) {
+		c.vm.scheduleOn(c.incarnation, s.cluster.upTo(50), deliver)
 	}
 }
--- a/tier/prover/vm_test.go
+++ b/tier/prover/vm_test.go
@@ -15,32 +15,32 @@
 	"cicadagrade.example/tier/storer"
 )
 
-// vm is an entry VM: front and owner at once.
+// vm is a simulated entry VM, both front and owner.
 type vm struct {
-	w          *world
-	name       string
-	dataCentre string
-	life       int
-	dead       bool
-	paused     tier.Millis // until then
-	owns       bool
-	core       *dispatcher.Dispatcher
-	tickAt     tier.Millis
-	keeper     *replicator.Replicator
-	ref        replicator.Ref
-	set        *tier.ShardSet
-	former     *tier.ShardSet
-	gone       map[string]bool // VMs believed dead
-	cut        map[string]bool // data centres believed cut off
-	reports    map[string]map[tier.Epoch][]tier.Version
-	told       map[holding][]tier.Version
-	states     map[string]tier.BackendState
-	budget     *planner.Budget
-	parts      map[uint64]*part
-	calls      map[uint64]*call
-	asks       []*ask
-	lastPart   uint64
-	attempts   uint64
+	cluster             *cluster
+	name                string
+	dataCentre          string
+	incarnation         int
+	dead                bool
+	pausedUntil         tier.Millis
+	believesOwner       bool
+	dispatcher          *dispatcher.Dispatcher
+	tickAt              tier.Millis
+	replicator          *replicator.Replicator
+	ref                 replicator.Ref
+	set                 *tier.ShardSet
+	earlierSet          *tier.ShardSet
+	believedDead        map[string]bool // by VM
+	believedUnreachable map[string]bool // by data centre
+	probedVersions      map[string]map[tier.Epoch][]tier.Version
+	reportedHoldings    map[holding][]tier.Version
+	backendStates       map[string]tier.BackendState
+	budget              *planner.Budget
+	parts               map[uint64]*part
+	calls               map[uint64]*call
+	partRequests        []*partRequest
+	lastPart            uint64
+	lastAttempt         uint64
 }
 
 type holding struct {
@@ -48,72 +48,73 @@
 	epoch         tier.Epoch
 }
 
-// part is what an owner was asked for.
+// part is a part of a request as its owner got it, of either a search or a booking.
 type part struct {
 	number   uint64
-	query    *query
+	search   *search
 	booking  *booking
 	snapshot tier.Snapshot
 	end      func(end any, leafCalls int)
 }
 
-// begin starts a life of the VM with the first set document.
-func (v *vm) begin() {
-	v.life++
-	v.dead, v.owns, v.paused, v.tickAt = false, false, 0, 0
-	v.gone, v.cut = map[string]bool{}, map[string]bool{}
-	v.reports, v.told = map[string]map[tier.Epoch][]tier.Version{}, map[holding][]tier.Version{}
-	v.states = map[string]tier.BackendState{}
-	v.parts, v.calls, v.asks = map[uint64]*part{}, map[uint64]*call{}, nil
+// start starts a new incarnation of the VM, with the latest published set document.
+func (v *vm) start() {
+	v.incarnation++
+	v.dead, v.believesOwner, v.pausedUntil, v.tickAt = false, false, 0, 0
+	v.believedDead, v.believedUnreachable = map[string]bool{}, map[string]bool{}
+	v.probedVersions, v.reportedHoldings = map[string]map[tier.Epoch][]tier.Version{}, map[holding][]tier.Version{}
+	v.backendStates = map[string]tier.BackendState{}
+	v.parts, v.calls, v.partRequests = map[uint64]*part{}, map[uint64]*call{}, nil
 	v.budget = planner.NewBudget(0.2, 20)
-	v.keeper, v.ref, v.set, v.former, v.core = replicator.New(v.name), replicator.Ref{}, nil, nil, nil
-	v.offer(v.w.states[max(0, v.w.published-1)])
-	v.core = dispatcher.New(v.set, v.dataCentre, dispatcher.WithSeed(v.w.random.Uint64()), dispatcher.WithTakeoverDelay(v.w.faults.takeover))
+	v.replicator, v.ref, v.set, v.earlierSet, v.dispatcher = replicator.New(v.name), replicator.Ref{}, nil, nil, nil
+	v.offerDocument(v.cluster.documentStates[max(0, v.cluster.publishedRevision-1)])
+	v.dispatcher = dispatcher.New(v.set, v.dataCentre, dispatcher.WithSeed(v.cluster.rng.Uint64()), dispatcher.WithTakeoverDelay(v.cluster.mutation.takeoverDelay))
 	v.step(&dispatcher.Standby{})
-	v.sync()
+	v.updateOwnership()
 }
 
-// deliver runs a duty of a life of the VM; a paused VM does it afterwards.
-func (v *vm) deliver(life int, after tier.Millis, do func()) {
-	v.w.after(after, func() {
+// scheduleOn calls do on an incarnation of the VM after a delay. While the VM is paused the call
+// is postponed, and after a crash it is dropped.
+func (v *vm) scheduleOn(incarnation int, after tier.Millis, do func()) {
+	v.cluster.schedule(after, func() {
 		switch {
-		case v.dead || v.life != life:
-		case v.paused > v.w.now:
-			v.deliver(life, v.paused-v.w.now, do)
+		case v.dead || v.incarnation != incarnation:
+		case v.pausedUntil > v.cluster.now:
+			v.scheduleOn(incarnation, v.pausedUntil-v.cluster.now, do)
 		default:
 			do()
 		}
 	})
 }
 
-// offer shows the VM a set document.
-func (v *vm) offer(s *replicator.State) {
-	called := v.w.stamp()
-	defer func() { v.note(use{offered: s.Ref().Revision(), called: called}) }()
-	if v.w.faults.lower {
-		v.take(s)
+// offerDocument passes a set document to the VM's replicator, as if read from the store.
+func (v *vm) offerDocument(s *replicator.State) {
+	called := v.cluster.nextTimestamp()
+	defer func() { v.recordConfigOperation(configOperation{offered: s.Ref().Revision(), startedAt: called}) }()
+	if v.cluster.mutation.acceptOlderConfig {
+		v.adoptDocument(s)
 		return
 	}
-	for _, a := range v.keeper.Step(v.w.now, replicator.NewChanged(storer.NewValue(s.Ref().Key(), v.w.stored[s], 1))) {
+	for _, a := range v.replicator.Step(v.cluster.now, replicator.NewChanged(storer.NewValue(s.Ref().Key(), v.cluster.encodedStates[s], 1))) {
 		if t, ok := a.(*replicator.Adopted); ok {
-			v.take(t.State())
+			v.adoptDocument(t.State())
 		}
 	}
 }
 
-func (v *vm) take(s *replicator.State) {
-	set := v.w.sets[tier.Epoch(1+(s.Ref().Revision()-1)/2)]
+func (v *vm) adoptDocument(s *replicator.State) {
+	set := v.cluster.sets[tier.Epoch(1+(s.Ref().Revision()-1)/2)]
 	if v.set != nil && v.set.Epoch() != set.Epoch() {
-		v.former = v.set
+		v.earlierSet = v.set
 	}
 	v.set, v.ref = set, s.Ref()
-	if v.core == nil {
+	if v.dispatcher == nil {
 		return
 	}
 	v.step(dispatcher.NewSetChanged(v.set))
-	for _, q := range v.w.queries {
-		if q.vm == v && q.life == v.life && q.outcome == nil && v.w.chance(50) {
-			q.step(planner.NewSetChanged(v.set))
+	for _, sr := range v.cluster.searches {
+		if sr.vm == v && sr.incarnation == v.incarnation && sr.outcome == nil && v.cluster.withProbability(50) {
+			sr.step(planner.NewSetChanged(v.set))
 		}
 	}
 }
@@ -121,9 +122,9 @@
 func (v *vm) owners(dataCentre string) []*vm {
 	var members []tier.VM
 	byName := map[string]*vm{}
-	for _, o := range v.w.vms {
+	for _, o := range v.cluster.vms {
 		byName[o.name] = o
-		if !v.gone[o.name] {
+		if !v.believedDead[o.name] {
 			members = append(members, tier.NewVM(o.name, o.dataCentre, "127.0.0.1:1", tier.WithVMState(tier.VMLive)))
 		}
 	}
@@ -134,69 +135,71 @@
 	return out
 }
 
-// die ends a life: its connections break, and the others learn of it.
-func (v *vm) die() {
-	v.dead, v.owns = true, false
+// crash ends an incarnation. Its calls and part requests break off, and the other VMs learn of
+// its death with a delay.
+func (v *vm) crash() {
+	v.dead, v.believesOwner = true, false
 	for _, c := range v.calls {
 		c.release()
 	}
-	for _, k := range v.asks {
-		if !k.answeredBy[v] {
-			k.lost = true
-			k.back(1+v.w.upTo(5), k.next)
+	for _, pr := range v.partRequests {
+		if !pr.answeredBy[v] {
+			pr.ownerDied = true
+			pr.notifyFront(1+v.cluster.upTo(5), pr.tryNextOwner)
 		}
 	}
-	v.spread()
+	v.announceLiveness()
 }
 
-// spread has the others look, each after a while, whether this VM lives.
-func (v *vm) spread() {
-	for _, o := range v.w.vms {
+// announceLiveness makes every other VM learn, after a delay, whether this VM is dead.
+func (v *vm) announceLiveness() {
+	for _, o := range v.cluster.vms {
 		if o != v {
-			o.deliver(o.life, 50+v.w.upTo(700), func() { o.believe(v.name, v.dead) })
+			o.scheduleOn(o.incarnation, 50+v.cluster.upTo(700), func() { o.setBelievedDead(v.name, v.dead) })
 		}
 	}
 }
 
-// pause stops a VM for a while; some others take it for dead meanwhile.
+// pause stops the VM for some time, during which some of the others believe that it is dead.
 func (v *vm) pause(m tier.Millis) {
-	v.paused = v.w.now + m
-	for _, o := range v.w.vms {
-		if o != v && v.w.chance(70) {
-			o.deliver(o.life, v.w.upTo(m), func() { o.believe(v.name, true) })
-			o.deliver(o.life, m+v.w.upTo(300), func() { o.believe(v.name, v.dead) })
+	v.pausedUntil = v.cluster.now + m
+	for _, o := range v.cluster.vms {
+		if o != v && v.cluster.withProbability(70) {
+			o.scheduleOn(o.incarnation, v.cluster.upTo(m), func() { o.setBelievedDead(v.name, true) })
+			o.scheduleOn(o.incarnation, m+v.cluster.upTo(300), func() { o.setBelievedDead(v.name, v.dead) })
 		}
 	}
 }
 
-// sync tells the dispatcher whether this VM believes that it owns the set.
-func (v *vm) sync() {
+// updateOwnership tells the dispatcher whether this VM owns the set according to its own view of
+// the members.
+func (v *vm) updateOwnership() {
 	l := v.owners(v.dataCentre)
-	v.owns = len(l) > 0 && l[0] == v
-	if v.owns {
+	v.believesOwner = len(l) > 0 && l[0] == v
+	if v.believesOwner {
 		v.step(dispatcher.NewShareChanged(1, 0))
 		return
 	}
 	v.step(&dispatcher.Standby{})
 }
 
-// believe has the VM learn that another one is dead or lives.
-func (v *vm) believe(name string, dead bool) {
-	v.gone[name] = dead
-	v.sync()
+// setBelievedDead sets whether the VM believes that another one is dead.
+func (v *vm) setBelievedDead(name string, dead bool) {
+	v.believedDead[name] = dead
+	v.updateOwnership()
 }
 
 func (v *vm) step(e dispatcher.Event) {
-	for _, a := range v.core.Step(v.w.now, e) {
-		v.act(a)
+	for _, a := range v.dispatcher.Step(v.cluster.now, e) {
+		v.perform(a)
 	}
-	next, ok := v.core.NextTick()
-	if !ok || v.tickAt > v.w.now && v.tickAt <= next {
+	next, ok := v.dispatcher.NextTick()
+	if !ok || v.tickAt > v.cluster.now && v.tickAt <= next {
 		return
 	}
-	v.tickAt = max(next, v.w.now+1)
+	v.tickAt = max(next, v.cluster.now+1)
 	at := v.tickAt
-	v.deliver(v.life, at-v.w.now, func() {
+	v.scheduleOn(v.incarnation, at-v.cluster.now, func() {
 		if v.tickAt == at {
 			v.tickAt = 0
 			v.step(&dispatcher.Tick{})
@@ -204,20 +207,20 @@
 	})
 }
 
-func (v *vm) act(a dispatcher.Action) {
+func (v *vm) perform(a dispatcher.Action) {
 	switch a := a.(type) {
 	case *dispatcher.Call:
-		v.call(a)
+		v.startCall(a)
 	case *dispatcher.CancelCall:
 		if c := v.calls[a.Attempt()]; c != nil {
-			v.deliver(v.life, 6, func() { v.failed(c) })
+			v.scheduleOn(v.incarnation, 6, func() { v.callFailed(c) })
 		}
 	case *dispatcher.PartDone:
 		v.partDone(a)
 	case *dispatcher.PartRefused:
-		v.finish(a.Part(), a, 0)
+		v.endPart(a.Part(), a, 0)
 	case *dispatcher.PartUnknown:
-		v.finish(a.Part(), a, 1)
+		v.endPart(a.Part(), a, 1)
 	}
 }
 
@@ -227,74 +230,75 @@
 	p.number = v.lastPart
 	v.parts[p.number] = p
 	var opts []dispatcher.SubmitOption
-	if p.query != nil {
+	if p.search != nil {
 		opts = append(opts, dispatcher.WithSnapshot(p.snapshot))
-	} else if !v.w.faults.hedged {
+	} else if !v.cluster.mutation.hedgeBookings {
 		opts = append(opts, dispatcher.NonIdempotent())
 	}
 	v.step(dispatcher.NewSubmit(p.number, profile, deadline, shards, opts...))
 }
 
-func (v *vm) call(a *dispatcher.Call) {
+func (v *vm) startCall(a *dispatcher.Call) {
 	p := v.parts[a.Part()]
-	v.attempts++
+	v.lastAttempt++
 	c := &call{
-		vm: v, life: v.life, attempt: a.Attempt(), part: p, shard: a.Shard(), snapshot: a.Snapshot(), server: v.w.byName[a.Server()],
-		id: tier.NewAttemptID(v.name, tier.Incarnation(v.life), v.attempts),
+		vm: v, incarnation: v.incarnation, attempt: a.Attempt(), part: p, shard: a.Shard(), snapshot: a.Snapshot(), server: v.cluster.serverByName[a.Server()],
+		id: tier.NewAttemptID(v.name, tier.Incarnation(v.incarnation), v.lastAttempt),
 	}
 	v.calls[c.attempt] = c
-	if p.query != nil {
-		p.query.calls++
+	if p.search != nil {
+		p.search.leafCalls++
 	}
-	v.w.inFlight(c)
-	if !v.w.chance(2) {
-		v.w.after(v.w.upTo(2), func() { c.server.arrive(c) })
+	v.cluster.callStarted(c)
+	if !v.cluster.withProbability(2) {
+		v.cluster.schedule(v.cluster.upTo(2), func() { c.server.handleCall(c) })
 	}
-	v.deliver(v.life, a.Deadline()-v.w.now, func() { v.failed(c) })
+	v.scheduleOn(v.incarnation, a.Deadline()-v.cluster.now, func() { v.callFailed(c) })
 }
 
-// failed ends a call whose deadline passed or that was cancelled.
-func (v *vm) failed(c *call) {
-	if c.over {
+// callFailed ends a call whose deadline passed or that was cancelled.
+func (v *vm) callFailed(c *call) {
+	if c.ended {
 		return
 	}
-	c.over = true
+	c.ended = true
 	c.release()
 	v.step(dispatcher.NewCallEnded(c.attempt, &dispatcher.ReplyFailed{}))
 }
 
-// replied checks a server's answer as the daemon does.
-func (v *vm) replied(c *call, a *answer) {
-	if c.over {
-		v.w.counts["repeated"]++
+// callReplied checks a server's reply in the same way as the daemon does.
+func (v *vm) callReplied(c *call, a *leafReply) {
+	if c.ended {
+		v.cluster.counts["duplicate reply"]++
 		return
 	}
-	c.over = true
+	c.ended = true
 	var result dispatcher.Result = a.notRun
 	var err error
 	switch {
-	case a.reply != nil:
-		result, err = &dispatcher.ReplyOK{}, correlator.CheckSearchReply(c.expect(), *a.reply)
-		c.records = a.reply.Records()
-	case a.receipt != nil:
-		result, err = &dispatcher.ReplyOK{}, correlator.CheckBookingReply(c.expect(), *a.receipt)
-		c.receipt = a.receipt.Receipt()
+	case a.search != nil:
+		result, err = &dispatcher.ReplyOK{}, correlator.CheckSearchReply(c.expectation(), *a.search)
+		c.records = a.search.Records()
+	case a.booking != nil:
+		result, err = &dispatcher.ReplyOK{}, correlator.CheckBookingReply(c.expectation(), *a.booking)
+		c.receipt = a.booking.Receipt()
 	}
 	var m *correlator.MismatchError
-	if errors.As(err, &m) && m.Field() != v.w.faults.ignored {
-		v.w.counts["rejected "+string(m.Field())]++
+	if errors.As(err, &m) && m.Field() != v.cluster.mutation.ignoredField {
+		v.cluster.counts["rejected "+string(m.Field())]++
 		result = &dispatcher.ReplyRejected{}
-	} else if a.reply != nil {
-		v.tell(c.server.backend.Name(), c.shard, a.epoch, a.held)
+	} else if a.search != nil {
+		v.reportHolding(c.server.backend.Name(), c.shard, a.epoch, a.held)
 	}
 	v.step(dispatcher.NewCallEnded(c.attempt, result))
 }
 
-// tell passes on what a server holds, if it is news.
-func (v *vm) tell(server, shard string, e tier.Epoch, held []tier.Version) {
+// reportHolding tells the dispatcher which versions of a shard a server holds, if that has
+// changed.
+func (v *vm) reportHolding(server, shard string, e tier.Epoch, held []tier.Version) {
 	k := holding{server, shard, e}
-	if old, ok := v.told[k]; !ok || !slices.Equal(old, held) {
-		v.told[k] = held
+	if old, ok := v.reportedHoldings[k]; !ok || !slices.Equal(old, held) {
+		v.reportedHoldings[k] = held
 		v.step(dispatcher.NewHoldingChanged(server, shard, e, held))
 	}
 }
@@ -308,53 +312,53 @@
 		results = append(results, merger.NewMissingShard(m.Shard(), m.Reason()))
 	}
 	if p := v.parts[a.Part()]; p.booking != nil && len(a.Winners()) > 0 {
-		v.finish(a.Part(), v.calls[a.Winners()[0].Attempt()].receipt, a.Calls())
+		v.endPart(a.Part(), v.calls[a.Winners()[0].Attempt()].receipt, a.Calls())
 		return
 	}
-	v.finish(a.Part(), results, a.Calls())
+	v.endPart(a.Part(), results, a.Calls())
 }
 
-func (v *vm) finish(number uint64, end any, leafCalls int) {
+func (v *vm) endPart(number uint64, end any, leafCalls int) {
 	p := v.parts[number]
 	delete(v.parts, number)
 	p.end(end, leafCalls)
 }
 
-// hear has the VM learn what a server tells; only VMs of the server's data
-// centre may call it.
-func (v *vm) hear(s *server, state tier.BackendState, held map[tier.Epoch][]tier.Version) {
-	v.reports[s.backend.Name()] = held
+// probeReplied handles a server's health reply. Only VMs in the server's data centre call it, so
+// only these pass the reply on to their dispatcher.
+func (v *vm) probeReplied(s *server, state tier.BackendState, held map[tier.Epoch][]tier.Version) {
+	v.probedVersions[s.backend.Name()] = held
 	if v.dataCentre != s.backend.DataCentre() {
 		return
 	}
-	if v.states[s.backend.Name()] != state {
-		v.states[s.backend.Name()] = state
+	if v.backendStates[s.backend.Name()] != state {
+		v.backendStates[s.backend.Name()] = state
 		v.step(dispatcher.NewBackendChanged(s.backend.Name(), state))
 	}
 	for e := tier.Epoch(1); e <= 3; e++ {
-		for _, h := range v.w.sets[e].Shards() {
+		for _, h := range v.cluster.sets[e].Shards() {
 			if slices.Contains(h.Replicas(), s.backend.Name()) {
-				v.tell(s.backend.Name(), h.ID(), e, held[e])
+				v.reportHolding(s.backend.Name(), h.ID(), e, held[e])
 			}
 		}
 	}
 }
 
-// Set, Earlier, Versions and Reachable make a planner.EarlierView.
+// Set, Earlier, Versions and Reachable implement planner.EarlierView.
 func (v *vm) Set(string) (*tier.ShardSet, bool) { return v.set, true }
 
-func (v *vm) Earlier(string) (*tier.ShardSet, bool) { return v.former, v.former != nil }
+func (v *vm) Earlier(string) (*tier.ShardSet, bool) { return v.earlierSet, v.earlierSet != nil }
 
 func (v *vm) Versions(_, dataCentre, shard string) (tier.Epoch, []tier.Version) {
 	for e := tier.Epoch(3); e > 0; e-- {
-		h, ok := shardOf(v.w.sets[e], shard)
+		h, ok := shardOf(v.cluster.sets[e], shard)
 		if !ok {
 			continue
 		}
 		var out []tier.Version
 		for _, r := range h.Replicas() {
-			if v.w.byName[r].backend.DataCentre() == dataCentre {
-				out = append(out, v.reports[r][e]...)
+			if v.cluster.serverByName[r].backend.DataCentre() == dataCentre {
+				out = append(out, v.probedVersions[r][e]...)
 			}
 		}
 		if len(out) > 0 {
@@ -364,4 +368,4 @@
 	return 0, nil
 }
 
-func (v *vm) Reachable(dataCentre string) bool { return !v.cut[dataCentre] }
+func (v *vm) Reachable(dataCentre string) bool { return !v.believedUnreachable[dataCentre] }
