--- a/tier/prover/vm_test.go
+++ b/tier/prover/vm_test.go
@@ -89,8 +89,8 @@
 
 // offerDocument passes a set document to the VM's replicator, as if read from the store.
 func (v *vm) offerDocument(s *replicator.State) {
-	called := v.cluster.nextTimestamp()
-	defer func() { v.recordConfigOperation(configOperation{offered: s.Ref().Revision(), startedAt: called}) }()
+	startedAt := v.cluster.nextTimestamp()
+	defer func() { v.recordConfigOperation(configOperation{offered: s.Ref().Revision(), startedAt: startedAt}) }()
 	if v.cluster.mutation.acceptOlderConfig {
 		v.adoptDocument(s)
 		return
