--- a/cicadagraded/announce.go
+++ b/cicadagraded/announce.go
@@ -48,7 +48,7 @@
 		c.logger.Warn("announcement", "key", key, "error", err)
 		return
 	}
-	c.locator.Announced(w[0], index, vm, r)
+	c.locator.UpdateRemoteOwner(w[0], index, vm, r)
 }
 
 // announcementKeys lists the keys of the owners of all sets.
--- a/cicadagraded/booker/book.go
+++ b/cicadagraded/booker/book.go
@@ -39,10 +39,10 @@
 	return r
 }
 
-// Send sends a booking on its way. It returns *tier.Booked, *tier.Refused
+// SendFunc sends a booking on its way. It returns *tier.Booked, *tier.Refused
 // only if the booking was not run and never will be by this sending, or
 // *tier.Unknown.
-type Send func(ctx context.Context) tier.Outcome
+type SendFunc func(ctx context.Context) tier.Outcome
 
 // Mint returns a key that this life of the VM alone can run. It is empty if
 // the duty has stopped or ctx ended.
@@ -65,7 +65,7 @@
 // is a *claimer.KeyReusedError or a *tier.InvalidError. When ctx ends before
 // the send, nothing is sent; a send that has begun goes on to its deadline,
 // so that its outcome can be recorded.
-func (c *Booker) Book(ctx context.Context, r Request, send Send) (tier.Outcome, error) {
+func (c *Booker) Book(ctx context.Context, r Request, send SendFunc) (tier.Outcome, error) {
 	key, err := claimer.ParseKey(r.key)
 	if err != nil {
 		return nil, errors.Wrap(err, "Booker.Book")
@@ -82,7 +82,7 @@
 }
 
 // await follows a booking to its end.
-func (c *Booker) await(ctx context.Context, ticket uint64, mail *ring.Ring[claimer.Action], send Send) (tier.Outcome, error) {
+func (c *Booker) await(ctx context.Context, ticket uint64, mail *ring.Ring[claimer.Action], send SendFunc) (tier.Outcome, error) {
 	gone := ctx.Done()
 	for {
 		select {
@@ -105,7 +105,7 @@
 
 // sendOnce sends unless the caller has gone or the deadline has passed, as
 // after a pause of the VM.
-func (c *Booker) sendOnce(ctx context.Context, a *claimer.Run, send Send) tier.Outcome {
+func (c *Booker) sendOnce(ctx context.Context, a *claimer.Run, send SendFunc) tier.Outcome {
 	if ctx.Err() != nil {
 		return tier.NewRefused(tier.RefuseCallerGone, 0)
 	}
@@ -171,7 +171,7 @@
 // Error says so.
 func (*StoppedError) Error() string { return "the booker has stopped" }
 
-// Today is the UTC date that a caller's own key of now starts with.
-func Today(clock *tier.Clock) string {
+// KeyDate is the UTC date that a caller's own key of now starts with.
+func KeyDate(clock *tier.Clock) string {
 	return time.UnixMilli(int64(clock.Wall())).UTC().Format(time.DateOnly)
 }
--- a/cicadagraded/daemon.go
+++ b/cicadagraded/daemon.go
@@ -9,8 +9,8 @@
 	"github.com/oklog/run"
 	"github.com/pkg/errors"
 
-	"cicadagrade.example/cicadagraded/asker"
 	"cicadagrade.example/cicadagraded/booker"
+	"cicadagrade.example/cicadagraded/coordinator"
 	"cicadagrade.example/cicadagraded/exchanger"
 	"cicadagrade.example/cicadagraded/handler"
 	"cicadagrade.example/cicadagraded/locator"
@@ -110,8 +110,8 @@
 	d.config = watcher.New(d.self, store, d.clock,
 		watcher.WithPeers(d.peer),
 		watcher.WithPublisher(gossip.Publish),
-		watcher.WithWarnings(d.warn),
-		watcher.WithKeeper(replicator.WithSeeds(d.otherSeeds())))
+		watcher.WithAlertHandler(d.warn),
+		watcher.WithReplicatorOptions(replicator.WithSeeds(d.otherSeeds())))
 	d.booker = booker.New(store, d.self.Name(), d.self.Incarnation(), d.clock, booker.WithLive(d.live))
 	d.control = &control{
 		self: d.self, logger: d.logger, gossip: gossip, changes: changes,
@@ -173,12 +173,12 @@
 	c := &claims{booker: d.booker}
 	f := &forwarded{claims: c, registry: d.registry}
 	server := messenger.NewServer(d.clock, d.registry, f, d.gossip, d.config, d.inflight.enterPeer)
-	d.client = messenger.NewClient(d.self, server, d.clock, messenger.WithDialled(d.settings.dialled), messenger.WithThresholds(d.locator.Threshold))
-	front := asker.New(d.self.DataCentre(), d.clock, d.locator, d.client, c)
+	d.client = messenger.NewClient(d.self, server, d.clock, messenger.WithDialAddress(d.settings.dialled), messenger.WithThresholdHandler(d.locator.UpdateThreshold))
+	front := coordinator.New(d.self.DataCentre(), d.clock, d.locator, d.client, c)
 	h := handler.New(d.self.Name(), d.clock, d.config, front, d.inflight, d,
 		handler.WithMetrics(m.Handler()),
-		handler.WithEnded(m.RecordRequest),
-		handler.WithMaxBody(int64(d.settings.maxBodyBytes)))
+		handler.WithRequestObserver(m.RecordRequest),
+		handler.WithMaxBodyBytes(int64(d.settings.maxBodyBytes)))
 	d.api = &http.Server{Addr: d.settings.apiAddress, Handler: h.Routes(), ReadHeaderTimeout: headerTimeout.Duration(), IdleTimeout: idleTimeout.Duration()}
 	protocols := &http.Protocols{}
 	protocols.SetHTTP1(true)
--- a/cicadagraded/watcher/spread_test.go
+++ b/cicadagraded/watcher/spread_test.go
@@ -66,7 +66,7 @@
 			n.watcher.OnMembers(local, remote)
 		case *gossiper.EntryChanged:
 			if strings.HasPrefix(a.Key(), watcher.IndexKeyPrefix) {
-				_ = n.watcher.OnIndex(a.Origin(), a.Key(), a.Value())
+				_ = n.watcher.OnIndexEntry(a.Origin(), a.Key(), a.Value())
 			}
 		}
 	}
@@ -132,7 +132,7 @@
 	sort.Float64s(taken)
 	b.ReportMetric(taken[len(taken)/2], "median-ms")
 	b.ReportMetric(taken[len(taken)-1], "worst-ms")
-	b.ReportMetric(float64(server.Calls().Total)/float64(len(taken)), "store-calls/op")
+	b.ReportMetric(float64(server.CallCounts().Total)/float64(len(taken)), "store-calls/op")
 	cancel()
 	_ = group.Wait()
 }
--- a/cicadagraded/watcher/view.go
+++ b/cicadagraded/watcher/view.go
@@ -74,11 +74,11 @@
 // Documents names the documents in force, sorted by key.
 func (s Status) Documents() []replicator.Ref { return s.documents }
 
-// Flags lists the troubles that an operator has to look at.
-func (s Status) Flags() []replicator.Alert { return s.flags }
+// Alerts lists the troubles that an operator has to look at.
+func (s Status) Alerts() []replicator.Alert { return s.flags }
 
-// Watcher reports whether this VM watches the store for its data centre.
-func (s Status) Watcher() bool { return s.watcher }
+// WatchesStore reports whether this VM watches the store for its data centre.
+func (s Status) WatchesStore() bool { return s.watcher }
 
 // Counts counts reads, watches and fetches since the start.
 func (s Status) Counts() replicator.Counts { return s.counts }
--- a/cicadagraded/watcher/watcher.go
+++ b/cicadagraded/watcher/watcher.go
@@ -84,11 +84,11 @@
 	return func(w *Watcher) { w.publish = publish }
 }
 
-// WithWarnings has warn called for each flag that is raised.
-func WithWarnings(warn func(replicator.Alert)) Option { return func(w *Watcher) { w.warn = warn } }
+// WithAlertHandler has warn called for each flag that is raised.
+func WithAlertHandler(warn func(replicator.Alert)) Option { return func(w *Watcher) { w.warn = warn } }
 
-// WithKeeper passes options to the keeper.
-func WithKeeper(opts ...replicator.Option) Option {
+// WithReplicatorOptions passes options to the keeper.
+func WithReplicatorOptions(opts ...replicator.Option) Option {
 	return func(w *Watcher) { w.options = append(w.options, opts...) }
 }
 
@@ -109,7 +109,7 @@
 
 		endWatch: func() {},
 	}
-	w.Defaults()
+	w.setDefaults()
 	for _, o := range opts {
 		o(w)
 	}
@@ -119,8 +119,8 @@
 	return w
 }
 
-// Defaults sets no peers, publishes nowhere and ignores warnings.
-func (w *Watcher) Defaults() {
+// setDefaults sets no peers, publishes nowhere and ignores warnings.
+func (w *Watcher) setDefaults() {
 	w.dial = func(string) (Peer, bool) { return nil, false }
 	w.publish = func(string, []byte) error { return nil }
 	w.warn = func(replicator.Alert) {}
--- a/standin/checker/checker_test.go
+++ b/standin/checker/checker_test.go
@@ -109,7 +109,7 @@
 				l.Ended("r-1", "body", &Answer{requestID: "r-1", outcome: o, receipt: "receipt"})
 			}
 			var kinds []Kind
-			for _, v := range l.Check(slices.Repeat([]leafserver.Booked{{Body: "body", Receipt: "receipt"}}, x.ran)) {
+			for _, v := range l.Check(slices.Repeat([]leafserver.AppliedBooking{{Body: "body", Receipt: "receipt"}}, x.ran)) {
 				kinds = append(kinds, v.Kind)
 			}
 			if !slices.Equal(kinds, x.kinds) {
--- a/standin/checker/ledger.go
+++ b/standin/checker/ledger.go
@@ -57,7 +57,7 @@
 }
 
 // Check compares the outcomes with the bookings that took effect.
-func (l *Ledger) Check(booked []leafserver.Booked) []Violation {
+func (l *Ledger) Check(booked []leafserver.AppliedBooking) []Violation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	ran := map[string][]string{}
--- a/standin/loader/run_test.go
+++ b/standin/loader/run_test.go
@@ -156,10 +156,10 @@
 // controlPort answers as a fleet that ran every search, or none.
 func controlPort(started bool) http.Handler {
 	if !started {
-		return leafserver.NewFleet(nil, recorder.New(1)).Control()
+		return leafserver.NewFleet(nil, recorder.New(1)).ControlHandler()
 	}
 	m := http.NewServeMux()
-	m.Handle("/", leafserver.NewFleet(nil, recorder.New(1)).Control())
+	m.Handle("/", leafserver.NewFleet(nil, recorder.New(1)).ControlHandler())
 	m.HandleFunc("POST /started", func(w http.ResponseWriter, r *http.Request) {
 		var q struct {
 			Tags []string `json:"tags"`
--- a/standin/loader/summary.go
+++ b/standin/loader/summary.go
@@ -96,13 +96,13 @@
 // servers ran.
 func (s *summary) compareWithJournal(ctx context.Context) {
 	_ = sleepUntil(ctx, time.Now().Add(settle))
-	booked, err := s.run.backends.Booked(ctx, 0)
+	booked, err := s.run.backends.AppliedBookings(ctx, 0)
 	if err != nil {
 		s.out.Unchecked = append(s.out.Unchecked, "bookings: "+err.Error())
 	} else {
 		s.violate(s.run.ledger.Check(booked))
 	}
-	started, err := s.run.backends.Started(ctx, s.refused)
+	started, err := s.run.backends.StartedTags(ctx, s.refused)
 	if err != nil {
 		s.out.Unchecked = append(s.out.Unchecked, "refused searches: "+err.Error())
 		return
@@ -164,7 +164,7 @@
 func (r *Run) post(ctx context.Context, o order) error {
 	switch o.to {
 	case toBackends:
-		_, err := r.backends.Order(ctx, o.body)
+		_, err := r.backends.SetFaults(ctx, o.body)
 		return err
 	case toStore:
 		return command(ctx, http.MethodPut, "http://"+r.deployment.Store()+"/faults", o.body)
--- a/standin/loader/workload.go
+++ b/standin/loader/workload.go
@@ -155,7 +155,7 @@
 			if err != nil {
 				return err
 			}
-			orders[j].Order = leafserver.LearnOrder(b)
+			orders[j].Order = leafserver.LearnRequest(b)
 		}
 	}
 	return nil
