--- a/api/backend/v1/backendv1connect/backend.connect.go
+++ b/api/backend/v1/backendv1connect/backend.connect.go
@@ -4,9 +4,9 @@
 
 // The protocol of backend servers, spoken as Connect over HTTP/1.1.
 //
-// A server that answers with the codes RESOURCE_EXHAUSTED (it sheds load),
-// UNAVAILABLE (it is leaving) or FAILED_PRECONDITION (it does not hold the
-// named shard at the named snapshot) has not run the request.
+// A server that returns the code RESOURCE_EXHAUSTED (it sheds load),
+// UNAVAILABLE (it is shutting down) or FAILED_PRECONDITION (it does not hold
+// the given shard at the given snapshot) has not run the request.
 package backendv1connect
 
 import (
@@ -50,9 +50,10 @@
 type LeafServiceClient interface {
 	// Search returns the records of one shard that match the term.
 	Search(context.Context, *connect.Request[v1.SearchRequest]) (*connect.Response[v1.SearchReply], error)
-	// Book runs a request that may not be repeated.
+	// Book runs a booking, a request that is not idempotent.
 	Book(context.Context, *connect.Request[v1.BookRequest]) (*connect.Response[v1.BookReply], error)
-	// Health tells state, load and what the server holds. It may lag.
+	// Health returns the server's state, its load and what it holds. The reply
+	// may be out of date.
 	Health(context.Context, *connect.Request[v1.HealthRequest]) (*connect.Response[v1.HealthReply], error)
 }
 
@@ -114,9 +115,10 @@
 type LeafServiceHandler interface {
 	// Search returns the records of one shard that match the term.
 	Search(context.Context, *connect.Request[v1.SearchRequest]) (*connect.Response[v1.SearchReply], error)
-	// Book runs a request that may not be repeated.
+	// Book runs a booking, a request that is not idempotent.
 	Book(context.Context, *connect.Request[v1.BookRequest]) (*connect.Response[v1.BookReply], error)
-	// Health tells state, load and what the server holds. It may lag.
+	// Health returns the server's state, its load and what it holds. The reply
+	// may be out of date.
 	Health(context.Context, *connect.Request[v1.HealthRequest]) (*connect.Response[v1.HealthReply], error)
 }
 
--- a/api/gather/v1/gatherv1connect/gather.connect.go
+++ b/api/gather/v1/gatherv1connect/gather.connect.go
@@ -2,8 +2,8 @@
 //
 // Source: cicadagrade/gather/v1/gather.proto
 
-// How an entry VM has another one ask a share of the shards, spoken as Connect
-// over HTTP/1.1.
+// The protocol by which an entry VM delegates some of the shards of a search,
+// a share, to another entry VM. It is spoken as Connect over HTTP/1.1.
 package gatherv1connect
 
 import (
@@ -45,12 +45,13 @@
 
 // GatherServiceClient is a client for the cicadagrade.gather.v1.GatherService service.
 type GatherServiceClient interface {
-	// Gather asks the named shards and merges what they answer. The first reply
-	// only says that the request has arrived.
+	// Gather searches the given shards and merges their replies. The first
+	// reply only acknowledges the request.
 	Gather(context.Context, *connect.Request[v1.GatherRequest]) (*connect.ServerStreamForClient[v1.GatherReply], error)
-	// Fetch returns what the VM has read of the store.
+	// Fetch returns the items that the VM has read from the store.
 	Fetch(context.Context, *connect.Request[v1.FetchRequest]) (*connect.Response[v1.FetchReply], error)
-	// Ping only answers: a VM that was passed over is probed by it.
+	// Ping returns an empty reply. It probes VMs that are suspected to be down and
+	// keeps connections open.
 	Ping(context.Context, *connect.Request[v1.PingRequest]) (*connect.Response[v1.PingReply], error)
 }
 
@@ -110,12 +111,13 @@
 
 // GatherServiceHandler is an implementation of the cicadagrade.gather.v1.GatherService service.
 type GatherServiceHandler interface {
-	// Gather asks the named shards and merges what they answer. The first reply
-	// only says that the request has arrived.
+	// Gather searches the given shards and merges their replies. The first
+	// reply only acknowledges the request.
 	Gather(context.Context, *connect.Request[v1.GatherRequest], *connect.ServerStream[v1.GatherReply]) error
-	// Fetch returns what the VM has read of the store.
+	// Fetch returns the items that the VM has read from the store.
 	Fetch(context.Context, *connect.Request[v1.FetchRequest]) (*connect.Response[v1.FetchReply], error)
-	// Ping only answers: a VM that was passed over is probed by it.
+	// Ping returns an empty reply. It probes VMs that are suspected to be down and
+	// keeps connections open.
 	Ping(context.Context, *connect.Request[v1.PingRequest]) (*connect.Response[v1.PingReply], error)
 }
 
--- a/api/peer/v1/peerv1connect/peer.connect.go
+++ b/api/peer/v1/peerv1connect/peer.connect.go
@@ -46,13 +46,14 @@
 
 // PeerServiceClient is a client for the cicadagrade.peer.v1.PeerService service.
 type PeerServiceClient interface {
-	// Ask has an owner run its part of a search.
+	// Ask makes an owner run a part of a search, some of its shards.
 	Ask(context.Context, *connect.Request[v1.AskRequest]) (*connect.Response[v1.AskReply], error)
-	// Book has an owner run a request that may not be repeated.
+	// Book makes an owner run a booking, a request that is not idempotent.
 	Book(context.Context, *connect.Request[v1.BookRequest]) (*connect.Response[v1.BookReply], error)
-	// Exchange is one round of gossip: both sides send digests and deltas.
+	// Exchange is one round of gossip. Both sides send digests of what they have
+	// and the entries that the other side lacks.
 	Exchange(context.Context, *connect.Request[v1.ExchangeRequest]) (*connect.Response[v1.ExchangeReply], error)
-	// Fetch returns configuration documents, whole or as deltas.
+	// Fetch returns configuration documents, in full or as deltas.
 	Fetch(context.Context, *connect.Request[v1.FetchRequest]) (*connect.Response[v1.FetchReply], error)
 }
 
@@ -124,13 +125,14 @@
 
 // PeerServiceHandler is an implementation of the cicadagrade.peer.v1.PeerService service.
 type PeerServiceHandler interface {
-	// Ask has an owner run its part of a search.
+	// Ask makes an owner run a part of a search, some of its shards.
 	Ask(context.Context, *connect.Request[v1.AskRequest]) (*connect.Response[v1.AskReply], error)
-	// Book has an owner run a request that may not be repeated.
+	// Book makes an owner run a booking, a request that is not idempotent.
 	Book(context.Context, *connect.Request[v1.BookRequest]) (*connect.Response[v1.BookReply], error)
-	// Exchange is one round of gossip: both sides send digests and deltas.
+	// Exchange is one round of gossip. Both sides send digests of what they have
+	// and the entries that the other side lacks.
 	Exchange(context.Context, *connect.Request[v1.ExchangeRequest]) (*connect.Response[v1.ExchangeReply], error)
-	// Fetch returns configuration documents, whole or as deltas.
+	// Fetch returns configuration documents, in full or as deltas.
 	Fetch(context.Context, *connect.Request[v1.FetchRequest]) (*connect.Response[v1.FetchReply], error)
 }
 
