--- a/cicadagrade/apply.go
+++ b/cicadagrade/apply.go
@@ -109,7 +109,7 @@
 		committer.WithTimeout(tier.Millis(ch.retryMs)),
 		committer.WithHighestServed(dc.highestServed(c, replicator.KeyOf(d))),
 	}
-	return dc.commit(c, ch, committer.New(d, ch.id, ch.who, ch.reason, dc.clock.Wall(), opts...))
+	return dc.commit(c, ch, committer.New(d, ch.id, ch.who, ch.reason, dc.clock.WallTime(), opts...))
 }
 
 // highestServed returns the newest reference to a document that the VMs of --vms serve. It prints
--- a/cicadagrade/reconcile.go
+++ b/cicadagrade/reconcile.go
@@ -69,7 +69,7 @@
 		return err
 	}
 	opts := []committer.Option{committer.WithTimeout(tier.Millis(ch.retryMs))}
-	return dc.commit(c, ch, committer.NewReconciliation(served, ch.id, ch.who, ch.reason, dc.clock.Wall(), opts...))
+	return dc.commit(c, ch, committer.NewReconciliation(served, ch.id, ch.who, ch.reason, dc.clock.WallTime(), opts...))
 }
 
 // isUnreadable reports whether err means that the stored document is corrupt or invalid, so that a
--- a/cicadagraded/control.go
+++ b/cicadagraded/control.go
@@ -17,7 +17,7 @@
 	"cicadagrade.example/tier/admitter"
 	"cicadagrade.example/tier/gossiper"
 	"cicadagrade.example/tier/picker"
-	"cicadagrade.example/tier/ring"
+	"cicadagrade.example/tier/queue"
 )
 
 // Intervals, sizes and gossip keys of the control loop.
@@ -38,14 +38,14 @@
 	self           tier.VM
 	logger         *log.Logger
 	gossip         *exchanger.Exchanger
-	changes        *ring.Ring[gossiper.Action]
+	changes        *queue.Queue[gossiper.Action]
 	config         *watcher.Watcher
 	locator        *locator.Locator
 	registry       *owner.Registry
 	members        []tier.VM
 	sets           []*tier.ShardSet
 	droppedChanges uint64
-	replacedBy     *ring.Ring[tier.VM]
+	replacedBy     *queue.Queue[tier.VM]
 	joined         bool
 	joinWaitStart  tier.Millis
 	clock          *tier.Clock
@@ -60,7 +60,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case action := <-c.changes.Out():
+		case action := <-c.changes.Chan():
 			c.onGossipChange(action)
 		case <-ticker.C:
 			if err := c.sync(ctx); err != nil {
--- a/cicadagraded/daemon.go
+++ b/cicadagraded/daemon.go
@@ -21,8 +21,8 @@
 	"cicadagrade.example/platform"
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/gossiper"
+	"cicadagrade.example/tier/queue"
 	"cicadagrade.example/tier/replicator"
-	"cicadagrade.example/tier/ring"
 )
 
 // daemon holds the components of one entry VM.
@@ -44,7 +44,7 @@
 	peerClient  *messenger.Client
 	apiServer   *http.Server
 	peerServer  *http.Server
-	replacedBy  *ring.Ring[tier.VM] // the VM that took this VM's name, if any
+	replacedBy  *queue.Queue[tier.VM] // the VM that took this VM's name, if any
 	ctx         context.Context
 	cancel      context.CancelFunc
 }
@@ -74,9 +74,9 @@
 		settings: s, logger: logger, clock: clock, ctx: ctx, cancel: cancel,
 		inflight:   newInflight(s.maxRequests),
 		locator:    locator.New(clock),
-		replacedBy: ring.New[tier.VM](1),
+		replacedBy: queue.New[tier.VM](1),
 		self: tier.NewVM(s.name, s.dataCentre, s.peerAdvertise,
-			tier.WithIncarnation(tier.Incarnation(clock.Wall())), tier.WithVMState(tier.VMJoining)),
+			tier.WithIncarnation(tier.Incarnation(clock.WallTime())), tier.WithVMState(tier.VMJoining)),
 	}
 	for _, build := range []func() error{d.buildControl, d.buildServers} {
 		if err := build(); err != nil {
@@ -89,7 +89,7 @@
 
 // buildControl creates gossip, the configuration watcher, the booker and the owner registry.
 func (d *daemon) buildControl() error {
-	changes := ring.New[gossiper.Action](changeBufferSize)
+	changes := queue.New[gossiper.Action](changeBufferSize)
 	gossip, err := exchanger.New(d.self, d.clock,
 		exchanger.WithChanges(changes),
 		exchanger.WithAddresses(d.settings.dialOverrides),
--- a/cicadagraded/stop.go
+++ b/cicadagraded/stop.go
@@ -14,7 +14,7 @@
 	"cicadagrade.example/cicadagraded/booker"
 	"cicadagrade.example/cicadagraded/exchanger"
 	"cicadagrade.example/tier"
-	"cicadagrade.example/tier/ring"
+	"cicadagrade.example/tier/queue"
 )
 
 // stopper shuts the VM down gracefully after a signal, or when another VM has taken its name.
@@ -27,7 +27,7 @@
 	servers     []*http.Server
 	balancerLag tier.Millis
 	stopLimit   tier.Millis
-	replacedBy  *ring.Ring[tier.VM] // the VM that took this VM's name
+	replacedBy  *queue.Queue[tier.VM] // the VM that took this VM's name
 }
 
 // Run returns once the process may exit. A second signal ends the wait for requests in flight.
@@ -40,7 +40,7 @@
 		return nil
 	case <-signals:
 		return errors.Wrap(s.stop(ctx, signals), "stopper.Run")
-	case vm := <-s.replacedBy.Out():
+	case vm := <-s.replacedBy.Chan():
 		return errors.Wrap(s.stopReplaced(ctx, signals, vm), "stopper.Run")
 	}
 }
--- a/cicadagraded/watcher/fleet_test.go
+++ b/cicadagraded/watcher/fleet_test.go
@@ -17,8 +17,8 @@
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/committer"
 	"cicadagrade.example/tier/parser"
+	"cicadagrade.example/tier/queue"
 	"cicadagrade.example/tier/replicator"
-	"cicadagrade.example/tier/ring"
 	"cicadagrade.example/tier/storer"
 )
 
@@ -84,7 +84,7 @@
 	server *storeserver.Server
 	store  storer.Store
 	group  errgroup.Group
-	queue  *ring.Ring[publication]
+	queue  *queue.Queue[publication]
 
 	lock        sync.Mutex
 	vms         map[string]*vm
@@ -94,7 +94,7 @@
 
 func newFleet(t *testing.T) *fleet {
 	f := &fleet{
-		t: t, server: storeserver.New(tier.NewClock()), queue: ring.New[publication](1024),
+		t: t, server: storeserver.New(tier.NewClock()), queue: queue.New[publication](1024),
 		vms: map[string]*vm{}, published: map[string]map[string][]byte{}, partitioned: map[string]bool{},
 	}
 	h := httptest.NewServer(f.server)
--- a/cicadagraded/watcher/watcher.go
+++ b/cicadagraded/watcher/watcher.go
@@ -14,8 +14,8 @@
 
 	"cicadagrade.example/cicadagraded/ticker"
 	"cicadagrade.example/tier"
+	"cicadagrade.example/tier/queue"
 	"cicadagrade.example/tier/replicator"
-	"cicadagrade.example/tier/ring"
 	"cicadagrade.example/tier/storer"
 
 	peerv1 "cicadagrade.example/api/peer/v1"
@@ -53,11 +53,11 @@
 	remoteMembers []string
 
 	view          atomic.Pointer[view]
-	listRequests  *ring.Ring[*replicator.List]
-	watchRequests *ring.Ring[watchRequest]
-	fetchRequests *ring.Ring[*replicator.Fetch]
-	wake          *ring.Ring[struct{}]
-	changed       *ring.Ring[struct{}]
+	listRequests  *queue.Queue[*replicator.List]
+	watchRequests *queue.Queue[watchRequest]
+	fetchRequests *queue.Queue[*replicator.Fetch]
+	wake          *queue.Queue[struct{}]
+	changed       *queue.Queue[struct{}]
 
 	publishMu         sync.Mutex // held while the index and the warnings are published
 	publishedIndex    [][]byte
@@ -101,11 +101,11 @@
 		indexEntries: map[string]map[string][]replicator.Ref{},
 
 		warnings:      map[string][]string{},
-		listRequests:  ring.New[*replicator.List](requestQueueSize),
-		watchRequests: ring.New[watchRequest](requestQueueSize),
-		fetchRequests: ring.New[*replicator.Fetch](requestQueueSize),
-		wake:          ring.New[struct{}](1),
-		changed:       ring.New[struct{}](1),
+		listRequests:  queue.New[*replicator.List](requestQueueSize),
+		watchRequests: queue.New[watchRequest](requestQueueSize),
+		fetchRequests: queue.New[*replicator.Fetch](requestQueueSize),
+		wake:          queue.New[struct{}](1),
+		changed:       queue.New[struct{}](1),
 
 		cancelWatch: func() {},
 	}
--- a/standin/leafserver/service.go
+++ b/standin/leafserver/service.go
@@ -196,7 +196,7 @@
 	}
 	records := s.records.Shard(s.set, served, q.GetTerm(), h.shard.From(), h.shard.To())
 	s.journal.addServed(ServedSearch{
-		At:      s.clock.Wall(),
+		At:      s.clock.WallTime(),
 		Server:  s.Name(),
 		Attempt: q.GetAttempt(),
 		Set:     s.set,
@@ -222,7 +222,7 @@
 	receipt := fmt.Sprintf("%s-%d", s.Name(), s.counters.receipts.Add(1))
 	s.counters.booked.Add(1)
 	s.journal.addBooked(AppliedBooking{
-		At:        s.clock.Wall(),
+		At:        s.clock.WallTime(),
 		Server:    s.Name(),
 		Attempt:   q.GetAttempt(),
 		Set:       s.set,
--- a/standin/loader/run.go
+++ b/standin/loader/run.go
@@ -17,7 +17,7 @@
 	"cicadagrade.example/standin/recorder"
 	"cicadagrade.example/standin/reporter"
 	"cicadagrade.example/tier"
-	"cicadagrade.example/tier/ring"
+	"cicadagrade.example/tier/queue"
 )
 
 // grace is how long after its deadline an answer is still awaited.
@@ -38,7 +38,7 @@
 	checker    *checker.Checker
 	ledger     *checker.Ledger
 	backends   *leafserver.Client
-	ends       *ring.Ring[ended]
+	ends       *queue.Queue[ended]
 	requests   *errgroup.Group
 	started    string
 }
@@ -58,7 +58,7 @@
 		ledger:     checker.NewLedger(),
 		backends:   leafserver.NewClient(d.Control()),
 		balancer:   newBalancer(d),
-		ends:       ring.New[ended](ringSize),
+		ends:       queue.New[ended](ringSize),
 		version:    1,
 	}
 	for _, o := range opts {
--- a/tier/backend.go
+++ b/tier/backend.go
@@ -31,8 +31,8 @@
 	return backendStateNames[s]
 }
 
-// TakesWork reports whether a server in this state may be sent new calls.
-func (s BackendState) TakesWork() bool { return s != BackendLeaving && s != BackendLost }
+// AcceptsCalls reports whether a server in this state may be sent new calls.
+func (s BackendState) AcceptsCalls() bool { return s != BackendLeaving && s != BackendLost }
 
 // Backend is a backend server as described in the operators' configuration.
 type Backend struct {
@@ -60,16 +60,16 @@
 // validated with the shard set that it belongs to.
 func NewBackend(name, address, dataCentre string, opts ...BackendOption) Backend {
 	b := Backend{name: name, address: address, dataCentre: dataCentre}
-	b.Defaults()
+	b.SetDefaults()
 	for _, o := range opts {
 		o(&b)
 	}
 	return b
 }
 
-// Defaults sets slots, connections and connection cost to those of the smallest kind of
+// SetDefaults sets slots, connections and connection cost to those of the smallest kind of
 // server.
-func (b *Backend) Defaults() {
+func (b *Backend) SetDefaults() {
 	b.slots = 2
 	b.connections = 25
 	b.connectionCost = 6
--- a/tier/clock.go
+++ b/tier/clock.go
@@ -28,8 +28,8 @@
 	Day         Millis = 24 * Hour
 )
 
-// FromDuration converts d to milliseconds, truncating fractions.
-func FromDuration(d time.Duration) Millis { return Millis(d / time.Millisecond) }
+// MillisFromDuration converts d to milliseconds, truncating fractions.
+func MillisFromDuration(d time.Duration) Millis { return Millis(d / time.Millisecond) }
 
 // Duration converts m to a time.Duration.
 func (m Millis) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
@@ -45,7 +45,7 @@
 func NewClock() *Clock {
 	start := time.Now()
 	return &Clock{
-		now:      func() Millis { return FromDuration(time.Since(start)) },
+		now:      func() Millis { return MillisFromDuration(time.Since(start)) },
 		wallTime: func() Millis { return Millis(time.Now().UnixMilli()) },
 	}
 }
@@ -53,8 +53,8 @@
 // Now is the monotonic time in milliseconds since the clock's start.
 func (c *Clock) Now() Millis { return c.now() }
 
-// Wall is the wall-clock time in milliseconds since the Unix epoch.
-func (c *Clock) Wall() Millis { return c.wallTime() }
+// WallTime is the wall-clock time in milliseconds since the Unix epoch.
+func (c *Clock) WallTime() Millis { return c.wallTime() }
 
 // ManualClock is a time source that only Advance moves, for tests and replays.
 type ManualClock struct {
--- a/tier/prover/front_test.go
+++ b/tier/prover/front_test.go
@@ -168,7 +168,7 @@
 	switch {
 	case pr.ownersTried < len(owners):
 	case pr.ownerDied:
-		pr.notifyFront(0, func() { pr.fail(tier.MissCutOff) })
+		pr.notifyFront(0, func() { pr.fail(tier.MissUnreachable) })
 		return
 	default:
 		pr.notifyFront(0, func() { pr.end(planner.NewPartRefused(part, tier.RefuseUnreachable, 0)) })
--- a/tier/router/route.go
+++ b/tier/router/route.go
@@ -49,20 +49,20 @@
 	return r
 }
 
-// Repeatable says that requests of the route may run more than once.
-func Repeatable() Option { return func(r *Route) { r.idempotent = true } }
+// Idempotent says that requests of the route may run more than once.
+func Idempotent() Option { return func(r *Route) { r.idempotent = true } }
 
-// WithTimes sets the longest time that a request may take, and the time within which it
+// WithTimeouts sets the longest time that a request may take, and the time within which it
 // should be answered.
-func WithTimes(timeout, latencyTarget tier.Millis) Option {
+func WithTimeouts(timeout, latencyTarget tier.Millis) Option {
 	return func(r *Route) { r.timeout, r.latencyTarget = timeout, latencyTarget }
 }
 
 // WithRank sets the rank; 0 is the most urgent.
 func WithRank(rank int) Option { return func(r *Route) { r.rank = rank } }
 
-// WithAttempts sets to how many leafs a request may be sent at most, for each shard.
-func WithAttempts(n int) Option { return func(r *Route) { r.maxAttempts = max(n, 1) } }
+// WithMaxAttempts sets to how many leafs a request may be sent at most, for each shard.
+func WithMaxAttempts(n int) Option { return func(r *Route) { r.maxAttempts = max(n, 1) } }
 
 // ToTargets makes the route send each request to one of the targets.
 func ToTargets(targets ...Target) Option { return func(r *Route) { r.targets = targets } }
@@ -83,20 +83,20 @@
 // Prefix is the path prefix that the route serves.
 func (r *Route) Prefix() string { return r.prefix }
 
-// Repeatable reports whether a request may run more than once.
-func (r *Route) Repeatable() bool { return r.idempotent }
+// Idempotent reports whether a request may run more than once.
+func (r *Route) Idempotent() bool { return r.idempotent }
 
 // Timeout is the longest time that a request may take.
 func (r *Route) Timeout() tier.Millis { return r.timeout }
 
-// Aim is the time within which a request should be answered.
-func (r *Route) Aim() tier.Millis { return r.latencyTarget }
+// LatencyTarget is the time within which a request should be answered.
+func (r *Route) LatencyTarget() tier.Millis { return r.latencyTarget }
 
 // Rank is the urgency; 0 is the most urgent.
 func (r *Route) Rank() int { return r.rank }
 
-// Attempts is to how many leafs a request may be sent at most, for each shard.
-func (r *Route) Attempts() int { return r.maxAttempts }
+// MaxAttempts is to how many leafs a request may be sent at most, for each shard.
+func (r *Route) MaxAttempts() int { return r.maxAttempts }
 
 // Targets are the services that share the route's requests.
 func (r *Route) Targets() []Target { return r.targets }
@@ -105,11 +105,11 @@
 // targets.
 func (r *Route) Shards() []string { return r.shards }
 
-// Scattered reports whether requests are sent to all shards and the replies merged.
-func (r *Route) Scattered() bool { return len(r.shards) > 0 }
+// IsScatterGather reports whether requests are sent to all shards and the replies merged.
+func (r *Route) IsScatterGather() bool { return len(r.shards) > 0 }
 
-// Top is how many records an answer has at most.
-func (r *Route) Top() int { return r.topK }
+// TopK is how many records an answer has at most.
+func (r *Route) TopK() int { return r.topK }
 
 // MinimumParts is the least number of shards whose replies an answer needs.
 func (r *Route) MinimumParts() int { return r.MinimumPartsOf(len(r.shards)) }
@@ -126,9 +126,9 @@
 	return max(parts, min(1, n))
 }
 
-// Target picks the service for a request by weight. draw is a random number, uniform in
+// PickService picks the service for a request by weight. draw is a random number, uniform in
 // [0, 1).
-func (r *Route) Target(draw float64) string {
+func (r *Route) PickService(draw float64) string {
 	total := 0.0
 	for _, t := range r.targets {
 		total += t.weight
--- a/tier/router/router_test.go
+++ b/tier/router/router_test.go
@@ -51,7 +51,7 @@
 	requests := map[string]int{}
 	const draws = 4000
 	for i := range draws {
-		requests[r.Target(float64(i)/draws)]++
+		requests[r.PickService(float64(i)/draws)]++
 	}
 	if requests["a"] != draws*3/4 || requests["b"] != 0 || requests["c"] != draws/4 {
 		t.Errorf("got %v of %d requests, expected 3 to 1 for a and c, and none for b", requests, draws)
--- a/tier/router/table.go
+++ b/tier/router/table.go
@@ -23,17 +23,17 @@
 	return Limits{maxHeaderBytes: maxHeaderBytes, maxBodyBytes: maxBodyBytes, headerTimeout: headerTimeout, idleTimeout: idleTimeout}
 }
 
-// HeaderBytes is the largest size of a request's header.
-func (l Limits) HeaderBytes() int { return l.maxHeaderBytes }
+// MaxHeaderBytes is the largest size of a request's header.
+func (l Limits) MaxHeaderBytes() int { return l.maxHeaderBytes }
 
-// BodyBytes is the largest size of a request's body.
-func (l Limits) BodyBytes() int { return l.maxBodyBytes }
+// MaxBodyBytes is the largest size of a request's body.
+func (l Limits) MaxBodyBytes() int { return l.maxBodyBytes }
 
-// HeaderTime is how long a caller may take to send a header.
-func (l Limits) HeaderTime() tier.Millis { return l.headerTimeout }
+// HeaderTimeout is how long a caller may take to send a header.
+func (l Limits) HeaderTimeout() tier.Millis { return l.headerTimeout }
 
-// IdleTime is how long a connection may be idle.
-func (l Limits) IdleTime() tier.Millis { return l.idleTimeout }
+// IdleTimeout is how long a connection may be idle.
+func (l Limits) IdleTimeout() tier.Millis { return l.idleTimeout }
 
 // Table is the routing table of one version of the configuration.
 type Table struct {
@@ -74,8 +74,8 @@
 // Limits are the bounds on the requests and connections of callers.
 func (t *Table) Limits() Limits { return t.limits }
 
-// Routes is the number of routes.
-func (t *Table) Routes() int { return t.routeCount }
+// RouteCount is the number of routes.
+func (t *Table) RouteCount() int { return t.routeCount }
 
 // Uses reports whether some route sends requests to a service.
 func (t *Table) Uses(service string) bool { return t.usedServices[service] }
--- a/tier/shardset.go
+++ b/tier/shardset.go
@@ -19,8 +19,8 @@
 	DefaultReportsShare  = 0.50
 	DefaultColdRamp      = 10 * Second
 	MaxColdRamp          = 10 * Minute
-	DefaultOwners        = 1
-	MaxOwners            = 64
+	DefaultOwnerCount    = 1
+	MaxOwnerCount        = 64
 	MaxShards            = 4096
 	MaxServers           = 4096
 )
@@ -74,14 +74,14 @@
 // WithColdRamp sets over which time a cold server's share of calls grows to the full one.
 func WithColdRamp(m Millis) ShardSetOption { return func(s *ShardSet) { s.coldRamp = m } }
 
-// WithOwners sets how many VMs of a data centre own the set and divide its slots among
+// WithOwnerCount sets how many VMs of a data centre own the set and divide its slots among
 // them.
-func WithOwners(n int) ShardSetOption { return func(s *ShardSet) { s.ownerCount = n } }
+func WithOwnerCount(n int) ShardSetOption { return func(s *ShardSet) { s.ownerCount = n } }
 
 // NewShardSet returns a validated set, with defaults for the options not given.
 func NewShardSet(name string, opts ...ShardSetOption) (*ShardSet, error) {
 	s := &ShardSet{name: name}
-	s.Defaults()
+	s.SetDefaults()
 	for _, o := range opts {
 		o(s)
 	}
@@ -95,8 +95,8 @@
 	return s, nil
 }
 
-// Defaults sets every field but name, servers and shards to its default.
-func (s *ShardSet) Defaults() {
+// SetDefaults sets every field but name, servers and shards to its default.
+func (s *ShardSet) SetDefaults() {
 	s.epoch = 1
 	s.dailyFloor = DefaultDailyFloor
 	s.reportsFloor = DefaultReportsFloor
@@ -104,7 +104,7 @@
 	s.hedgeQuantile = DefaultHedgeQuantile
 	s.hedgeBudget = DefaultHedgeBudget
 	s.coldRamp = DefaultColdRamp
-	s.ownerCount = DefaultOwners
+	s.ownerCount = DefaultOwnerCount
 }
 
 // Validate returns an *InvalidError that lists every invalid field, or nil.
@@ -119,7 +119,7 @@
 	l.check(s.hedgeQuantile >= 0.5 && s.hedgeQuantile < 1, "hedge-quantile", s.hedgeQuantile, "at least 0.5 and below 1")
 	l.check(s.hedgeBudget >= 0 && s.hedgeBudget <= MaxHedgeBudget, "hedge-budget", s.hedgeBudget, "0 to 0.25")
 	l.check(s.coldRamp >= 0 && s.coldRamp <= MaxColdRamp, "cold-ramp-ms", s.coldRamp, "0 to 600000")
-	l.check(s.ownerCount >= 1 && s.ownerCount <= MaxOwners, "owners", s.ownerCount, "1 to 64")
+	l.check(s.ownerCount >= 1 && s.ownerCount <= MaxOwnerCount, "owners", s.ownerCount, "1 to 64")
 	names := s.validateServers(&l)
 	s.validateShards(names, &l)
 	return NewInvalidError("set "+s.name, l)
@@ -238,5 +238,5 @@
 // ColdRamp is the time over which a cold server's share of calls grows to the full one.
 func (s *ShardSet) ColdRamp() Millis { return s.coldRamp }
 
-// Owners is how many VMs of a data centre own the set and divide its slots among them.
-func (s *ShardSet) Owners() int { return s.ownerCount }
+// OwnerCount is how many VMs of a data centre own the set and divide its slots among them.
+func (s *ShardSet) OwnerCount() int { return s.ownerCount }
--- a/tier/measurer/measurer_test.go
+++ b/tier/simulator/measurer_test.go
@@ -1,4 +1,4 @@
-package measurer
+package simulator
 
 import (
 	"flag"
@@ -63,12 +63,12 @@
 		add("straggler, hedge", WithStraggler(20))
 	}
 	floodDuration := WithDuration(40 * tier.Second)
-	for _, sharing := range []Way{Alone, Static, Owner} {
+	for _, sharing := range []SharingMode{Alone, Static, Owner} {
 		out = append(out,
-			New("no flood", floodDuration, WithWay(sharing)),
-			New("reports flood", floodDuration, WithWay(sharing), WithLoad(tier.Reports, 10)),
-			New("urgent flood", floodDuration, WithWay(sharing), WithLoad(tier.Urgent, 10)),
-			New("both floods", floodDuration, WithWay(sharing), WithLoad(tier.Urgent, 10), WithLoad(tier.Reports, 10)),
+			New("no flood", floodDuration, WithSharingMode(sharing)),
+			New("reports flood", floodDuration, WithSharingMode(sharing), WithLoad(tier.Reports, 10)),
+			New("urgent flood", floodDuration, WithSharingMode(sharing), WithLoad(tier.Urgent, 10)),
+			New("both floods", floodDuration, WithSharingMode(sharing), WithLoad(tier.Urgent, 10), WithLoad(tier.Reports, 10)),
 		)
 	}
 	large := WithShape(Large())
@@ -79,8 +79,8 @@
 		New("urgent flood, large set", floodDuration, large, WithLoad(tier.Urgent, 10)),
 		New("both floods, large set", floodDuration, large, WithLoad(tier.Urgent, 10), WithLoad(tier.Reports, 10)),
 		New("reports flood, reports share 1.0", floodDuration, WithLoad(tier.Reports, 10), WithReportsShare(1)),
-		New("reports flood through one VM", floodDuration, WithLoad(tier.Reports, 10), WithOneEntry()),
-		New("urgent flood, callers leave after 50 ms", floodDuration, WithLoad(tier.Urgent, 10), WithPatience(50)),
+		New("reports flood through one VM", floodDuration, WithLoad(tier.Reports, 10), WithSingleEntryVM()),
+		New("urgent flood, callers leave after 50 ms", floodDuration, WithLoad(tier.Urgent, 10), WithCallerTimeout(50)),
 		New("servers shed half of their slots for 10 s of 40", floodDuration, WithShedding(1, 10*tier.Second, 20*tier.Second)),
 		New("servers shed everything for 10 s of 40", floodDuration, WithShedding(2, 10*tier.Second, 20*tier.Second)),
 	)
@@ -99,9 +99,9 @@
 	overbooked         int
 }
 
-func measureFigures(t *testing.T, seed uint64, duration tier.Millis, sharing Way, hedge bool, load float64) figures {
+func measureFigures(t *testing.T, seed uint64, duration tier.Millis, sharing SharingMode, hedge bool, load float64) figures {
 	run := func(opts ...Option) *Result {
-		r, err := Run(New("target", append([]Option{WithSeed(seed), WithDuration(duration), WithWay(sharing)}, opts...)...))
+		r, err := Run(New("target", append([]Option{WithSeed(seed), WithDuration(duration), WithSharingMode(sharing)}, opts...)...))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -119,10 +119,10 @@
 		extraFraction:      straggler.ExtraFraction(),
 		urgentRatio:        p99(reportsFlood) / p99(noFlood),
 		urgentRefused:      reportsFlood.Refused(tier.Urgent),
-		reportsUseful:      urgentFlood.Useful(tier.Reports),
+		reportsUseful:      urgentFlood.UsefulFraction(tier.Reports),
 		reportsPartial:     urgentFlood.Partial(tier.Reports),
-		urgentFloodUseful:  urgentFlood.TotalUseful(),
-		reportsFloodUseful: reportsFlood.TotalUseful(),
+		urgentFloodUseful:  urgentFlood.TotalUsefulFraction(),
+		reportsFloodUseful: reportsFlood.TotalUsefulFraction(),
 		overbooked:         max(reportsFlood.Overbooked(), urgentFlood.Overbooked()),
 	}
 }
@@ -173,13 +173,13 @@
 		minimum   float64
 		maximum   float64
 	}{{false, 0.75, 1}, {true, 0, 0.6}} {
-		r, err := Run(New("burst", WithDuration(10*tier.Second), WithBurst(2*tier.Second), WithReturns(3, c.impatient)))
+		r, err := Run(New("burst", WithDuration(10*tier.Second), WithBurst(2*tier.Second), WithRetries(3, c.impatient)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		n := r.Offered(tier.Daily)
 		accepted := 1 - float64(r.Refused(tier.Daily))/float64(n)
-		t.Logf("impatient %v: %d queries were retried %d times, %.3f accepted, %d partial", c.impatient, n, r.Returned(tier.Daily), accepted, r.Partial(tier.Daily))
+		t.Logf("impatient %v: %d queries were retried %d times, %.3f accepted, %d partial", c.impatient, n, r.Retries(tier.Daily), accepted, r.Partial(tier.Daily))
 		if accepted < c.minimum || accepted > c.maximum {
 			t.Errorf("impatient %v: a fraction of %.3f was accepted", c.impatient, accepted)
 		}
--- a/tier/measurer/result.go
+++ b/tier/simulator/result.go
@@ -1,4 +1,4 @@
-package measurer
+package simulator
 
 import (
 	"fmt"
@@ -38,8 +38,8 @@
 // Refused is how many queries of a rank were refused for good, without a leaf call.
 func (r *Result) Refused(k tier.Rank) int { return r.ranks[k].refused }
 
-// Returned is how often refused queries of a rank were retried.
-func (r *Result) Returned(k tier.Rank) int { return r.ranks[k].retries }
+// Retries is how often refused queries of a rank were retried.
+func (r *Result) Retries(k tier.Rank) int { return r.ranks[k].retries }
 
 // Partial is how many queries of a rank were admitted, but answered without some shards.
 func (r *Result) Partial(k tier.Rank) int { return r.ranks[k].partial }
@@ -54,17 +54,17 @@
 	return l[min(len(l)-1, int(q*float64(len(l))))]
 }
 
-// Useful is the slot time spent on a rank's complete answers, as a fraction of the slot time
+// UsefulFraction is the slot time spent on a rank's complete answers, as a fraction of the slot time
 // of all servers while queries arrived.
-func (r *Result) Useful(k tier.Rank) float64 {
+func (r *Result) UsefulFraction(k tier.Rank) float64 {
 	return float64(r.ranks[k].usefulSlotTime) / (float64(r.scenario.duration) * float64(r.scenario.shape.totalSlots()))
 }
 
-// TotalUseful is the sum of the useful fractions of all ranks.
-func (r *Result) TotalUseful() float64 {
+// TotalUsefulFraction is the sum of the useful fractions of all ranks.
+func (r *Result) TotalUsefulFraction() float64 {
 	sum := 0.0
 	for _, k := range tier.Ranks {
-		sum += r.Useful(k)
+		sum += r.UsefulFraction(k)
 	}
 	return sum
 }
@@ -94,7 +94,7 @@
 		if _, err := fmt.Fprintf(w, "| %s | %s | %s | %d | %d (%d) | %d | %d | %d | %d | %d | %.1f%% | %.1f%% | %.1f%% | %d | %d |\n",
 			r.scenario.name, r.scenario.sharing, k, v.offered, v.refused, v.refusedByFront, v.abandoned, v.partial,
 			r.Quantile(k, 0.5), r.Quantile(k, 0.99), r.Quantile(k, 0.999),
-			100*r.Useful(k), 100*r.TotalUseful(), 100*r.ExtraFraction(), r.shedCalls, r.overbooked); err != nil {
+			100*r.UsefulFraction(k), 100*r.TotalUsefulFraction(), 100*r.ExtraFraction(), r.shedCalls, r.overbooked); err != nil {
 			return err
 		}
 	}
--- a/tier/measurer/scenario.go
+++ b/tier/simulator/scenario.go
@@ -1,7 +1,7 @@
-// Package measurer simulates load to measure the scheduling policy: it drives dispatchers
+// Package simulator simulates load to measure the scheduling policy: it drives dispatchers
 // against modelled backend servers in simulated time and reports latency and useful work by
 // rank. It is deterministic: equal scenarios give equal figures.
-package measurer
+package simulator
 
 import (
 	"fmt"
@@ -10,18 +10,18 @@
 	"cicadagrade.example/tier"
 )
 
-// Way is how the entry VMs of a data centre share its backend servers.
-type Way int
+// SharingMode is how the entry VMs of a data centre share its backend servers.
+type SharingMode int
 
 // The sharing modes.
 const (
-	Alone  Way = iota // each VM schedules by itself and without ranks, up to its share of the connections
-	Static            // each VM schedules by itself, with a fixed share of the slots and at least one
-	Owner             // one VM schedules all slots, and fronts apply its admission thresholds
+	Alone  SharingMode = iota // each VM schedules by itself and without ranks, up to its share of the connections
+	Static                    // each VM schedules by itself, with a fixed share of the slots and at least one
+	Owner                     // one VM schedules all slots, and fronts apply its admission thresholds
 )
 
 // String returns the mode's name, as used in tables.
-func (w Way) String() string { return [...]string{"alone", "static", "owner"}[w] }
+func (w SharingMode) String() string { return [...]string{"alone", "static", "owner"}[w] }
 
 // The modelled data centre.
 const (
@@ -67,7 +67,7 @@
 type Scenario struct {
 	name          string
 	seed          uint64
-	sharing       Way
+	sharing       SharingMode
 	shape         Shape
 	duration      tier.Millis
 	loads         [len(tier.Ranks)]float64 // as fractions of all slot time
@@ -90,8 +90,8 @@
 // WithSeed sets the seed of arrivals and service times.
 func WithSeed(seed uint64) Option { return func(s *Scenario) { s.seed = seed } }
 
-// WithWay sets how the entry VMs share the servers.
-func WithWay(w Way) Option { return func(s *Scenario) { s.sharing = w } }
+// WithSharingMode sets how the entry VMs share the servers.
+func WithSharingMode(w SharingMode) Option { return func(s *Scenario) { s.sharing = w } }
 
 // WithShape sets the size of the shard set.
 func WithShape(h Shape) Option { return func(s *Scenario) { s.shape = h } }
@@ -110,19 +110,19 @@
 // WithHedge allows or forbids hedged calls.
 func WithHedge(on bool) Option { return func(s *Scenario) { s.hedge = on } }
 
-// WithOneEntry makes all queries arrive at one VM.
-func WithOneEntry() Option { return func(s *Scenario) { s.singleEntryVM = true } }
+// WithSingleEntryVM makes all queries arrive at one VM.
+func WithSingleEntryVM() Option { return func(s *Scenario) { s.singleEntryVM = true } }
 
 // WithReportsShare sets the largest fraction of a server's slots that reports may occupy at
 // once.
 func WithReportsShare(f float64) Option { return func(s *Scenario) { s.reportsShare = f } }
 
-// WithPatience makes every caller leave that has no answer after a time.
-func WithPatience(m tier.Millis) Option { return func(s *Scenario) { s.callerTimeout = m } }
+// WithCallerTimeout makes every caller leave that has no answer after a time.
+func WithCallerTimeout(m tier.Millis) Option { return func(s *Scenario) { s.callerTimeout = m } }
 
-// WithReturns makes callers retry a refused query up to n times, after the retry-after time
+// WithRetries makes callers retry a refused query up to n times, after the retry-after time
 // that they were given, or after 1 ms if they are impatient.
-func WithReturns(n int, impatient bool) Option {
+func WithRetries(n int, impatient bool) Option {
 	return func(s *Scenario) { s.maxRetries, s.impatient = n, impatient }
 }
 
@@ -138,16 +138,16 @@
 // New returns a scenario, with defaults for the options not given.
 func New(name string, opts ...Option) *Scenario {
 	s := &Scenario{name: name}
-	s.Defaults()
+	s.SetDefaults()
 	for _, o := range opts {
 		o(s)
 	}
 	return s
 }
 
-// Defaults sets every field but the name to its default: a small set with an owner, and work
+// SetDefaults sets every field but the name to its default: a small set with an owner, and work
 // for six tenths of all slot time.
-func (s *Scenario) Defaults() {
+func (s *Scenario) SetDefaults() {
 	s.seed = 1
 	s.sharing = Owner
 	s.shape = Small()
