--- a/standin/backends.go
+++ b/standin/backends.go
@@ -17,18 +17,31 @@
 	"cicadagrade.example/standin/recorder"
 )
 
-const backendsHelp = `backends plays every backend server of a deployment in one process, each at
-its own address, until it is interrupted.
+const backendsHelp = `backends simulates every backend server of a deployment in one process, each
+at its own address, until it is interrupted.
 
-The control port of the deployment takes POST /faults and gives GET /served,
-/booked and /counters. A fault names servers by "server", "set" and
-"data-centre" (all when left out) and sets "slow-factor", "health-lag-ms",
-"health-state", "serve-version" with "disguise", "reply" (truncated,
-corrupted, repeated, crossed) with "reply-fraction", "call" (hang,
-drop-before, drop-after) with "call-fraction", "down" (lost: refuses every
-connection), "state" (cold, live, shedding, leaving), "publish", "drop" (index
-versions), "learn" (a set document), "forget" (an epoch), "clear" (no faults;
-state, versions and maps stay).`
+The deployment's control port accepts POST /faults and serves GET /served,
+/booked and /counters. The JSON command for POST /faults selects servers by
+"server", "set" and "data-centre" (all servers if none is given) and sets any
+of these fields:
+
+  slow-factor      multiplies service times
+  health-lag-ms    age of the state that health checks report
+  health-state     state that health checks report in place of the true one
+  serve-version    index version to serve in place of the requested one;
+                   with "disguise" replies still name the requested version
+  reply            fault in replies: truncated, corrupted, repeated (each
+                   record twice) or crossed (the reply to an earlier call);
+                   "reply-fraction" is the fraction of replies affected
+  call             fault in calls: hang, drop-before or drop-after (closes the
+                   connection before or after running the call);
+                   "call-fraction" is the fraction of calls affected
+  down             refuses every connection
+  state            cold, live, shedding or leaving
+  publish, drop    adds or removes an index version
+  learn            adds the shard map of a set document
+  forget           removes the shard map of an epoch
+  clear            removes all faults; state, versions and maps are kept`
 
 type backendsFlags struct {
 	deployment string
@@ -42,18 +55,18 @@
 	var f backendsFlags
 	c := &cobra.Command{
 		Use:   "backends",
-		Short: "Play the backend servers of a deployment",
+		Short: "Simulate the backend servers of a deployment",
 		Long:  backendsHelp,
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			return f.run(c)
 		},
 	}
-	c.Flags().StringVar(&f.deployment, "deployment", "", "file of the deployment (required)")
-	c.Flags().Uint64Var(&f.seed, "seed", 1, "seed of service times and fault choices")
+	c.Flags().StringVar(&f.deployment, "deployment", "", "deployment file (required)")
+	c.Flags().Uint64Var(&f.seed, "seed", 1, "seed of the random service times and fault choices")
 	c.Flags().DurationVar(&f.median, "median", leafserver.DefaultMedian, "median service time")
-	c.Flags().Float64Var(&f.spread, "spread", leafserver.DefaultSpread, "standard deviation of the service time's logarithm")
-	c.Flags().Float64Var(&f.tail, "tail", leafserver.DefaultTail, "fraction of calls that take eight times as long")
+	c.Flags().Float64Var(&f.spread, "spread", leafserver.DefaultSpread, "standard deviation of the logarithm of the service time")
+	c.Flags().Float64Var(&f.tail, "tail", leafserver.DefaultTail, "fraction of calls that take eight times as long as drawn")
 	_ = c.MarkFlagRequired("deployment")
 	return c
 }
@@ -73,15 +86,15 @@
 	return serveWithControl(c.Context(), fleet.Serve, d.Control(), fleet.Control())
 }
 
-// serveWithControl runs a stand-in and its control port until a signal comes
-// or one of them fails.
+// serveWithControl runs a simulated service and the HTTP server of its control port
+// until SIGINT or SIGTERM arrives, or until one of them fails.
 func serveWithControl(ctx context.Context, serve func(context.Context) error, address string, control http.Handler) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	h := &http.Server{Addr: address, Handler: control}
+	server := &http.Server{Addr: address, Handler: control}
 	var g run.Group
 	g.Add(func() error { return serve(ctx) }, func(error) { stop() })
-	g.Add(h.ListenAndServe, func(error) { _ = h.Close() })
+	g.Add(server.ListenAndServe, func(error) { _ = server.Close() })
 	if err := g.Run(); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
--- a/standin/commands.go
+++ b/standin/commands.go
@@ -2,7 +2,7 @@
 
 import "github.com/spf13/cobra"
 
-// commands lists the subcommands, each in a file of its own.
+// commands returns the subcommands. Each is defined in a file of its own.
 func commands() []*cobra.Command {
 	return []*cobra.Command{
 		backendsCommand(),
--- a/standin/deployment.go
+++ b/standin/deployment.go
@@ -9,16 +9,16 @@
 func deploymentCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "deployment",
-		Short: "The deployments of both users as data files",
+		Short: "Write deployment files",
 	}
 	var dir string
 	write := &cobra.Command{
 		Use:   "write",
-		Short: "Write the files of both deployments",
+		Short: "Write the files of the deployments of both organisations",
 		Args:  cobra.NoArgs,
 		RunE:  func(*cobra.Command, []string) error { return deployer.Write(dir) },
 	}
-	write.Flags().StringVar(&dir, "dir", "standin/deployment", "directory to write them in")
+	write.Flags().StringVar(&dir, "dir", "standin/deployment", "directory to write the files to")
 	c.AddCommand(write, sizedCommand())
 	return c
 }
@@ -28,17 +28,17 @@
 	var portBase, dataCentres, vms, shards int
 	c := &cobra.Command{
 		Use:   "sized",
-		Short: "Write the files of a deployment of given sizes, for a measurement",
+		Short: "Write the files of a deployment of a given size, for a measurement",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			return deployer.WriteSized(dir, deployer.NewSizes(name, portBase, dataCentres, vms, shards))
 		},
 	}
-	c.Flags().StringVar(&dir, "dir", ".", "directory to write them in")
+	c.Flags().StringVar(&dir, "dir", ".", "directory to write the files to")
 	c.Flags().StringVar(&name, "name", "sized", "name of the deployment")
-	c.Flags().IntVar(&portBase, "port-base", 10000, "first port; the next 5000 belong to the deployment")
-	c.Flags().IntVar(&dataCentres, "data-centres", 3, "number of data centres, each in a region of its own")
+	c.Flags().IntVar(&portBase, "port-base", 10000, "first port of the range of 5000 ports that the deployment uses")
+	c.Flags().IntVar(&dataCentres, "data-centres", 3, "number of data centres, each in its own region")
 	c.Flags().IntVar(&vms, "vms", 7, "number of entry VMs")
-	c.Flags().IntVar(&shards, "shards", 20, "number of shards of the one set portao, each with two servers")
+	c.Flags().IntVar(&shards, "shards", 20, "number of shards of the only set, portao; each has two servers")
 	return c
 }
--- a/standin/experiment.go
+++ b/standin/experiment.go
@@ -18,14 +18,15 @@
 	"cicadagrade.example/standin/reporter"
 )
 
-const experimentHelp = `experiment runs several workloads one after the other on a running deployment,
-writes each result to a file of the output directory, and prints each and its
-ratios to the first.
+const experimentHelp = `experiment runs several workloads one after the other on a running deployment.
+It writes each result to a file in the output directory and prints the result
+and its ratios to the result of the first run.
 
-Its file lists "runs", each with "name", "workload" (a file, relative to its
-own), and "before" and "after": orders for the backend servers.`
+The experiment file lists "runs". Each has a "name", a "workload" (a path
+relative to the experiment file), and "before" and "after": lists of fault
+commands for the backend servers (see backends --help).`
 
-// maxRuns bounds the runs of an experiment.
+// maxRuns is the maximum number of runs of an experiment.
 const maxRuns = 32
 
 type experimentDocument struct {
@@ -55,9 +56,9 @@
 		Args:  cobra.NoArgs,
 		RunE:  func(c *cobra.Command, _ []string) error { return f.run(c) },
 	}
-	c.Flags().StringVar(&f.deployment, "deployment", "", "file of the deployment (required)")
-	c.Flags().StringVar(&f.file, "file", "", "file of the experiment (required)")
-	c.Flags().StringVar(&f.out, "out", ".", "directory for the results")
+	c.Flags().StringVar(&f.deployment, "deployment", "", "deployment file (required)")
+	c.Flags().StringVar(&f.file, "file", "", "experiment file (required)")
+	c.Flags().StringVar(&f.out, "out", ".", "directory for the result files")
 	_ = c.MarkFlagRequired("deployment")
 	_ = c.MarkFlagRequired("file")
 	return c
@@ -75,14 +76,14 @@
 		return errors.Wrap(err, "experiment")
 	}
 	var first *reporter.Result
-	var broken error
+	var violations error
 	for _, x := range doc.Runs {
-		r, err := f.one(ctx, c, d, x)
+		r, err := f.runOne(ctx, c, d, x)
 		if err != nil {
 			return errors.Wrap(err, "experiment "+x.Name)
 		}
-		if err := brokenPromises(r); err != nil {
-			broken = err
+		if err := violationsError(r); err != nil {
+			violations = err
 		}
 		if first == nil {
 			first = r
@@ -92,20 +93,21 @@
 			return errors.Wrap(err, "experiment")
 		}
 	}
-	return broken
+	return violations
 }
 
-// one makes a run between its orders and keeps its result.
-func (f *experimentFlags) one(ctx context.Context, c *cobra.Command, d *deployer.Deployment, x runDocument) (*reporter.Result, error) {
-	if err := postOrders(ctx, d, x.Before); err != nil {
+// runOne sends the fault commands before and after one run, prints its result and
+// writes it to a file.
+func (f *experimentFlags) runOne(ctx context.Context, c *cobra.Command, d *deployer.Deployment, x runDocument) (*reporter.Result, error) {
+	if err := postCommands(ctx, d, x.Before); err != nil {
 		return nil, err
 	}
-	l := &loadFlags{workload: filepath.Join(filepath.Dir(f.file), x.Workload), version: 1}
+	l := &loadFlags{workload: filepath.Join(filepath.Dir(f.file), x.Workload), directVersion: 1}
 	r, err := l.load(ctx, d)
 	if err != nil {
 		return nil, err
 	}
-	if err := postOrders(ctx, d, x.After); err != nil {
+	if err := postCommands(ctx, d, x.After); err != nil {
 		return nil, err
 	}
 	fmt.Fprintf(c.OutOrStdout(), "\nrun %s\n", x.Name)
@@ -115,9 +117,9 @@
 	return r, reporter.Write(filepath.Join(f.out, x.Name+".json"), r)
 }
 
-func postOrders(ctx context.Context, d *deployer.Deployment, orders []json.RawMessage) error {
-	for _, o := range orders {
-		if _, err := leafserver.NewClient(d.Control()).Order(ctx, o); err != nil {
+func postCommands(ctx context.Context, d *deployer.Deployment, commands []json.RawMessage) error {
+	for _, command := range commands {
+		if _, err := leafserver.NewClient(d.Control()).Order(ctx, command); err != nil {
 			return err
 		}
 	}
@@ -136,7 +138,7 @@
 		return nil, errors.Wrap(err, path)
 	}
 	if len(doc.Runs) == 0 || len(doc.Runs) > maxRuns {
-		return nil, errors.Errorf("%s: runs: %d is not allowed: 1 to %d", path, len(doc.Runs), maxRuns)
+		return nil, errors.Errorf("%s: number of runs is %d, allowed are 1 to %d", path, len(doc.Runs), maxRuns)
 	}
 	return doc, nil
 }
--- a/standin/fault.go
+++ b/standin/fault.go
@@ -13,15 +13,15 @@
 func faultCommand() *cobra.Command {
 	var control, learn string
 	c := &cobra.Command{
-		Use:   "fault [ORDER]",
-		Short: "Change running backend servers by a JSON order (see backends --help)",
+		Use:   "fault [COMMAND]",
+		Short: "Change running backend servers with a JSON command (see backends --help)",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			order, err := readOrder(args, learn)
+			command, err := readCommand(args, learn)
 			if err != nil {
 				return err
 			}
-			n, err := leafserver.NewClient(control).Order(c.Context(), order)
+			n, err := leafserver.NewClient(control).Order(c.Context(), command)
 			if err != nil {
 				return err
 			}
@@ -30,14 +30,15 @@
 		},
 	}
 	controlFlag(c, &control)
-	c.Flags().StringVar(&learn, "learn", "", "file of a set document that its servers learn, in place of an order")
+	c.Flags().StringVar(&learn, "learn", "", "set document whose shard map its servers add; replaces the command")
 	return c
 }
 
-// readOrder takes the order given, or makes one of a set document.
-func readOrder(args []string, learn string) ([]byte, error) {
+// readCommand returns the command given as an argument, or one that has servers learn
+// the set document in the file learn.
+func readCommand(args []string, learn string) ([]byte, error) {
 	if (len(args) == 0) == (learn == "") {
-		return nil, errors.New("give either an order or --learn")
+		return nil, errors.New("specify either a command or --learn")
 	}
 	if learn == "" {
 		return []byte(args[0]), nil
@@ -47,36 +48,38 @@
 }
 
 func bookedCommand() *cobra.Command {
-	var control, count string
+	var control, countKey string
 	c := &cobra.Command{
 		Use:   "booked",
-		Short: "List the bookings that took effect on the backend servers",
+		Short: "List the bookings that the backend servers executed",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			list, err := leafserver.NewClient(control).Booked(c.Context(), 0)
 			if err != nil {
 				return err
 			}
-			printBooked(c, list, count)
+			printBookings(c, list, countKey)
 			return nil
 		},
 	}
 	controlFlag(c, &control)
-	c.Flags().StringVar(&count, "count", "", "print only how many bookings this record key has")
+	c.Flags().StringVar(&countKey, "count", "", "print only the number of bookings with this record key")
 	return c
 }
 
-func printBooked(c *cobra.Command, list []leafserver.Booked, count string) {
+// printBookings lists the bookings or, if countKey is set, prints how many have that
+// record key.
+func printBookings(c *cobra.Command, list []leafserver.Booked, countKey string) {
 	n := 0
 	for _, b := range list {
-		if count == "" {
+		if countKey == "" {
 			fmt.Fprintf(c.OutOrStdout(), "server=%s record-key=%s attempt=%s receipt=%s body=%q\n", b.Server, b.RecordKey, b.Attempt, b.Receipt, b.Body)
 		}
-		if b.RecordKey == count {
+		if b.RecordKey == countKey {
 			n++
 		}
 	}
-	if count != "" {
+	if countKey != "" {
 		fmt.Fprintln(c.OutOrStdout(), n)
 	}
 }
--- a/standin/link.go
+++ b/standin/link.go
@@ -9,19 +9,20 @@
 	"cicadagrade.example/standin/relay"
 )
 
-const linkHelp = `link relays TCP connections between the addresses of its configuration file
+const linkHelp = `link relays TCP connections between the addresses in its configuration file
 until it is interrupted.
 
-The control port gives GET /links and takes POST /links, which names links by
-"name", "from" and "to" (all when left out; "both-ways" takes the opposite
-direction too) and sets "cut" (none, stall, reset), "delay-ms" (one way) and
-"lose-answers".`
+The control port serves GET /links and accepts POST /links. The JSON command
+for POST /links selects links by "name", "from" and "to" (all links if none is
+given; "both-ways" adds the opposite direction) and sets "cut" (none, stall or
+reset), "delay-ms" (one way) and "lose-answers" (discards all bytes that the
+target sends).`
 
 func linkCommand() *cobra.Command {
 	var config string
 	c := &cobra.Command{
 		Use:   "link",
-		Short: "Relay connections over links that can be cut and delayed",
+		Short: "Relay TCP connections over links that can be cut and delayed",
 		Long:  linkHelp,
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -33,7 +34,7 @@
 			return serveWithControl(c.Context(), r.Serve, r.ControlAddress(), r.Control())
 		},
 	}
-	c.Flags().StringVar(&config, "config", "", "file of the links (required)")
+	c.Flags().StringVar(&config, "config", "", "links file (required)")
 	_ = c.MarkFlagRequired("config")
 	return c
 }
--- a/standin/load.go
+++ b/standin/load.go
@@ -14,20 +14,22 @@
 	"cicadagrade.example/tier"
 )
 
-const loadHelp = `load sends a workload to a running deployment: each stream at its own rate,
-whether or not earlier requests have ended. Latency counts from the time at
-which a request was due. Every answer is checked on arrival against the
-records, and at the end bookings and refusals against what the backend servers
-ran. The exit code is 1 when a promise was broken.
+const loadHelp = `load sends a workload to a running deployment as an open-loop load: each
+stream keeps its own rate, whether or not earlier requests have ended. Latency
+is measured from the time at which a request was due to be sent.
 
-A stream marked "bare" asks the backend servers itself, without the tier, for
-comparison within the run.`
+Every answer is checked on arrival against the generated records. At the end,
+bookings and refusals are checked against the requests that the backend servers
+executed. The exit code is 1 if a guarantee of the tier was violated.
+
+A stream marked "bare" bypasses the tier and calls the backend servers
+directly, as a baseline within the same run.`
 
 type loadFlags struct {
-	deployment string
-	workload   string
-	out        string
-	version    uint64
+	deployment    string
+	workload      string
+	out           string
+	directVersion uint64
 }
 
 func loadCommand() *cobra.Command {
@@ -39,10 +41,10 @@
 		Args:  cobra.NoArgs,
 		RunE:  func(c *cobra.Command, _ []string) error { return f.run(c) },
 	}
-	c.Flags().StringVar(&f.deployment, "deployment", "", "file of the deployment (required)")
-	c.Flags().StringVar(&f.workload, "workload", "", "file of the workload (required)")
-	c.Flags().StringVar(&f.out, "out", "", "file for the result as JSON")
-	c.Flags().Uint64Var(&f.version, "bare-version", 1, "index version that bare streams ask for")
+	c.Flags().StringVar(&f.deployment, "deployment", "", "deployment file (required)")
+	c.Flags().StringVar(&f.workload, "workload", "", "workload file (required)")
+	c.Flags().StringVar(&f.out, "out", "", "file to write the result to, as JSON")
+	c.Flags().Uint64Var(&f.directVersion, "bare-version", 1, "index version that bare streams request")
 	_ = c.MarkFlagRequired("deployment")
 	_ = c.MarkFlagRequired("workload")
 	return c
@@ -67,7 +69,7 @@
 			return errors.Wrap(err, "load")
 		}
 	}
-	return brokenPromises(r)
+	return violationsError(r)
 }
 
 // load runs the workload once.
@@ -76,17 +78,18 @@
 	if err != nil {
 		return nil, err
 	}
-	run, err := loader.New(w, d, loader.WithBareVersion(tier.Version(f.version)))
+	run, err := loader.New(w, d, loader.WithBareVersion(tier.Version(f.directVersion)))
 	if err != nil {
 		return nil, err
 	}
 	return run.Go(ctx)
 }
 
-// brokenPromises fails a run with violations, or with checks not made.
-func brokenPromises(r *reporter.Result) error {
+// violationsError returns an error if the run found violations or could not make a
+// check.
+func violationsError(r *reporter.Result) error {
 	if r.ViolationCount > 0 || len(r.Unchecked) > 0 {
-		return errors.Errorf("%s: %d violations, %d checks not made", r.Workload, r.ViolationCount, len(r.Unchecked))
+		return errors.Errorf("%s: %d violations, %d checks could not be made", r.Workload, r.ViolationCount, len(r.Unchecked))
 	}
 	return nil
 }
--- a/standin/loader/balancer.go
+++ b/standin/loader/balancer.go
@@ -9,14 +9,14 @@
 	"cicadagrade.example/standin/deployer"
 )
 
-// Pace of the balancer's look at each VM.
+// Interval and timeout of the readiness check of each VM.
 const (
 	readinessInterval = 500 * time.Millisecond
 	readinessTimeout  = 400 * time.Millisecond
 )
 
-// balancer plays the platform's balancer: it sends to the VMs that said they
-// are ready when it last looked.
+// balancer simulates the platform's load balancer. It sends requests only to VMs that
+// were ready at the last readiness check.
 type balancer struct {
 	vms    []deployer.VM
 	ready  []atomic.Bool
@@ -35,12 +35,12 @@
 	return b
 }
 
-// watch looks at one VM until ctx ends.
-func (b *balancer) watch(ctx context.Context, i int) error {
+// poll checks the readiness of the VM with index i periodically until ctx ends.
+func (b *balancer) poll(ctx context.Context, i int) error {
 	t := time.NewTicker(readinessInterval)
 	defer t.Stop()
 	for {
-		b.ready[i].Store(b.look(ctx, i))
+		b.ready[i].Store(b.checkReady(ctx, i))
 		select {
 		case <-ctx.Done():
 			return nil
@@ -49,7 +49,7 @@
 	}
 }
 
-func (b *balancer) look(ctx context.Context, i int) bool {
+func (b *balancer) checkReady(ctx context.Context, i int) bool {
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+b.vms[i].API()+"/healthz/ready", nil)
 	if err != nil {
 		return false
@@ -62,17 +62,17 @@
 	return reply.StatusCode == http.StatusOK
 }
 
-// pick takes the n-th of the ready VMs among the given ones, or of all of
-// them when none is ready.
-func (b *balancer) pick(among []int, n int) int {
+// pick selects round robin: n modulo the number of ready VMs among the given indices.
+// If none of them is ready, it picks from all of the given indices.
+func (b *balancer) pick(candidates []int, n int) int {
 	var ready []int
-	for _, i := range among {
+	for _, i := range candidates {
 		if b.ready[i].Load() {
 			ready = append(ready, i)
 		}
 	}
 	if len(ready) == 0 {
-		ready = among
+		ready = candidates
 	}
 	return ready[n%len(ready)]
 }
--- a/standin/loader/run.go
+++ b/standin/loader/run.go
@@ -20,52 +20,54 @@
 	"cicadagrade.example/tier/ring"
 )
 
-// grace is how long after its deadline an answer is still awaited.
-const grace = 2 * tier.Second
+// answerGrace is how long after its deadline a request still waits for an answer.
+const answerGrace = 2 * tier.Second
 
-// ringSize bounds the ended requests that wait to be summed up.
-const ringSize = 1024
+// resultRingSize is the maximum number of request results waiting to be added to the
+// summary.
+const resultRingSize = 1024
 
-// Run is one run of a workload on a deployment.
+// Run executes a workload on a deployment once.
 type Run struct {
 	workload   *Workload
 	deployment *deployer.Deployment
 	version    tier.Version
 	vms        []*caller.VM
 	balancer   *balancer
-	straight   *caller.Bare
+	direct     *caller.Bare
 	records    *recorder.Recorder
 	checker    *checker.Checker
-	ledger     *checker.Ledger
+	bookings   *checker.Ledger
 	backends   *leafserver.Client
-	ends       *ring.Ring[ended]
+	results    *ring.Ring[requestResult]
 	requests   *errgroup.Group
-	started    string
+	idPrefix   string
 }
 
-// Option sets one field of a run.
+// Option configures a Run.
 type Option func(*Run)
 
-// WithBareVersion sets the index version that bare streams ask for.
+// WithBareVersion sets the index version that streams marked "bare" request from the
+// backend servers.
 func WithBareVersion(v tier.Version) Option { return func(r *Run) { r.version = v } }
 
-// New returns a run. All its addresses must be loopback ones.
+// New returns a run. The API addresses of all entry VMs must be loopback addresses.
 func New(w *Workload, d *deployer.Deployment, opts ...Option) (*Run, error) {
 	r := &Run{
 		workload:   w,
 		deployment: d,
 		records:    recorder.New(d.Seed()),
-		ledger:     checker.NewLedger(),
+		bookings:   checker.NewLedger(),
 		backends:   leafserver.NewClient(d.Control()),
 		balancer:   newBalancer(d),
-		ends:       ring.New[ended](ringSize),
+		results:    ring.New[requestResult](resultRingSize),
 		version:    1,
 	}
 	for _, o := range opts {
 		o(r)
 	}
-	r.checker = checker.New(r.records, append(append([]*tier.ShardSet{}, d.Sets()...), w.maps...)...)
-	r.straight = caller.NewBare(r.version, d.Sets()...)
+	r.checker = checker.New(r.records, append(append([]*tier.ShardSet{}, d.Sets()...), w.laterMaps...)...)
+	r.direct = caller.NewBare(r.version, d.Sets()...)
 	for _, v := range d.VMs() {
 		r.vms = append(r.vms, caller.NewVM(v.API()))
 	}
@@ -84,42 +86,42 @@
 
 // Go runs the workload to its end and returns its result.
 func (r *Run) Go(ctx context.Context) (*reporter.Result, error) {
-	r.started = strconv.FormatInt(time.Now().UnixMilli(), 36)
+	r.idPrefix = strconv.FormatInt(time.Now().UnixMilli(), 36)
 	before, err := r.backends.Counters(ctx)
 	if err != nil {
-		return nil, errors.Wrap(err, "Run.Go")
+		return nil, errors.Wrap(err, "Run.Execute")
 	}
 	s := newSummary(r)
-	collected, stop := context.WithCancel(context.Background())
+	collectCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	var collecting errgroup.Group
-	collecting.Go(func() error { return s.collect(collected, r.ends) })
+	var background errgroup.Group
+	background.Go(func() error { return s.collect(collectCtx, r.results) })
 	for i := range r.vms {
-		collecting.Go(func() error { return r.balancer.watch(collected, i) })
+		background.Go(func() error { return r.balancer.poll(collectCtx, i) })
 	}
 	err = r.send(ctx)
 	stop()
-	_ = collecting.Wait()
+	_ = background.Wait()
 	if err != nil {
-		return nil, errors.Wrap(err, "Run.Go")
+		return nil, errors.Wrap(err, "Run.Execute")
 	}
 	after, err := r.backends.Counters(ctx)
 	if err != nil {
-		return nil, errors.Wrap(err, "Run.Go")
+		return nil, errors.Wrap(err, "Run.Execute")
 	}
-	s.sets(before, after)
-	s.compareWithJournal(ctx)
+	s.addSetLoads(before, after)
+	s.checkAgainstJournal(ctx)
 	return s.result(), nil
 }
 
-// send runs the phases one after the other, then waits for every request.
+// send runs the phases one after the other and then waits for all requests in flight.
 func (r *Run) send(ctx context.Context) error {
 	r.requests = &errgroup.Group{}
 	r.requests.SetLimit(r.workload.maxInFlight)
 	start := time.Now()
 	for i, f := range r.workload.phases {
 		end := start.Add(time.Duration(f.seconds * float64(time.Second)))
-		if err := r.phase(ctx, i, f, start, end); err != nil {
+		if err := r.runPhase(ctx, i, f, start, end); err != nil {
 			_ = r.requests.Wait()
 			return err
 		}
@@ -128,30 +130,30 @@
 	return r.requests.Wait()
 }
 
-// phase runs a duty for each stream and one for the orders.
-func (r *Run) phase(ctx context.Context, i int, f phase, start, end time.Time) error {
+// runPhase runs one sender for each stream and posts the control commands of the phase.
+func (r *Run) runPhase(ctx context.Context, i int, f phase, start, end time.Time) error {
 	g, ctx := errgroup.WithContext(ctx)
-	for j, s := range f.streams {
-		d := &duty{
-			run:    r,
-			phase:  i,
-			index:  j,
-			stream: s,
-			random: rand.New(rand.NewPCG(r.workload.seed, uint64(i)<<32|uint64(j))),
+	for j, stream := range f.streams {
+		s := &sender{
+			run:         r,
+			phase:       i,
+			streamIndex: j,
+			stream:      stream,
+			random:      rand.New(rand.NewPCG(r.workload.seed, uint64(i)<<32|uint64(j))),
 		}
-		g.Go(func() error { return d.send(ctx, start, end) })
+		g.Go(func() error { return s.sendAll(ctx, start, end) })
 	}
-	g.Go(func() error { return r.orders(ctx, f.orders, start) })
+	g.Go(func() error { return r.postCommands(ctx, f.commands, start) })
 	return g.Wait()
 }
 
-func (r *Run) orders(ctx context.Context, list []order, start time.Time) error {
-	for _, o := range list {
-		if err := sleepUntil(ctx, start.Add(o.after.Duration())); err != nil {
+func (r *Run) postCommands(ctx context.Context, commands []command, start time.Time) error {
+	for _, c := range commands {
+		if err := sleepUntil(ctx, start.Add(c.after.Duration())); err != nil {
 			return err
 		}
-		if err := r.post(ctx, o); err != nil {
-			return errors.Wrap(err, "Run.orders")
+		if err := r.postCommand(ctx, c); err != nil {
+			return errors.Wrap(err, "Run.postCommands")
 		}
 	}
 	return nil
--- a/standin/loader/run_test.go
+++ b/standin/loader/run_test.go
@@ -17,14 +17,14 @@
 	"cicadagrade.example/tier"
 )
 
-const committed = "../deployment"
+const deploymentDir = "../deployment"
 
-// fakeVM plays the API of a VM that answers every search from the records of
-// version 1, after spoiling the answer.
+// fakeVM simulates the API of an entry VM. It answers every search with the records of
+// version 1 after corrupt has altered the answer.
 type fakeVM struct {
-	d       *deployer.Deployment
-	records *recorder.Recorder
-	spoil   func(answer map[string]any, records []tier.Record) []tier.Record
+	deployment *deployer.Deployment
+	records    *recorder.Recorder
+	corrupt    func(answer map[string]any, records []tier.Record) []tier.Record
 }
 
 func (f *fakeVM) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -33,7 +33,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	set, _ := f.d.Set(q.Set)
+	set, _ := f.deployment.Set(q.Set)
 	var covered []string
 	for _, s := range set.Shards() {
 		covered = append(covered, s.ID())
@@ -46,7 +46,7 @@
 		"coverage":   map[string]any{"covered": covered, "missing": []any{}, "fraction": 1},
 		"leaf-calls": len(covered),
 	}
-	records := f.spoil(a, f.records.Records(q.Set, 1, q.Term))
+	records := f.corrupt(a, f.records.Records(q.Set, 1, q.Term))
 	rows := []any{}
 	for _, x := range records {
 		rows = append(rows, map[string]any{"key": x.Key(), "value": x.Value()})
@@ -61,11 +61,11 @@
 	Term      string `json:"term"`
 }
 
-// deployment is the Associação's with the API of every VM and the control
-// port at other addresses.
-func deployment(t *testing.T, api, control string) *deployer.Deployment {
+// testDeployment returns the Associação deployment with the given addresses for the API
+// of every VM and for the control port of the backend servers.
+func testDeployment(t *testing.T, api, control string) *deployer.Deployment {
 	t.Helper()
-	b, err := os.ReadFile(filepath.Join(committed, "associacao.json"))
+	b, err := os.ReadFile(filepath.Join(deploymentDir, "associacao.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,7 +78,7 @@
 	}
 	doc["control"] = control
 	dir := t.TempDir()
-	if err := os.CopyFS(dir, os.DirFS(committed)); err != nil {
+	if err := os.CopyFS(dir, os.DirFS(deploymentDir)); err != nil {
 		t.Fatal(err)
 	}
 	if b, err = json.Marshal(doc); err != nil {
@@ -95,43 +95,43 @@
 	return d
 }
 
-// TestRunSeesSpoiltAnswers runs a workload against VMs that answer rightly
-// and against VMs that break a promise each.
-func TestRunSeesSpoiltAnswers(t *testing.T) {
+// TestRunDetectsViolations runs a workload against VMs that answer correctly and
+// against VMs that each violate one guarantee.
+func TestRunDetectsViolations(t *testing.T) {
 	refuse := func(a map[string]any, _ []tier.Record) []tier.Record {
 		a["outcome"], a["reason"] = "refused-not-run", "overload"
 		return nil
 	}
 	cases := []struct {
-		name    string
-		spoil   func(map[string]any, []tier.Record) []tier.Record
-		started bool // the backend servers ran the searches
-		kind    checker.Kind
+		name     string
+		corrupt  func(map[string]any, []tier.Record) []tier.Record
+		executed bool // the backend servers executed the searches
+		kind     checker.Kind
 	}{
-		{"right", func(_ map[string]any, r []tier.Record) []tier.Record { return r }, true, ""},
-		{"doubled", func(_ map[string]any, r []tier.Record) []tier.Record { return append(r[:1:1], r...) }, true, checker.Doubled},
+		{"correct", func(_ map[string]any, r []tier.Record) []tier.Record { return r }, true, ""},
+		{"duplicate", func(_ map[string]any, r []tier.Record) []tier.Record { return append(r[:1:1], r...) }, true, checker.Doubled},
 		{"truncated", func(_ map[string]any, r []tier.Record) []tier.Record { return r[1:] }, true, checker.Truncated},
 		{"refused", refuse, false, ""},
-		{"refused falsely", refuse, true, checker.FalseRefusal},
+		{"false refusal", refuse, true, checker.FalseRefusal},
 	}
 	for _, x := range cases {
-		t.Run(x.name, func(t *testing.T) { runCase(t, x.spoil, x.started, x.kind) })
+		t.Run(x.name, func(t *testing.T) { runCase(t, x.corrupt, x.executed, x.kind) })
 	}
 }
 
-func runCase(t *testing.T, spoil func(map[string]any, []tier.Record) []tier.Record, started bool, kind checker.Kind) {
-	control := httptest.NewServer(controlPort(started))
+func runCase(t *testing.T, corrupt func(map[string]any, []tier.Record) []tier.Record, executed bool, kind checker.Kind) {
+	control := httptest.NewServer(fakeControlPort(executed))
 	defer control.Close()
-	vm := &fakeVM{spoil: spoil}
+	vm := &fakeVM{corrupt: corrupt}
 	api := httptest.NewServer(vm)
 	defer api.Close()
-	vm.d = deployment(t, host(api), host(control))
-	vm.records = recorder.New(vm.d.Seed())
-	w, err := Read("testdata/short.json", vm.d)
+	vm.deployment = testDeployment(t, hostPort(api), hostPort(control))
+	vm.records = recorder.New(vm.deployment.Seed())
+	w, err := Read("testdata/short.json", vm.deployment)
 	if err != nil {
 		t.Fatal(err)
 	}
-	run, err := New(w, vm.d)
+	run, err := New(w, vm.deployment)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -153,9 +153,10 @@
 	}
 }
 
-// controlPort answers as a fleet that ran every search, or none.
-func controlPort(started bool) http.Handler {
-	if !started {
+// fakeControlPort returns the handler of a control port that reports every search as
+// executed, or none.
+func fakeControlPort(executed bool) http.Handler {
+	if !executed {
 		return leafserver.NewFleet(nil, recorder.New(1)).Control()
 	}
 	m := http.NewServeMux()
@@ -170,46 +171,47 @@
 	return m
 }
 
-func host(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
+func hostPort(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
 
-// TestWorkloadsFit reads every committed workload for its deployment, and a
-// bad one.
-func TestWorkloadsFit(t *testing.T) {
+// TestCommittedWorkloadsAreValid reads every workload in the repository for its
+// deployment, and checks that an invalid one is rejected with all its bad fields.
+func TestCommittedWorkloadsAreValid(t *testing.T) {
 	files, err := filepath.Glob("../workload/*-*.json")
 	if err != nil || len(files) == 0 {
 		t.Fatal(files, err)
 	}
 	for _, f := range files {
 		user, _, _ := strings.Cut(filepath.Base(f), "-")
-		d, err := deployer.Read(filepath.Join(committed, user+".json"))
+		d, err := deployer.Read(filepath.Join(deploymentDir, user+".json"))
 		if err != nil {
-			continue // an experiment's file
+			continue // an experiment file, which belongs to no deployment
 		}
 		if _, err := Read(f, d); err != nil {
 			t.Error(err)
 		}
 	}
-	d, err := deployer.Read(filepath.Join(committed, "associacao.json"))
+	d, err := deployer.Read(filepath.Join(deploymentDir, "associacao.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, err = Read("testdata/bad.json", d)
 	for _, path := range []string{"phases[0].streams[0].profile", "phases[0].streams[0].rate", "phases[0].orders[0].to"} {
 		if err == nil || !strings.Contains(err.Error(), path) {
-			t.Errorf("%s was not named: %v", path, err)
+			t.Errorf("the error does not name %s: %v", path, err)
 		}
 	}
 }
 
-// TestBookingsHaveNoCoverage sums up an answered booking alone.
+// TestBookingsHaveNoCoverage checks that answered bookings don't count towards the mean
+// coverage.
 func TestBookingsHaveNoCoverage(t *testing.T) {
 	a, err := checker.ParseAnswer([]byte(`{"outcome":"answered","receipt":"a-1"}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := newTally("order")
-	l.add(ended{booking: true, inTime: true, answer: a})
-	if r := l.finish(1); r.Answered != 1 || r.Coverage != 0 {
+	l.add(requestResult{booking: true, inTime: true, answer: a})
+	if r := l.buildRow(1); r.Answered != 1 || r.Coverage != 0 {
 		t.Errorf("%+v", r)
 	}
 }
--- a/standin/loader/summary.go
+++ b/standin/loader/summary.go
@@ -16,11 +16,11 @@
 	"cicadagrade.example/tier/ring"
 )
 
-// maxViolations bounds the violations that a result lists.
+// maxViolations is the maximum number of violations that a result lists.
 const maxViolations = 200
 
-// summary sums up ended requests. Only its collecting duty writes it, until
-// that has ended.
+// summary aggregates the results of requests. Only the goroutine running collect writes
+// to it until that goroutine has ended.
 type summary struct {
 	run     *Run
 	streams [][]*tally // by phase and stream
@@ -53,8 +53,8 @@
 	return s
 }
 
-// collect sums up until ctx ends, and then what is left in the ring.
-func (s *summary) collect(ctx context.Context, ends *ring.Ring[ended]) error {
+// collect adds results until ctx ends, and then those left in the ring.
+func (s *summary) collect(ctx context.Context, ends *ring.Ring[requestResult]) error {
 	for {
 		e, err := ends.Pop(ctx)
 		if err != nil {
@@ -68,39 +68,40 @@
 	return nil
 }
 
-func (s *summary) add(e ended) {
+func (s *summary) add(e requestResult) {
 	x := s.run.workload.phases[e.phase].streams[e.stream]
 	s.streams[e.phase][e.stream].add(e)
-	if !x.bare {
+	if !x.direct {
 		s.ranks[e.phase][x.profile.Rank()].add(e)
 	}
-	s.violate(e.violations)
+	s.addViolations(e.violations)
 	if e.answer != nil && !x.book && e.answer.Outcome() == checker.OutcomeRefused {
 		s.refused = append(s.refused, e.answer.RequestID())
 	}
 }
 
-func (s *summary) violate(list []checker.Violation) {
+func (s *summary) addViolations(list []checker.Violation) {
 	s.out.ViolationCount += len(list)
 	for _, v := range list {
 		s.out.ViolationKinds[string(v.Kind)]++
 	}
-	room := maxViolations - len(s.out.Violations)
-	s.out.Violations = append(s.out.Violations, list[:min(len(list), room)]...)
+	free := maxViolations - len(s.out.Violations)
+	s.out.Violations = append(s.out.Violations, list[:min(len(list), free)]...)
 }
 
-// settle is how long leaf calls that nobody waits for may still take effect.
-const settle = 500 * time.Millisecond
+// settleTime is how long to wait before the check against the journal. Leaf calls whose
+// caller has given up may still take effect within this time.
+const settleTime = 500 * time.Millisecond
 
-// compareWithJournal checks bookings and refusals against what the backend
-// servers ran.
-func (s *summary) compareWithJournal(ctx context.Context) {
-	_ = sleepUntil(ctx, time.Now().Add(settle))
-	booked, err := s.run.backends.Booked(ctx, 0)
+// checkAgainstJournal checks bookings and refusals against the journal of the requests
+// that the backend servers executed.
+func (s *summary) checkAgainstJournal(ctx context.Context) {
+	_ = sleepUntil(ctx, time.Now().Add(settleTime))
+	executed, err := s.run.backends.Booked(ctx, 0)
 	if err != nil {
 		s.out.Unchecked = append(s.out.Unchecked, "bookings: "+err.Error())
 	} else {
-		s.violate(s.run.ledger.Check(booked))
+		s.addViolations(s.run.bookings.Check(executed))
 	}
 	started, err := s.run.backends.Started(ctx, s.refused)
 	if err != nil {
@@ -108,15 +109,15 @@
 		return
 	}
 	for _, id := range started {
-		s.violate([]checker.Violation{{Kind: checker.FalseRefusal, RequestID: id, Detail: "refused as not run, but a leaf call ran"}})
+		s.addViolations([]checker.Violation{{Kind: checker.FalseRefusal, RequestID: id, Detail: "refused as not executed, but a backend server executed a call"}})
 	}
 }
 
-// sets sums up the servers' counters by set.
-func (s *summary) sets(before, after []leafserver.Counters) {
-	old := map[string]leafserver.Counters{}
+// addSetLoads aggregates the counters of the backend servers by set.
+func (s *summary) addSetLoads(before, after []leafserver.Counters) {
+	previous := map[string]leafserver.Counters{}
 	for _, c := range before {
-		old[c.Server] = c
+		previous[c.Server] = c
 	}
 	loads := map[string]*reporter.SetLoad{}
 	for _, x := range s.run.deployment.Sets() {
@@ -124,7 +125,7 @@
 	}
 	for _, c := range after {
 		if l, ok := loads[c.Set]; ok {
-			addLoad(l, old[c.Server], c)
+			addLoad(l, previous[c.Server], c)
 		}
 	}
 	for _, x := range s.run.deployment.Sets() {
@@ -149,31 +150,31 @@
 		p := reporter.Phase{Name: f.name, Seconds: f.seconds}
 		for _, t := range s.ranks[i] {
 			if t.row.Offered > 0 {
-				p.Ranks = append(p.Ranks, t.finish(f.seconds))
+				p.Ranks = append(p.Ranks, t.buildRow(f.seconds))
 			}
 		}
 		for _, t := range s.streams[i] {
-			p.Streams = append(p.Streams, t.finish(f.seconds))
+			p.Streams = append(p.Streams, t.buildRow(f.seconds))
 		}
 		s.out.Phases = append(s.out.Phases, p)
 	}
 	return &s.out
 }
 
-// post gives an order to the stand-in that it is meant for.
-func (r *Run) post(ctx context.Context, o order) error {
-	switch o.to {
-	case toBackends:
-		_, err := r.backends.Order(ctx, o.body)
+// postCommand sends a command to the control port that it is meant for.
+func (r *Run) postCommand(ctx context.Context, c command) error {
+	switch c.target {
+	case targetBackends:
+		_, err := r.backends.Order(ctx, c.body)
 		return err
-	case toStore:
-		return command(ctx, http.MethodPut, "http://"+r.deployment.Store()+"/faults", o.body)
+	case targetStore:
+		return sendJSON(ctx, http.MethodPut, "http://"+r.deployment.Store()+"/faults", c.body)
 	default:
-		return command(ctx, http.MethodPost, "http://"+r.deployment.Links()+"/links", o.body)
+		return sendJSON(ctx, http.MethodPost, "http://"+r.deployment.Links()+"/links", c.body)
 	}
 }
 
-func command(ctx context.Context, method, url string, body []byte) error {
+func sendJSON(ctx context.Context, method, url string, body []byte) error {
 	q, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return err
--- a/standin/loader/tally.go
+++ b/standin/loader/tally.go
@@ -9,31 +9,32 @@
 	"cicadagrade.example/standin/reporter"
 )
 
-// Range and precision of the latency histograms, in microseconds.
+// Range of the latency histograms in microseconds, and their precision in significant
+// digits.
 const (
 	lowestLatency  = 1
 	highestLatency = 60_000_000
 	latencyDigits  = 3
 )
 
-// ended is the end of one request.
-type ended struct {
+// requestResult is the result of one request.
+type requestResult struct {
 	phase      int
 	stream     int
 	latency    time.Duration
 	booking    bool
 	inTime     bool
-	answer     *checker.Answer // nil when none came
+	answer     *checker.Answer // nil if no answer came
 	notSent    bool
 	violations []checker.Violation
 }
 
-// tally sums up the requests of a stream or of a rank.
+// tally aggregates the results of a stream or of a rank.
 type tally struct {
 	row       reporter.Row
 	latencies *hdrhistogram.Histogram
-	searches  int // answered ones
-	coverage  float64
+	searches  int     // answered searches
+	coverage  float64 // sum over the answered searches
 }
 
 func newTally(name string) *tally {
@@ -43,46 +44,46 @@
 	}
 }
 
-func (t *tally) add(e ended) {
+func (t *tally) add(r requestResult) {
 	t.row.Offered++
-	if e.notSent {
+	if r.notSent {
 		t.row.NotSent++
 		return
 	}
-	if e.answer == nil {
+	if r.answer == nil {
 		t.row.Failed++
 		return
 	}
-	t.row.LeafCalls += e.answer.LeafCalls()
-	t.row.ExtraLeafCalls += e.answer.ExtraCalls()
-	if e.answer.Outcome() != checker.OutcomeAnswered {
-		t.row.Reasons[e.answer.Reason()]++
+	t.row.LeafCalls += r.answer.LeafCalls()
+	t.row.ExtraLeafCalls += r.answer.ExtraCalls()
+	if r.answer.Outcome() != checker.OutcomeAnswered {
+		t.row.Reasons[r.answer.Reason()]++
 	}
 	switch {
-	case !e.answer.Accepted():
+	case !r.answer.Accepted():
 		t.row.Rejected++
-	case e.answer.Outcome() == checker.OutcomeAnswered:
-		t.answered(e)
-	case e.answer.Outcome() == checker.OutcomeRefused:
+	case r.answer.Outcome() == checker.OutcomeAnswered:
+		t.addAnswered(r)
+	case r.answer.Outcome() == checker.OutcomeRefused:
 		t.row.Refused++
 	default:
 		t.row.Unknown++
 	}
 }
 
-func (t *tally) answered(e ended) {
+func (t *tally) addAnswered(r requestResult) {
 	t.row.Answered++
-	if !e.booking {
+	if !r.booking {
 		t.searches++
-		t.coverage += e.answer.Fraction()
+		t.coverage += r.answer.Fraction()
 	}
-	if e.inTime && len(e.violations) == 0 {
+	if r.inTime && len(r.violations) == 0 {
 		t.row.InTime++
 	}
-	_ = t.latencies.RecordValue(min(max(e.latency.Microseconds(), lowestLatency), highestLatency))
+	_ = t.latencies.RecordValue(min(max(r.latency.Microseconds(), lowestLatency), highestLatency))
 }
 
-func (t *tally) finish(seconds float64) reporter.Row {
+func (t *tally) buildRow(seconds float64) reporter.Row {
 	r := t.row
 	r.P50 = t.quantile(50)
 	r.P99 = t.quantile(99)
--- a/standin/main.go
+++ b/standin/main.go
@@ -1,5 +1,6 @@
-// Command standin plays the platform's store and the backend servers, loads
-// the tier and measures it. It is for tests and measurements only.
+// Command standin simulates what surrounds the query tier: the platform's store, the
+// backend servers and the callers. It also generates load and measures the tier. It is
+// for tests and measurements only.
 package main
 
 import "os"
--- a/standin/report.go
+++ b/standin/report.go
@@ -10,7 +10,7 @@
 func reportCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "report RESULT [RESULT]",
-		Short: "Print a result file, or the ratios of a second one to it",
+		Short: "Print a result file, or the ratios of a second result to the first",
 		Args:  cobra.RangeArgs(1, 2),
 		RunE: func(c *cobra.Command, args []string) error {
 			a, err := reporter.Read(args[0])
--- a/standin/root.go
+++ b/standin/root.go
@@ -7,15 +7,15 @@
 	"github.com/spf13/cobra"
 )
 
-const rootHelp = `standin plays everything around the query tier on loopback: the platform's
-store, the backend servers with their records, links that can be cut, and
-callers that load it. It is for tests and measurements only.`
+const rootHelp = `standin simulates everything around the query tier on loopback: the platform's
+store, the backend servers with their records, network links that can be cut,
+and callers that generate load. It is for tests and measurements only.`
 
 // execute runs the command line and returns the exit code.
 func execute() int {
 	root := &cobra.Command{
 		Use:           "standin",
-		Short:         "Stand-ins of the platform, load and measurements",
+		Short:         "Simulate the platform, generate load and measure the tier",
 		Long:          rootHelp,
 		SilenceUsage:  true,
 		SilenceErrors: true,
--- a/standin/settings.go
+++ b/standin/settings.go
@@ -11,9 +11,9 @@
 	"cicadagrade.example/standin/relay"
 )
 
-const settingsHelp = `settings prints the environment of one entry VM of a deployment, a variable a
-line, for cicadagraded serve. With --links it has the VM reach the store and
-the VMs of other data centres over the links of that file.`
+const settingsHelp = `settings prints the environment variables of cicadagraded serve for one entry
+VM of a deployment, one per line. With --links the VM connects to the store and
+to the VMs of other data centres over the links in that file.`
 
 func settingsCommand() *cobra.Command {
 	var deployment, name, links string
@@ -35,14 +35,15 @@
 			return nil
 		},
 	}
-	c.Flags().StringVar(&deployment, "deployment", "", "file of the deployment (required)")
-	c.Flags().StringVar(&name, "vm", "", "name of the VM; empty: list the VMs' names")
-	c.Flags().StringVar(&links, "links", "", "file of the links")
+	c.Flags().StringVar(&deployment, "deployment", "", "deployment file (required)")
+	c.Flags().StringVar(&name, "vm", "", "name of the VM; if empty, the names of all VMs are listed")
+	c.Flags().StringVar(&links, "links", "", "links file")
 	_ = c.MarkFlagRequired("deployment")
 	return c
 }
 
-// vmSettings lists a VM's environment, or the names of all VMs.
+// vmSettings returns the environment of the named VM, or the names of all VMs if name
+// is empty.
 func vmSettings(d *deployer.Deployment, name, links string) ([]string, error) {
 	var names, seeds []string
 	var self *deployer.VM
@@ -57,7 +58,7 @@
 		return names, nil
 	}
 	if self == nil {
-		return nil, errors.Errorf("no VM %q in %v", name, names)
+		return nil, errors.Errorf("the deployment has no VM %q; its VMs are %v", name, names)
 	}
 	out := []string{
 		"CICADAGRADED_NAME=" + self.Name(),
@@ -74,11 +75,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return append(out, "CICADAGRADED_DIAL="+strings.Join(dials(r, self.DataCentre()), ",")), nil
+	return append(out, "CICADAGRADED_DIAL="+strings.Join(dialOverrides(r, self.DataCentre()), ",")), nil
 }
 
-// dials lists the addresses that a data centre's VMs dial over links.
-func dials(r *relay.Relay, dataCentre string) []string {
+// dialOverrides returns a target=listen pair for each link that starts in the data
+// centre. Its VMs dial the listen address instead of the target.
+func dialOverrides(r *relay.Relay, dataCentre string) []string {
 	var out []string
 	for _, l := range r.Links() {
 		if listen, target := l.Addresses(); l.From() == dataCentre {
--- a/standin/soak.go
+++ b/standin/soak.go
@@ -16,38 +16,40 @@
 	"cicadagrade.example/tier"
 )
 
-const soakHelp = `Runs entry VMs as processes on loopback, with a store, leafs, an operator and
-callers of its own, and does to them what a plan drawn from the seed says: kills,
-planned stops, freezes, cut, silent, delayed and reset links, a store that is
-down, slow, loses answers or forgets its history, leafs that misbehave, leave or
-end, new configurations and other shards. Faults overlap.
+const soakHelp = `soak runs entry VMs as processes on loopback together with a simulated store,
+leafs (backend servers), operator and callers, and injects random faults drawn
+from the seed. VMs are killed, stopped gracefully or frozen. Links are cut,
+silenced, delayed or reset. The store is down, slow, loses answers or loses its
+history. Leafs misbehave, leave or crash. The configuration and the shards
+change. Faults overlap.
 
-It checks meanwhile what callers, leafs and the operator are promised, and ends
-with code 1 if a promise was broken. The same seed draws the same plan; when it
-meets which request depends on the machine.
+Meanwhile soak checks what the tier guarantees to callers, leafs and the
+operator, and exits with code 1 if a guarantee was violated. The same seed
+yields the same faults, but which requests they affect depends on the machine's
+timing.
 
-It ends only processes that it has started. Logs of the VMs stay in the
-directory if a promise was broken.`
+It ends only processes that it has started. The logs of the VMs are kept in the
+directory if a guarantee was violated.`
 
 func soakCommand() *cobra.Command {
 	var program, dir string
 	var seed uint64
 	var runs, vms, faults, callers int
-	var over, pause tier.Millis
+	var faultWindow, meanPause tier.Millis
 	var untimed bool
 	c := &cobra.Command{
 		Use:   "soak",
-		Short: "Play random faults on real processes, and check the promises",
+		Short: "Inject random faults into real processes and check the guarantees",
 		Long:  soakHelp,
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			// An interrupted run ends its processes too.
+			// On a signal the run still stops the processes it started.
 			ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			broken := 0
+			violations := 0
 			for i := range uint64(runs) {
 				options := []soaker.Option{
-					soaker.WithVMs(vms), soaker.WithFaults(faults, over), soaker.WithCallers(callers, pause),
+					soaker.WithVMs(vms), soaker.WithFaults(faults, faultWindow), soaker.WithCallers(callers, meanPause),
 					soaker.WithLog(log.NewWithOptions(os.Stderr, log.Options{ReportTimestamp: true, TimeFormat: "15:04:05.000"})),
 				}
 				if untimed {
@@ -57,29 +59,30 @@
 				if err != nil {
 					return err
 				}
-				broken += n
+				violations += n
 			}
-			if broken > 0 {
-				return errors.Errorf("soak: %d promises were broken", broken)
+			if violations > 0 {
+				return errors.Errorf("soak: %d guarantees were violated", violations)
 			}
 			return nil
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&program, "program", ".bin/cicadagraded", "the daemon")
-	f.StringVar(&dir, "dir", "", "directory of settings and logs; a temporary one if empty")
-	f.Uint64Var(&seed, "seed", 1, "draws the plan and the requests")
-	f.IntVar(&runs, "runs", 1, "how many seeds are played, one after another")
+	f.StringVar(&program, "program", ".bin/cicadagraded", "path of the cicadagraded program")
+	f.StringVar(&dir, "dir", "", "directory for settings and logs; a temporary one if empty")
+	f.Uint64Var(&seed, "seed", 1, "seed of the random faults and requests")
+	f.IntVar(&runs, "runs", 1, "number of runs, one after another, each with the next seed")
 	f.IntVar(&vms, "vms", 6, "number of entry VMs")
 	f.IntVar(&faults, "faults", 12, "number of faults")
-	f.Int64Var((*int64)(&over), "over-ms", int64(20*tier.Second), "time in which faults begin")
+	f.Int64Var((*int64)(&faultWindow), "over-ms", int64(20*tier.Second), "time window in which faults begin")
 	f.IntVar(&callers, "callers", 24, "number of callers")
-	f.Int64Var((*int64)(&pause), "pause-ms", 60, "mean pause of a caller between two requests")
-	f.BoolVar(&untimed, "untimed", false, "leave out checks whose verdict depends on the machine's speed")
+	f.Int64Var((*int64)(&meanPause), "pause-ms", 60, "mean pause of a caller between two requests")
+	f.BoolVar(&untimed, "untimed", false, "leave out checks whose result depends on the machine's speed")
 	return c
 }
 
-// soakOnce plays one seed and returns the number of broken promises.
+// soakOnce runs the soak test with one seed and returns the number of violated
+// guarantees.
 func soakOnce(ctx context.Context, out io.Writer, program, dir string, seed uint64, options []soaker.Option) (int, error) {
 	temporary := dir == ""
 	if temporary {
--- a/standin/store.go
+++ b/standin/store.go
@@ -16,31 +16,31 @@
 	"cicadagrade.example/tier"
 )
 
-const storeHelp = `Play the platform's metadata store: an empty in-memory store that speaks its
-protocol (/kv-key, /kv-range, /kv-watch, /kv-txn, /kv-lease) until it gets
-SIGINT or SIGTERM.
+const storeHelp = `store simulates the platform's metadata store: an in-memory store, empty at
+first, that speaks the store's protocol (/kv-key, /kv-range, /kv-watch,
+/kv-txn, /kv-lease) until it gets SIGINT or SIGTERM.
 
 Faults are set over HTTP while it runs:
 
   GET  /faults           show the faults
   PUT  /faults           replace them: {"down": true, "delay-ms": 500,
                          "lose-answers": 1, "stale": true}, each optional;
-                         lose-answers counts writes that take effect without
-                         an answer (-1: all)
-  POST /faults/save      keep a copy of all keys: {"copy": "monday"}
-  POST /faults/restart   start again empty: {}, or from a copy:
+                         lose-answers is the number of next writes that
+                         take effect without an answer (-1: all writes)
+  POST /faults/save      save a copy of all keys: {"copy": "monday"}
+  POST /faults/restart   restart empty: {}, or from a saved copy:
                          {"copy": "monday"}
 
-Calls are counted by kind; a waiting watch is one call:
+Calls are counted by kind; a watch counts as one call:
 
   GET    /calls          show the counts
-  DELETE /calls          start the count again`
+  DELETE /calls          reset the counts`
 
 func storeCommand() *cobra.Command {
 	var listen string
 	c := &cobra.Command{
 		Use:   "store",
-		Short: "Play the platform's key-value service",
+		Short: "Simulate the platform's metadata store",
 		Long:  storeHelp,
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -49,7 +49,7 @@
 			return serveStore(ctx, c, listen)
 		},
 	}
-	c.Flags().StringVar(&listen, "listen", "127.0.0.1:2379", "IP number and port to listen on")
+	c.Flags().StringVar(&listen, "listen", "127.0.0.1:2379", "IP address and port to listen on")
 	return c
 }
 
