--- a/standin/deployer/deployment.go
+++ b/standin/deployer/deployment.go
@@ -1,7 +1,6 @@
-// Package deployer describes whole deployments of the query tier on
-// loopback: data centres, entry VMs, backend servers, shard sets and
-// profiles. It writes the committed files of both users' deployments and
-// reads such files.
+// Package deployer describes deployments of the query tier on loopback: data centres,
+// entry VMs, backend servers, shard sets and profiles. It reads deployment files and
+// generates the ones in the repository, which belong to two organisations.
 package deployer
 
 import (
@@ -16,20 +15,20 @@
 	peer       string
 }
 
-// Name is unique in the deployment.
+// Name returns the VM's name, which is unique in the deployment.
 func (v VM) Name() string { return v.name }
 
-// DataCentre is the data centre it runs in.
+// DataCentre returns the name of the data centre that the VM runs in.
 func (v VM) DataCentre() string { return v.dataCentre }
 
-// API is where callers reach it.
+// API returns the address that callers use.
 func (v VM) API() string { return v.api }
 
-// Peer is where other VMs reach it.
+// Peer returns the address that other VMs use.
 func (v VM) Peer() string { return v.peer }
 
-// Deployment is one user's data centres, VMs, backend servers, sets and
-// profiles.
+// Deployment holds the data centres, VMs, backend servers, shard sets and profiles of
+// one organisation.
 type Deployment struct {
 	name        string
 	seed        uint64
@@ -42,32 +41,34 @@
 	sets        []*tier.ShardSet
 }
 
-// Name is the deployment's name, such as "associacao".
+// Name returns the deployment's name, such as "associacao".
 func (d *Deployment) Name() string { return d.name }
 
-// Seed is what its records are generated from.
+// Seed returns the seed from which the records of the backend servers are
+// generated.
 func (d *Deployment) Seed() uint64 { return d.seed }
 
-// Store is the address of the stand-in store.
+// Store returns the address of the simulated store.
 func (d *Deployment) Store() string { return d.store }
 
-// Control is the address of the control port of the backend servers.
+// Control returns the address of the control port of the simulated
+// backend servers.
 func (d *Deployment) Control() string { return d.control }
 
-// Links is the address of the control port of the links between data
+// Links returns the address of the control port of the links between data
 // centres.
 func (d *Deployment) Links() string { return d.links }
 
-// DataCentres lists the data centres.
+// DataCentres returns all data centres.
 func (d *Deployment) DataCentres() []tier.DataCentre { return d.dataCentres }
 
-// VMs lists the entry VMs.
+// VMs returns all entry VMs.
 func (d *Deployment) VMs() []VM { return d.vms }
 
-// Profiles lists the profiles.
+// Profiles returns all profiles.
 func (d *Deployment) Profiles() []*tier.Profile { return d.profiles }
 
-// Profile finds a profile by name.
+// Profile returns the profile with the given name.
 func (d *Deployment) Profile(name string) (*tier.Profile, bool) {
 	for _, p := range d.profiles {
 		if p.Name() == name {
@@ -77,10 +78,10 @@
 	return nil, false
 }
 
-// Sets lists the shard sets.
+// Sets returns all shard sets.
 func (d *Deployment) Sets() []*tier.ShardSet { return d.sets }
 
-// Set finds a shard set by name.
+// Set returns the shard set with the given name.
 func (d *Deployment) Set(name string) (*tier.ShardSet, bool) {
 	for _, s := range d.sets {
 		if s.Name() == name {
--- a/standin/deployer/files.go
+++ b/standin/deployer/files.go
@@ -12,8 +12,8 @@
 	"cicadagrade.example/tier/parser"
 )
 
-// Read reads a deployment's file and the documents it names, whose paths
-// are relative to its own.
+// Read reads a deployment file and the documents it refers to, whose paths are relative
+// to the deployment file.
 func Read(path string) (*Deployment, error) {
 	var doc deploymentDocument
 	if err := readDocument(path, &doc); err != nil {
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// ReadSet reads a set's configuration document.
+// ReadSet reads the configuration document of a shard set.
 func ReadSet(path string) (*tier.ShardSet, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -65,32 +65,32 @@
 	return d.Set(), nil
 }
 
-func readDocument(path string, into any) error {
+func readDocument(path string, target any) error {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	return errors.Wrap(decode(b, into), path)
+	return errors.Wrap(decode(b, target), path)
 }
 
-func decode(b []byte, into any) error {
+func decode(b []byte, target any) error {
 	d := json.NewDecoder(bytes.NewReader(b))
 	d.DisallowUnknownFields()
-	return d.Decode(into)
+	return d.Decode(target)
 }
 
-// Write writes the files of both users' deployments under dir.
+// Write writes the files of the deployments of both organisations to dir.
 func Write(dir string) error {
-	for _, u := range users() {
-		if err := u.write(dir); err != nil {
+	for _, p := range deploymentPlans() {
+		if err := p.write(dir); err != nil {
 			return errors.Wrap(err, "Write")
 		}
 	}
 	return nil
 }
 
-func (u user) write(dir string) error {
-	files, err := u.files()
+func (p deploymentPlan) write(dir string) error {
+	files, err := p.files()
 	if err != nil {
 		return err
 	}
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// writeFile writes a JSON document indented.
+// writeFile writes a JSON document with indentation.
 func writeFile(path string, document []byte) error {
 	var b bytes.Buffer
 	if err := json.Indent(&b, document, "", "  "); err != nil {
--- a/standin/deployer/files_test.go
+++ b/standin/deployer/files_test.go
@@ -6,15 +6,17 @@
 	"testing"
 )
 
-const committed = "../deployment"
+const committedDir = "../deployment"
 
-func TestCommittedFilesAreWhatWriteWrites(t *testing.T) {
+// TestCommittedFilesAreUpToDate checks that the files in the repository are those that
+// Write generates.
+func TestCommittedFilesAreUpToDate(t *testing.T) {
 	dir := t.TempDir()
 	if err := Write(dir); err != nil {
 		t.Fatal(err)
 	}
-	for _, u := range users() {
-		files, err := u.files()
+	for _, p := range deploymentPlans() {
+		files, err := p.files()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -23,21 +25,21 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			got, err := os.ReadFile(filepath.Join(committed, name))
+			got, err := os.ReadFile(filepath.Join(committedDir, name))
 			if err != nil || string(got) != string(want) {
-				t.Errorf("%s differs from the generator's (%v): run standin deployment write", name, err)
+				t.Errorf("%s differs from the generated file (%v): run standin deployment write", name, err)
 			}
 		}
 	}
 }
 
-func TestDeploymentsHaveTheUsersSizes(t *testing.T) {
-	servers := map[string]map[string]int{
+func TestDeploymentSizes(t *testing.T) {
+	serverCounts := map[string]map[string]int{
 		"associacao": {"portao": 40, "agenda": 60, "contas": 7, "frota": 3},
 		"zorin":      {"pec-recepture": 40, "lomni-dnevnik": 60, "narocila": 3, "odprema": 3},
 	}
-	for name, sets := range servers {
-		d, err := Read(filepath.Join(committed, name+".json"))
+	for name, sets := range serverCounts {
+		d, err := Read(filepath.Join(committedDir, name+".json"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -52,11 +54,11 @@
 	}
 }
 
-// TestSharedReplicasLieApart checks that the loss of one data centre leaves
-// each shard of the shared sets a replica.
-func TestSharedReplicasLieApart(t *testing.T) {
+// TestSharedReplicasInDifferentDataCentres checks that every shard of the shared sets
+// keeps a replica when one data centre is lost.
+func TestSharedReplicasInDifferentDataCentres(t *testing.T) {
 	for set, name := range map[string]string{"contas": "associacao", "frota": "associacao", "narocila": "zorin", "odprema": "zorin"} {
-		d, err := Read(filepath.Join(committed, name+".json"))
+		d, err := Read(filepath.Join(committedDir, name+".json"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -85,6 +87,6 @@
 		t.Errorf("%d VMs, %v", len(d.VMs()), set)
 	}
 	if err := WriteSized(dir, NewSizes("sized", 1, 4, 2, 1)); err == nil {
-		t.Error("bad sizes were taken")
+		t.Error("invalid sizes were accepted")
 	}
 }
--- a/standin/deployer/links.go
+++ b/standin/deployer/links.go
@@ -7,29 +7,29 @@
 
 // One-way delays of the links.
 const (
-	regionDelay = 20 * tier.Millis(1)
-	storeDelay  = 1 * tier.Millis(1)
+	interRegionDelay = 20 * tier.Millis(1)
+	storeDelay       = 1 * tier.Millis(1)
 )
 
-// maxLinkedVMs is how many VMs the ports of the links have room for.
+// maxLinkedVMs is the number of VMs for which the port range of the links has room.
 const maxLinkedVMs = 10
 
-// storePlace is the place of the store in the links' configuration.
-const storePlace = "store"
+// storeEndpoint is the name of the store as an endpoint of links.
+const storeEndpoint = "store"
 
-// links joins each data centre with the store and with each VM of the other
-// data centres, so that any two places can be cut from each other.
-func (u user) links(d deploymentDocument) *relay.Relay {
+// buildLinks connects each data centre to the store and to each VM of the other data
+// centres, so that any two of these can be cut off from each other.
+func (p deploymentPlan) buildLinks(d deploymentDocument) *relay.Relay {
 	var out []*relay.Link
 	add := func(from, to, name string, port int, target string, delay tier.Millis) {
 		c := relay.NewCondition(relay.CutNone, delay, false)
-		out = append(out, relay.NewLink(from+"-to-"+name, from, to, address(port), target, c))
+		out = append(out, relay.NewLink(from+"-to-"+name, from, to, loopbackAddress(port), target, c))
 	}
-	for i, c := range u.dataCentres {
-		add(c.Name, storePlace, storePlace, u.portBase+380+i, d.Store, storeDelay)
+	for i, c := range p.dataCentres {
+		add(c.Name, storeEndpoint, storeEndpoint, p.portBase+380+i, d.Store, storeDelay)
 		for n, v := range d.VMs {
 			if v.DataCentre != c.Name {
-				add(c.Name, v.DataCentre, v.Name, u.portBase+400+10*i+n, v.Peer, regionDelay)
+				add(c.Name, v.DataCentre, v.Name, p.portBase+400+10*i+n, v.Peer, interRegionDelay)
 			}
 		}
 	}
--- a/standin/deployer/plan.go
+++ b/standin/deployer/plan.go
@@ -12,19 +12,20 @@
 	"cicadagrade.example/tier/parser"
 )
 
-// user describes one user's deployment in the terms of its sizes.
-type user struct {
+// deploymentPlan holds the sizes and settings from which the files of a deployment are
+// generated.
+type deploymentPlan struct {
 	name        string
 	portBase    int
-	apiPort     int // of the first VM, from portBase
-	peerPort    int // of the first VM, from portBase
+	apiPort     int // API port of the first VM, relative to portBase
+	peerPort    int // peer port of the first VM, relative to portBase
 	dataCentres []dataCentreDocument
 	vmCounts    []int
 	profiles    []profilePlan
 	sets        []setPlan
 }
 
-// profilePlan is what sets a profile apart from the defaults.
+// profilePlan holds the settings of a profile that differ from the defaults.
 type profilePlan struct {
 	name        string
 	rank        tier.Rank
@@ -34,85 +35,86 @@
 	imposedWait tier.Millis
 }
 
-// setPlan is a set of paired servers (each shard has two of its own) or of
-// shared ones (each holds many shards).
+// setPlan describes a shard set. Its servers are either paired (each shard has two
+// servers of its own) or shared (each server holds many shards).
 type setPlan struct {
-	name        string
-	shards      int
-	perCentre   []int // servers, or shards of paired servers, by data centre
-	paired      bool
-	slots       int
-	connections int
-	cost        tier.Millis
+	name           string
+	shards         int
+	perDataCentre  []int // number per data centre of servers, or of shards if paired
+	paired         bool
+	slots          int
+	connections    int
+	connectionCost tier.Millis
 }
 
-func pairedPlan(name string, perCentre ...int) setPlan {
-	p := setPlan{name: name, perCentre: perCentre, paired: true, slots: 2, connections: 25, cost: 6}
-	for _, n := range perCentre {
+func pairedPlan(name string, perDataCentre ...int) setPlan {
+	p := setPlan{name: name, perDataCentre: perDataCentre, paired: true, slots: 2, connections: 25, connectionCost: 6}
+	for _, n := range perDataCentre {
 		p.shards += n
 	}
 	return p
 }
 
-func sharedPlan(name string, shards int, perCentre []int, slots, connections int) setPlan {
-	return setPlan{name: name, shards: shards, perCentre: perCentre, slots: slots, connections: connections, cost: 1}
+func sharedPlan(name string, shards int, perDataCentre []int, slots, connections int) setPlan {
+	return setPlan{name: name, shards: shards, perDataCentre: perDataCentre, slots: slots, connections: connections, connectionCost: 1}
 }
 
-// files gives the content of each of the user's files by its path.
-func (u user) files() (map[string][]byte, error) {
+// files returns the contents of the deployment's files by path.
+func (p deploymentPlan) files() (map[string][]byte, error) {
 	d := deploymentDocument{
-		Name:        u.name,
+		Name:        p.name,
 		Seed:        recordSeed,
-		Store:       address(u.portBase + 379),
-		Control:     address(u.portBase + 200),
-		DataCentres: u.dataCentres,
-		VMs:         u.vms(),
-		Profiles:    u.name + "/profiles.json",
+		Store:       loopbackAddress(p.portBase + 379),
+		Control:     loopbackAddress(p.portBase + 200),
+		DataCentres: p.dataCentres,
+		VMs:         p.vms(),
+		Profiles:    p.name + "/profiles.json",
 	}
-	profiles, err := u.profilesDocument()
+	profiles, err := p.profilesDocument()
 	if err != nil {
 		return nil, errors.Wrap(err, "user.files")
 	}
 	out := map[string][]byte{d.Profiles: parser.Encode(profiles)}
-	for i, p := range u.sets {
-		set, err := p.set(u.dataCentres, u.portBase+1000+100*i)
+	for i, s := range p.sets {
+		set, err := s.newShardSet(p.dataCentres, p.portBase+1000+100*i)
 		if err != nil {
 			return nil, errors.Wrap(err, "user.files")
 		}
-		path := u.name + "/set-" + p.name + ".json"
+		path := p.name + "/set-" + s.name + ".json"
 		d.Sets = append(d.Sets, path)
 		out[path] = parser.Encode(parser.NewSetDocument(set))
 		if i > 0 {
 			continue
 		}
-		next, err := repartitioned(set)
+		next, err := repartition(set)
 		if err != nil {
 			return nil, errors.Wrap(err, "user.files")
 		}
-		out[u.name+"/epoch-2-"+p.name+".json"] = parser.Encode(parser.NewSetDocument(next))
+		out[p.name+"/epoch-2-"+s.name+".json"] = parser.Encode(parser.NewSetDocument(next))
 	}
 	if len(d.VMs) <= maxLinkedVMs {
-		d.Links = address(u.portBase + 300)
-		if out[u.name+"/links.json"], err = relay.Encode(u.links(d)); err != nil {
+		d.Links = loopbackAddress(p.portBase + 300)
+		if out[p.name+"/links.json"], err = relay.Encode(p.buildLinks(d)); err != nil {
 			return nil, errors.Wrap(err, "user.files")
 		}
 	}
-	out[u.name+".json"], err = json.Marshal(d)
+	out[p.name+".json"], err = json.Marshal(d)
 	return out, err
 }
 
-// profilesDocument leaves hedging off for reports, which may wait.
-func (u user) profilesDocument() (*parser.ProfilesDocument, error) {
+// profilesDocument enables hedging for all profiles but those of rank reports, whose
+// searches may wait.
+func (p deploymentPlan) profilesDocument() (*parser.ProfilesDocument, error) {
 	var list []*tier.Profile
-	for _, p := range u.profiles {
+	for _, x := range p.profiles {
 		profile, err := tier.NewProfile(
-			p.name,
-			tier.WithRank(p.rank),
-			tier.WithMinCoverage(p.minCoverage),
-			tier.WithDeadline(p.deadline),
-			tier.WithMaxDeadline(p.maxDeadline),
-			tier.WithImposedWait(p.imposedWait),
-			tier.WithHedge(p.rank != tier.Reports),
+			x.name,
+			tier.WithRank(x.rank),
+			tier.WithMinCoverage(x.minCoverage),
+			tier.WithDeadline(x.deadline),
+			tier.WithMaxDeadline(x.maxDeadline),
+			tier.WithImposedWait(x.imposedWait),
+			tier.WithHedge(x.rank != tier.Reports),
 		)
 		if err != nil {
 			return nil, err
@@ -122,86 +124,89 @@
 	return parser.NewProfilesDocument(list...), nil
 }
 
-func (u user) vms() []vmDocument {
+func (p deploymentPlan) vms() []vmDocument {
 	var out []vmDocument
-	for i, c := range u.dataCentres {
-		for n := range u.vmCounts[i] {
+	for i, c := range p.dataCentres {
+		for n := range p.vmCounts[i] {
 			out = append(out, vmDocument{
 				Name:       fmt.Sprintf("%s-%d", c.Name, n+1),
 				DataCentre: c.Name,
-				API:        address(u.portBase + u.apiPort + len(out)),
-				Peer:       address(u.portBase + u.peerPort + len(out)),
+				API:        loopbackAddress(p.portBase + p.apiPort + len(out)),
+				Peer:       loopbackAddress(p.portBase + p.peerPort + len(out)),
 			})
 		}
 	}
 	return out
 }
 
-// set numbers the servers' ports from port on.
-func (p setPlan) set(centres []dataCentreDocument, port int) (*tier.ShardSet, error) {
+// newShardSet returns the shard set. The ports of its servers are consecutive, starting
+// at port.
+func (p setPlan) newShardSet(dataCentres []dataCentreDocument, port int) (*tier.ShardSet, error) {
 	var servers []tier.Backend
-	for i, c := range centres {
-		for range p.perCentre[i] {
+	for i, c := range dataCentres {
+		for range p.perDataCentre[i] {
 			servers = p.addServers(servers, c.Name, port)
 		}
 	}
 	var shards []tier.Shard
 	for i := range p.shards {
-		shards = append(shards, p.shard(i, servers))
+		shards = append(shards, p.newShard(i, servers))
 	}
 	return tier.NewShardSet(p.name, tier.WithServers(servers...), tier.WithShards(shards...))
 }
 
-// addServers adds the two servers of a paired shard, or one shared server.
-func (p setPlan) addServers(servers []tier.Backend, centre string, port int) []tier.Backend {
+// addServers appends the two servers of a paired shard, or one shared server.
+func (p setPlan) addServers(servers []tier.Backend, dataCentre string, port int) []tier.Backend {
 	if !p.paired {
 		name := fmt.Sprintf("%s-%d", p.name, len(servers)+1)
-		return append(servers, p.server(name, centre, port+len(servers)))
+		return append(servers, p.newServer(name, dataCentre, port+len(servers)))
 	}
-	shard := len(servers)/2 + 1
+	number := len(servers)/2 + 1
 	for _, letter := range []string{"a", "b"} {
-		name := fmt.Sprintf("%s-%02d-%s", p.name, shard, letter)
-		servers = append(servers, p.server(name, centre, port+len(servers)))
+		name := fmt.Sprintf("%s-%02d-%s", p.name, number, letter)
+		servers = append(servers, p.newServer(name, dataCentre, port+len(servers)))
 	}
 	return servers
 }
 
-func (p setPlan) server(name, centre string, port int) tier.Backend {
+func (p setPlan) newServer(name, dataCentre string, port int) tier.Backend {
 	return tier.NewBackend(
-		name, address(port), centre,
+		name, loopbackAddress(port), dataCentre,
 		tier.WithSlots(p.slots),
 		tier.WithConnections(p.connections),
-		tier.WithConnectionCost(p.cost),
+		tier.WithConnectionCost(p.connectionCost),
 	)
 }
 
-// shard takes the i-th of equal parts of the hash ring.
-func (p setPlan) shard(i int, servers []tier.Backend) tier.Shard {
+// newShard returns shard i, which covers the i-th of equal ranges of the hash ring.
+func (p setPlan) newShard(i int, servers []tier.Backend) tier.Shard {
 	last := ^uint64(0)
 	if i+1 < p.shards {
-		last = part(i+1, p.shards) - 1
+		last = ringPosition(i+1, p.shards) - 1
 	}
 	id := fmt.Sprintf("%s-%02d", p.name, i+1)
-	return tier.NewShard(id, part(i, p.shards), last, p.replicas(i, servers)...)
+	return tier.NewShard(id, ringPosition(i, p.shards), last, p.replicas(i, servers)...)
 }
 
-// replicas of a shared set lie in two data centres; the second replica moves
-// on by one server in each round, so that no pair of servers shares more
-// shards than another.
+// replicas returns the names of the servers of shard i. The replicas of a shared set
+// are in different data centres. On each round over the servers the second replica is
+// offset by one more server, so that no pair of servers shares more shards than another
+// pair.
 func (p setPlan) replicas(i int, servers []tier.Backend) []string {
 	if p.paired {
 		return []string{servers[2*i].Name(), servers[2*i+1].Name()}
 	}
 	first := servers[i%len(servers)]
-	step := p.perCentre[0] + i/len(servers)
-	second := servers[(i+step)%len(servers)]
+	offset := p.perDataCentre[0] + i/len(servers)
+	second := servers[(i+offset)%len(servers)]
 	return []string{first.Name(), second.Name()}
 }
 
-// part is the i-th of n equal parts of 2^64.
-func part(i, n int) uint64 {
+// ringPosition returns the start of the i-th of n equal ranges of the hash ring, whose
+// positions are 0 to 2^64 - 1.
+func ringPosition(i, n int) uint64 {
 	q, _ := bits.Div64(uint64(i), 0, uint64(n))
 	return q
 }
 
-func address(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
+func loopbackAddress(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
--- a/standin/deployer/repartition.go
+++ b/standin/deployer/repartition.go
@@ -6,25 +6,25 @@
 	"cicadagrade.example/tier"
 )
 
-// splitShards is how many shards a repartition splits in two, at most.
-const splitShards = 5
+// maxSplitShards is the maximum number of shards that a repartition splits in two.
+const maxSplitShards = 5
 
-// repartitioned is the set's next shard map: the first shards are split, and
-// their upper halves go to the servers of the shard above.
-func repartitioned(set *tier.ShardSet) (*tier.ShardSet, error) {
+// repartition returns the shard map of the set's next epoch. The first shards are split
+// in two, and each upper half moves to the servers of the next shard.
+func repartition(set *tier.ShardSet) (*tier.ShardSet, error) {
 	var out []tier.Shard
 	for i, s := range set.Shards() {
-		if i >= splitShards || i+1 == len(set.Shards()) {
+		if i >= maxSplitShards || i+1 == len(set.Shards()) {
 			out = append(out, s)
 			continue
 		}
 		middle := s.From() + (s.To()-s.From())/2
-		above := set.Shards()[i+1].Replicas()
+		nextReplicas := set.Shards()[i+1].Replicas()
 		id := fmt.Sprintf("%s-%02d", set.Name(), len(set.Shards())+i+1)
 		out = append(
 			out,
 			tier.NewShard(s.ID(), s.From(), middle, s.Replicas()...),
-			tier.NewShard(id, middle+1, s.To(), above...),
+			tier.NewShard(id, middle+1, s.To(), nextReplicas...),
 		)
 	}
 	return tier.NewShardSet(
--- a/standin/deployer/sized.go
+++ b/standin/deployer/sized.go
@@ -8,20 +8,19 @@
 	"cicadagrade.example/tier"
 )
 
-// Bounds of a deployment made for a measurement. Its ports lie within 5000
-// of its port base.
+// Limits of a deployment generated for a measurement. Its ports are less than 5000
+// above its port base.
 const (
-	maxSizedCentres = 30
-	maxSizedVMs     = 500
-	maxSizedShards  = 1000
-	maxPortBase     = 27000
-	minPortBase     = 1024
-	sizedSet        = "portao"
+	maxSizedDataCentres = 30
+	maxSizedVMs         = 500
+	maxSizedShards      = 1000
+	maxPortBase         = 27000
+	minPortBase         = 1024
+	sizedSet            = "portao"
 )
 
-// Sizes are those of a deployment made for a measurement: VMs and shards are
-// spread evenly over the data centres, and each shard has two servers of its
-// own.
+// Sizes are the sizes of a deployment generated for a measurement. VMs and shards are
+// spread evenly over the data centres, and each shard has two servers of its own.
 type Sizes struct {
 	name        string
 	portBase    int
@@ -30,12 +29,12 @@
 	shards      int
 }
 
-// NewSizes returns sizes; the ports start at portBase.
+// NewSizes returns the sizes of a deployment. Its ports start at portBase.
 func NewSizes(name string, portBase, dataCentres, vms, shards int) Sizes {
 	return Sizes{name: name, portBase: portBase, dataCentres: dataCentres, vms: vms, shards: shards}
 }
 
-// Validate reports every bad size.
+// Validate returns an error that names every size outside its limits.
 func (z Sizes) Validate() error {
 	var l []tier.FieldProblem
 	check := func(name string, n, low, high int) {
@@ -47,42 +46,43 @@
 		l = append(l, tier.NewFieldProblem("name", z.name, "a kebab-case name of at most 63 characters"))
 	}
 	check("port-base", z.portBase, minPortBase, maxPortBase)
-	check("data-centres", z.dataCentres, 1, maxSizedCentres)
+	check("data-centres", z.dataCentres, 1, maxSizedDataCentres)
 	check("vms", z.vms, max(z.dataCentres, 1), maxSizedVMs)
 	check("shards", z.shards, max(z.dataCentres, 1), maxSizedShards)
 	return tier.NewInvalidError("deployment "+z.name, l)
 }
 
-// WriteSized writes the files of a deployment of the given sizes under dir.
+// WriteSized writes the files of a deployment of the given sizes to dir.
 func WriteSized(dir string, z Sizes) error {
 	if err := z.Validate(); err != nil {
 		return errors.Wrap(err, "WriteSized")
 	}
-	return errors.Wrap(z.user().write(dir), "WriteSized")
+	return errors.Wrap(z.plan().write(dir), "WriteSized")
 }
 
-func (z Sizes) user() user {
-	u := associacao()
-	u.name = z.name
-	u.portBase = z.portBase
-	u.apiPort = 3500
-	u.peerPort = 4000
-	u.dataCentres = nil
+func (z Sizes) plan() deploymentPlan {
+	p := associacao()
+	p.name = z.name
+	p.portBase = z.portBase
+	p.apiPort = 3500
+	p.peerPort = 4000
+	p.dataCentres = nil
 	for i := range z.dataCentres {
 		name := fmt.Sprintf("centre-%02d", i+1)
-		u.dataCentres = append(u.dataCentres, dataCentreDocument{Name: name, Region: name})
+		p.dataCentres = append(p.dataCentres, dataCentreDocument{Name: name, Region: name})
 	}
-	u.vmCounts = spread(z.vms, z.dataCentres)
-	u.sets = []setPlan{pairedPlan(sizedSet, spread(z.shards, z.dataCentres)...)}
-	return u
+	p.vmCounts = divideEvenly(z.vms, z.dataCentres)
+	p.sets = []setPlan{pairedPlan(sizedSet, divideEvenly(z.shards, z.dataCentres)...)}
+	return p
 }
 
-// spread divides n evenly over places, the first ones getting the rest.
-func spread(n, places int) []int {
-	out := make([]int, places)
+// divideEvenly divides n into count parts that differ by at most 1, the larger ones
+// first.
+func divideEvenly(n, count int) []int {
+	out := make([]int, count)
 	for i := range out {
-		out[i] = n / places
-		if i < n%places {
+		out[i] = n / count
+		if i < n%count {
 			out[i]++
 		}
 	}
--- a/standin/deployer/users.go
+++ b/standin/deployer/users.go
@@ -2,13 +2,13 @@
 
 import "cicadagrade.example/tier"
 
-// recordSeed is what the records of every deployment are generated from.
+// recordSeed is the seed from which the records of every deployment are generated.
 const recordSeed = 20261204
 
-func users() []user { return []user{associacao(), zorin()} }
+func deploymentPlans() []deploymentPlan { return []deploymentPlan{associacao(), zorin()} }
 
-func associacao() user {
-	return user{
+func associacao() deploymentPlan {
+	return deploymentPlan{
 		name:     "associacao",
 		portBase: 21000,
 		apiPort:  1,
@@ -34,8 +34,8 @@
 	}
 }
 
-func zorin() user {
-	return user{
+func zorin() deploymentPlan {
+	return deploymentPlan{
 		name:     "zorin",
 		portBase: 25000,
 		apiPort:  1,
