--- a/standin/checker/answer.go
+++ b/standin/checker/answer.go
@@ -1,6 +1,7 @@
-// Package checker compares answers of the query tier with what the records
-// say: one snapshot, true coverage, whole, the right caller's, nothing
-// doubled; and bookings with what the backend servers really ran.
+// Package checker checks the answers of the query tier against the generated records:
+// all records belong to one snapshot and to the caller's request, none is missing,
+// duplicated or corrupted, and the stated coverage is true. It also checks the outcomes
+// of bookings against the bookings that the backend servers executed.
 package checker
 
 import (
@@ -11,14 +12,14 @@
 	"cicadagrade.example/tier"
 )
 
-// The outcomes that an answer may state.
+// The possible outcomes of a request.
 const (
 	OutcomeAnswered = "answered"
 	OutcomeRefused  = "refused-not-run"
 	OutcomeUnknown  = "unknown"
 )
 
-// Answer is a response of the callers' API.
+// Answer is a response of the API for callers.
 type Answer struct {
 	requestID   string
 	outcome     string
@@ -60,12 +61,12 @@
 }
 
 type coverageBody struct {
-	Covered  []string   `json:"covered"`
-	Missing  []missBody `json:"missing"`
-	Fraction float64    `json:"fraction"`
+	Covered  []string      `json:"covered"`
+	Missing  []missingBody `json:"missing"`
+	Fraction float64       `json:"fraction"`
 }
 
-type missBody struct {
+type missingBody struct {
 	Shard  string `json:"shard"`
 	Reason string `json:"reason"`
 }
@@ -79,7 +80,7 @@
 	Code string `json:"code"`
 }
 
-// ParseAnswer reads the body of a response to a search or a booking.
+// ParseAnswer parses the body of a response to a search or a booking.
 func ParseAnswer(body []byte) (*Answer, error) {
 	var b answerBody
 	if err := json.Unmarshal(body, &b); err != nil {
@@ -121,35 +122,37 @@
 	}
 }
 
-// NewAnswered returns an answer that a caller merged itself.
-func NewAnswered(requestID string, rank tier.Rank, o *tier.Answered, leafCalls int) *Answer {
-	s := o.Snapshot()
+// NewAnswered returns the answer to a search whose caller has merged the replies of
+// the backend servers itself.
+func NewAnswered(requestID string, rank tier.Rank, merged *tier.Answered, leafCalls int) *Answer {
+	s := merged.Snapshot()
 	a := &Answer{
 		requestID:   requestID,
 		outcome:     OutcomeAnswered,
 		rank:        rank.String(),
 		snapshot:    &s,
-		covered:     o.Coverage().Covered(),
-		fraction:    o.Coverage().Fraction(),
-		records:     o.Records(),
-		count:       len(o.Records()),
-		digest:      tier.Digest(o.Records()),
+		covered:     merged.Coverage().Covered(),
+		fraction:    merged.Coverage().Fraction(),
+		records:     merged.Records(),
+		count:       len(merged.Records()),
+		digest:      tier.Digest(merged.Records()),
 		leafCalls:   leafCalls,
 		hasCoverage: true,
 	}
-	for _, m := range o.Coverage().Missing() {
+	for _, m := range merged.Coverage().Missing() {
 		a.missing = append(a.missing, m.Shard())
 	}
 	return a
 }
 
-// RequestID is the request that it names.
+// RequestID returns the ID of the request that the answer names.
 func (a *Answer) RequestID() string { return a.requestID }
 
-// Outcome is answered, refused-not-run or unknown.
+// Outcome returns OutcomeAnswered, OutcomeRefused or OutcomeUnknown.
 func (a *Answer) Outcome() string { return a.outcome }
 
-// Reason says why it was refused or is unknown, or why it was not accepted.
+// Reason returns why the request was refused or its outcome is unknown, or the error
+// code if the request was rejected as invalid.
 func (a *Answer) Reason() string {
 	if a.reason == "" {
 		return a.errorCode
@@ -157,14 +160,14 @@
 	return a.reason
 }
 
-// Accepted reports whether the request was a valid one.
+// Accepted reports whether the API accepted the request as valid.
 func (a *Answer) Accepted() bool { return a.errorCode == "" }
 
-// Fraction is the covered part of the set.
+// Fraction returns the fraction of the set's shards that the answer covers.
 func (a *Answer) Fraction() float64 { return a.fraction }
 
-// LeafCalls is how many calls to backend servers it took.
+// LeafCalls returns the number of calls to backend servers made for the request.
 func (a *Answer) LeafCalls() int { return a.leafCalls }
 
-// ExtraCalls is how many of them were hedges or retries.
+// ExtraCalls returns how many of these calls were hedges or retries.
 func (a *Answer) ExtraCalls() int { return a.extraCalls }
--- a/standin/checker/checker.go
+++ b/standin/checker/checker.go
@@ -10,10 +10,10 @@
 	"cicadagrade.example/tier"
 )
 
-// fractionError is the largest rounding error of a coverage fraction.
-const fractionError = 1e-6
+// fractionTolerance is the maximum rounding error of a coverage fraction.
+const fractionTolerance = 1e-6
 
-// Query is a search as it was sent.
+// Query is a search as the caller sent it.
 type Query struct {
 	requestID string
 	profile   *tier.Profile
@@ -21,7 +21,7 @@
 	term      string
 }
 
-// NewQuery returns a search for the checker.
+// NewQuery returns a query.
 func NewQuery(requestID string, p *tier.Profile, set, term string) Query {
 	return Query{requestID: requestID, profile: p, set: set, term: term}
 }
@@ -32,8 +32,8 @@
 	maps    map[string]map[tier.Epoch]*tier.ShardSet
 }
 
-// New returns a checker that knows the shard maps of all epochs that answers
-// may name.
+// New returns a checker. maps are the shard maps of all epochs that answers may refer
+// to.
 func New(records *recorder.Recorder, maps ...*tier.ShardSet) *Checker {
 	c := &Checker{records: records, maps: map[string]map[tier.Epoch]*tier.ShardSet{}}
 	for _, m := range maps {
@@ -45,59 +45,60 @@
 	return c
 }
 
-// check is the check of one answer.
-type check struct {
+// searchCheck checks one answer to a search.
+type searchCheck struct {
 	*Checker
 	query      Query
 	answer     *Answer
 	violations []Violation
 }
 
-// Search lists what is wrong with the answer to a search.
+// Search returns the violations in the answer to a search.
 func (c *Checker) Search(q Query, a *Answer) []Violation {
-	k := &check{Checker: c, query: q, answer: a}
-	k.header()
+	k := &searchCheck{Checker: c, query: q, answer: a}
+	k.checkHeader()
 	if a.outcome == OutcomeAnswered {
-		k.answered()
+		k.checkAnswered()
 	}
 	return k.violations
 }
 
-func (k *check) report(kind Kind, format string, args ...any) {
+func (k *searchCheck) addViolation(kind Kind, format string, args ...any) {
 	v := Violation{Kind: kind, RequestID: k.query.requestID, Detail: fmt.Sprintf(format, args...)}
 	k.violations = append(k.violations, v)
 }
 
-func (k *check) header() {
+func (k *searchCheck) checkHeader() {
 	a := k.answer
 	if a.requestID != k.query.requestID {
-		k.report(Crossed, "the answer names request %q", a.requestID)
+		k.addViolation(Crossed, "the answer is for request %q", a.requestID)
 	}
 	if a.outcome != OutcomeAnswered && a.outcome != OutcomeRefused && a.outcome != OutcomeUnknown {
-		k.report(InvalidOutcome, "outcome %q", a.outcome)
+		k.addViolation(InvalidOutcome, "outcome %q", a.outcome)
 	}
 	if want := k.query.profile.Rank().String(); a.Accepted() && a.rank != want {
-		k.report(InvalidOutcome, "rank %q, want %s", a.rank, want)
+		k.addViolation(InvalidOutcome, "rank %q, want %s", a.rank, want)
 	}
 }
 
-func (k *check) answered() {
+func (k *searchCheck) checkAnswered() {
 	if k.answer.snapshot == nil || !k.answer.hasCoverage {
-		k.report(NoSnapshot, "an answer without snapshot or coverage")
+		k.addViolation(NoSnapshot, "the answer has no snapshot or no coverage")
 		return
 	}
 	shards, ok := k.maps[k.query.set][k.answer.snapshot.Epoch()]
 	if !ok {
-		k.report(NoSnapshot, "no shard map of %s has epoch %d", k.query.set, k.answer.snapshot.Epoch())
+		k.addViolation(NoSnapshot, "no shard map of %s has epoch %d", k.query.set, k.answer.snapshot.Epoch())
 		return
 	}
-	k.coverage(shards)
-	k.whole()
-	k.compare(shards)
+	k.checkCoverage(shards)
+	k.checkIntegrity()
+	k.checkRecords(shards)
 }
 
-// coverage checks that covered and missing shards divide the shard map.
-func (k *check) coverage(m *tier.ShardSet) {
+// checkCoverage checks that each shard of the shard map is listed as either covered or
+// missing, and that the fraction is right and large enough for the profile.
+func (k *searchCheck) checkCoverage(m *tier.ShardSet) {
 	a := k.answer
 	var want []string
 	for _, s := range m.Shards() {
@@ -107,54 +108,56 @@
 	sort.Strings(want)
 	sort.Strings(got)
 	if !slices.Equal(want, got) {
-		k.report(FalseCoverage, "covered and missing are %v, the shard map has %v", got, want)
+		k.addViolation(FalseCoverage, "covered and missing shards are %v, the shard map has %v", got, want)
 	}
 	fraction := float64(len(a.covered)) / float64(len(want))
-	if math.Abs(a.fraction-fraction) > fractionError {
-		k.report(FalseCoverage, "fraction %v, want %v", a.fraction, fraction)
+	if math.Abs(a.fraction-fraction) > fractionTolerance {
+		k.addViolation(FalseCoverage, "coverage fraction %v, want %v", a.fraction, fraction)
 	}
-	if least := k.query.profile.MinCoverage(); fraction < least-fractionError {
-		k.report(LowCoverage, "covers %v, the profile asks %v", fraction, least)
+	if minimum := k.query.profile.MinCoverage(); fraction < minimum-fractionTolerance {
+		k.addViolation(LowCoverage, "covers fraction %v, the profile requires %v", fraction, minimum)
 	}
 }
 
-// whole checks the answer against its own count and digest.
-func (k *check) whole() {
+// checkIntegrity checks the records against the count and the digest in the answer, and
+// that they are sorted by key without duplicates.
+func (k *searchCheck) checkIntegrity() {
 	a := k.answer
 	if a.count != len(a.records) {
-		k.report(Truncated, "%d records, count %d", len(a.records), a.count)
+		k.addViolation(Truncated, "%d records, but count %d", len(a.records), a.count)
 	}
 	if d := tier.Digest(a.records); d != a.digest {
-		k.report(Corrupted, "digest %s, the records' is %s", a.digest, d)
+		k.addViolation(Corrupted, "digest %s, but the records have digest %s", a.digest, d)
 	}
 	for i := 1; i < len(a.records); i++ {
-		before, key := a.records[i-1].Key(), a.records[i].Key()
-		if before == key {
-			k.report(Doubled, "key %s twice", key)
+		previous, key := a.records[i-1].Key(), a.records[i].Key()
+		if previous == key {
+			k.addViolation(Doubled, "key %s is present twice", key)
 		}
-		if before > key {
-			k.report(Unordered, "key %s after %s", key, before)
+		if previous > key {
+			k.addViolation(Unordered, "key %s after %s", key, previous)
 		}
 	}
 }
 
-// compare checks the records against those of the snapshot.
-func (k *check) compare(m *tier.ShardSet) {
-	want := k.expected(m)
+// checkRecords checks the records against those of the snapshot.
+func (k *searchCheck) checkRecords(m *tier.ShardSet) {
+	want := k.expectedRecords(m)
 	seen := map[string]bool{}
 	for _, r := range k.answer.records {
-		k.record(m, want, r)
+		k.checkRecord(m, want, r)
 		seen[r.Key()] = true
 	}
 	for key := range want {
 		if !seen[key] {
-			k.report(Truncated, "lacks %s of covered shard %s", key, m.ShardOf(key).ID())
+			k.addViolation(Truncated, "record %s of covered shard %s is missing", key, m.ShardOf(key).ID())
 		}
 	}
 }
 
-// expected is what the covered shards hold, by key.
-func (k *check) expected(m *tier.ShardSet) map[string]string {
+// expectedRecords returns the values of the matching records of the covered shards by
+// key.
+func (k *searchCheck) expectedRecords(m *tier.ShardSet) map[string]string {
 	out := map[string]string{}
 	for _, s := range m.Shards() {
 		if !slices.Contains(k.answer.covered, s.ID()) {
@@ -167,20 +170,20 @@
 	return out
 }
 
-func (k *check) record(m *tier.ShardSet, want map[string]string, r tier.Record) {
+func (k *searchCheck) checkRecord(m *tier.ShardSet, want map[string]string, r tier.Record) {
 	version, ok := recorder.VersionOf(r.Value())
 	if ok && version != k.answer.snapshot.Version() {
-		k.report(Mixed, "%s is of version %d, the snapshot is %s", r.Key(), version, k.answer.snapshot)
+		k.addViolation(Mixed, "record %s has version %d, the snapshot is %s", r.Key(), version, k.answer.snapshot)
 		return
 	}
 	value, ok := want[r.Key()]
 	switch {
 	case ok && value == r.Value():
 	case ok:
-		k.report(Corrupted, "%s has %q, want %q", r.Key(), r.Value(), value)
+		k.addViolation(Corrupted, "record %s has value %q, want %q", r.Key(), r.Value(), value)
 	case !slices.Contains(k.answer.covered, m.ShardOf(r.Key()).ID()):
-		k.report(FalseCoverage, "has %s of shard %s, which it does not cover", r.Key(), m.ShardOf(r.Key()).ID())
+		k.addViolation(FalseCoverage, "record %s belongs to shard %s, which is not covered", r.Key(), m.ShardOf(r.Key()).ID())
 	default:
-		k.report(Crossed, "%s does not match %s", r.Key(), k.query.term)
+		k.addViolation(Crossed, "record %s does not match term %s", r.Key(), k.query.term)
 	}
 }
--- a/standin/checker/checker_test.go
+++ b/standin/checker/checker_test.go
@@ -15,7 +15,7 @@
 	testSet  = "portao"
 )
 
-// newAnswer returns a checker, a search and its right answer at version 2.
+// newAnswer returns a checker, a search and the correct answer to it at version 2.
 func newAnswer(t *testing.T) (*Checker, Query, *Answer) {
 	t.Helper()
 	d, err := deployer.Read("../deployment/associacao.json")
@@ -33,42 +33,44 @@
 	return New(records, d.Sets()...), NewQuery("r-1", p, testSet, testTerm), NewAnswered("r-1", tier.Urgent, o, 20)
 }
 
-// seal makes count and digest fit the records, as a careless merge would.
-func (a *Answer) seal() {
+// recomputeDigest makes count and digest match the records. They match too if records
+// go wrong before the tier merges them.
+func (a *Answer) recomputeDigest() {
 	a.count = len(a.records)
 	a.digest = tier.Digest(a.records)
 }
 
-// TestCheckerObjects breaks a right answer in each way that counts.
-func TestCheckerObjects(t *testing.T) {
+// TestCheckerDetectsViolations alters a correct answer in each way that the checker
+// must detect.
+func TestCheckerDetectsViolations(t *testing.T) {
 	cases := []struct {
-		name   string
-		spoil  func(c *Checker, a *Answer)
-		kinds  []Kind
-		sealed bool
+		name      string
+		corrupt   func(c *Checker, a *Answer)
+		kinds     []Kind
+		recompute bool
 	}{
-		{name: "right", spoil: func(*Checker, *Answer) {}},
+		{name: "correct", corrupt: func(*Checker, *Answer) {}},
 		{"mixed", func(c *Checker, a *Answer) {
 			old := c.records.Records(testSet, 1, testTerm)
 			i := slices.IndexFunc(a.records, func(r tier.Record) bool { return r.Key() == old[0].Key() })
 			a.records[i] = old[0]
 		}, []Kind{Mixed}, true},
-		{"doubled", func(_ *Checker, a *Answer) { a.records = slices.Insert(a.records, 1, a.records[0]) }, []Kind{Doubled}, true},
+		{"duplicate", func(_ *Checker, a *Answer) { a.records = slices.Insert(a.records, 1, a.records[0]) }, []Kind{Doubled}, true},
 		{"truncated", func(_ *Checker, a *Answer) { a.records = a.records[1:] }, []Kind{Truncated}, true},
-		{"cut on the way", func(_ *Checker, a *Answer) { a.records = a.records[1:] }, []Kind{Truncated, Corrupted}, false},
-		{"another term's", func(c *Checker, a *Answer) { a.records = c.records.Records(testSet, 2, "grower-8") }, []Kind{Crossed, Truncated}, true},
-		{"another caller's", func(_ *Checker, a *Answer) { a.requestID = "r-2" }, []Kind{Crossed}, true},
+		{"truncated in transit", func(_ *Checker, a *Answer) { a.records = a.records[1:] }, []Kind{Truncated, Corrupted}, false},
+		{"records of another term", func(c *Checker, a *Answer) { a.records = c.records.Records(testSet, 2, "grower-8") }, []Kind{Crossed, Truncated}, true},
+		{"answer to another request", func(_ *Checker, a *Answer) { a.requestID = "r-2" }, []Kind{Crossed}, true},
 		{"corrupted", func(_ *Checker, a *Answer) {
 			a.records[0] = tier.NewRecord(a.records[0].Key(), a.records[0].Value()+" ")
 		}, []Kind{Corrupted}, true},
-		{"covers less than it says", func(_ *Checker, a *Answer) { a.covered = a.covered[1:] }, []Kind{FalseCoverage, LowCoverage}, true},
+		{"states too little coverage", func(_ *Checker, a *Answer) { a.covered = a.covered[1:] }, []Kind{FalseCoverage, LowCoverage}, true},
 	}
 	for _, x := range cases {
 		t.Run(x.name, func(t *testing.T) {
 			c, q, a := newAnswer(t)
-			x.spoil(c, a)
-			if x.sealed {
-				a.seal()
+			x.corrupt(c, a)
+			if x.recompute {
+				a.recomputeDigest()
 			}
 			got := c.Search(q, a)
 			for _, v := range got {
@@ -78,38 +80,39 @@
 			}
 			for _, k := range x.kinds {
 				if !slices.ContainsFunc(got, func(v Violation) bool { return v.Kind == k }) {
-					t.Errorf("%s was not seen", k)
+					t.Errorf("%s was not detected", k)
 				}
 			}
 		})
 	}
 }
 
-// TestLedgerObjects compares outcomes of bookings with what ran.
-func TestLedgerObjects(t *testing.T) {
+// TestBookingHistoryDetectsViolations compares the outcomes of bookings with the number
+// of times they were executed.
+func TestBookingHistoryDetectsViolations(t *testing.T) {
 	cases := []struct {
-		name     string
-		outcomes []string
-		ran      int
-		kinds    []Kind
+		name       string
+		outcomes   []string
+		executions int
+		kinds      []Kind
 	}{
-		{"answered twice, ran once", []string{OutcomeAnswered, OutcomeAnswered}, 1, nil},
-		{"unknown, ran", []string{OutcomeUnknown}, 1, nil},
-		{"unknown, did not run", []string{OutcomeUnknown}, 0, nil},
+		{"answered twice, executed once", []string{OutcomeAnswered, OutcomeAnswered}, 1, nil},
+		{"unknown, executed", []string{OutcomeUnknown}, 1, nil},
+		{"unknown, not executed", []string{OutcomeUnknown}, 0, nil},
 		{"refused, then answered", []string{OutcomeRefused, OutcomeAnswered}, 1, nil},
-		{"ran twice", []string{OutcomeAnswered, OutcomeUnknown}, 2, []Kind{Doubled}},
-		{"never ran", []string{OutcomeAnswered}, 0, []Kind{LostBooking}},
-		{"refused, but ran", []string{OutcomeRefused}, 1, []Kind{FalseRefusal}},
+		{"executed twice", []string{OutcomeAnswered, OutcomeUnknown}, 2, []Kind{Doubled}},
+		{"answered, not executed", []string{OutcomeAnswered}, 0, []Kind{LostBooking}},
+		{"refused, executed", []string{OutcomeRefused}, 1, []Kind{FalseRefusal}},
 	}
 	for _, x := range cases {
 		t.Run(x.name, func(t *testing.T) {
-			l := NewLedger()
+			h := NewLedger()
 			for _, o := range x.outcomes {
-				l.Sent("r-1", "body")
-				l.Ended("r-1", "body", &Answer{requestID: "r-1", outcome: o, receipt: "receipt"})
+				h.Sent("r-1", "body")
+				h.Ended("r-1", "body", &Answer{requestID: "r-1", outcome: o, receipt: "receipt"})
 			}
 			var kinds []Kind
-			for _, v := range l.Check(slices.Repeat([]leafserver.Booked{{Body: "body", Receipt: "receipt"}}, x.ran)) {
+			for _, v := range h.Check(slices.Repeat([]leafserver.Booked{{Body: "body", Receipt: "receipt"}}, x.executions)) {
 				kinds = append(kinds, v.Kind)
 			}
 			if !slices.Equal(kinds, x.kinds) {
--- a/standin/checker/violation.go
+++ b/standin/checker/violation.go
@@ -1,26 +1,26 @@
 package checker
 
-// Kind is a kind of broken promise.
+// Kind is the kind of a violation.
 type Kind string
 
-// The kinds.
+// The kinds of violations.
 const (
-	Mixed          Kind = "mixed"           // records of another index version than the snapshot's
-	Doubled        Kind = "doubled"         // a key twice, or a booking that ran twice
-	Truncated      Kind = "truncated"       // lacks records of a covered shard, or its own count
-	Crossed        Kind = "crossed"         // another request's id, records or receipt
+	Mixed          Kind = "mixed"           // records of an index version other than the snapshot's
+	Doubled        Kind = "doubled"         // a key is present twice, or a booking was executed twice
+	Truncated      Kind = "truncated"       // records of a covered shard are missing, or the count is wrong
+	Crossed        Kind = "crossed"         // the ID, records or receipt of another request
 	Corrupted      Kind = "corrupted"       // a value or the digest is wrong
-	Unordered      Kind = "unordered"       // records not sorted by key
-	FalseCoverage  Kind = "false-coverage"  // coverage does not fit the shard map or the records
-	LowCoverage    Kind = "low-coverage"    // answered below the profile's least coverage
+	Unordered      Kind = "unordered"       // records are not sorted by key
+	FalseCoverage  Kind = "false-coverage"  // the coverage does not match the shard map or the records
+	LowCoverage    Kind = "low-coverage"    // answered with less than the profile's minimum coverage
 	NoSnapshot     Kind = "no-snapshot"     // answered without a known snapshot
-	FalseRefusal   Kind = "false-refusal"   // refused as not run, but it ran
-	LostBooking    Kind = "lost-booking"    // answered, but it never ran
-	CutOff         Kind = "cut-off"         // no answer, though VMs only stopped as planned
-	InvalidOutcome Kind = "invalid-outcome" // no outcome, rank or body of the API
+	FalseRefusal   Kind = "false-refusal"   // refused as not executed, but executed
+	LostBooking    Kind = "lost-booking"    // answered, but never executed
+	CutOff         Kind = "cut-off"         // no answer, although VMs were only stopped gracefully
+	InvalidOutcome Kind = "invalid-outcome" // outcome or rank that the API does not allow
 )
 
-// Violation is one broken promise.
+// Violation is one violated guarantee.
 type Violation struct {
 	Kind      Kind   `json:"kind"`
 	RequestID string `json:"request-id"`
