--- a/standin/reporter/result.go
+++ b/standin/reporter/result.go
@@ -1,5 +1,5 @@
-// Package reporter keeps the results of load runs as JSON files, and prints
-// them and comparisons of two of them as plain tables.
+// Package reporter reads and writes the results of load runs as JSON files. It prints a
+// result, or the comparison of two results, as plain tables.
 package reporter
 
 import (
@@ -11,8 +11,9 @@
 	"cicadagrade.example/standin/checker"
 )
 
-// BareSuffix ends the name of a stream that went straight to the backend
-// servers, for comparison with the stream of the same name without it.
+// BareSuffix is the suffix of the name of a stream that bypasses the tier and calls
+// the backend servers directly. Such a stream is the baseline for the stream of the
+// same name without the suffix.
 const BareSuffix = "/bare"
 
 // Result is the result of one run of a workload.
@@ -24,12 +25,11 @@
 	Sets           []SetLoad           `json:"sets"`
 	ViolationCount int                 `json:"violation-count"`
 	ViolationKinds map[string]int      `json:"violation-kinds"`
-	Violations     []checker.Violation `json:"violations"` // the first of them
-	Unchecked      []string            `json:"unchecked"`  // checks that could not be made, and why
+	Violations     []checker.Violation `json:"violations"` // the first violations only
+	Unchecked      []string            `json:"unchecked"`  // checks that could not be made, with the reason
 }
 
-// Phase is the result of one phase. Requests count in the phase in which
-// they were sent.
+// Phase is the result of one phase. A request counts in the phase in which it was sent.
 type Phase struct {
 	Name    string  `json:"name"`
 	Seconds float64 `json:"seconds"`
@@ -37,9 +37,8 @@
 	Streams []Row   `json:"streams"`
 }
 
-// Row sums up the requests of a rank or of a stream. Latencies, of answered
-// requests only, are in milliseconds from the time at which the request was
-// due to be sent.
+// Row aggregates the requests of a rank or of a stream. Latencies are those of answered
+// requests only, in milliseconds from the time at which the request was due to be sent.
 type Row struct {
 	Name           string         `json:"name"`
 	Offered        int            `json:"offered"`
@@ -47,41 +46,41 @@
 	InTime         int            `json:"in-time"` // answered within the deadline, without violation
 	Refused        int            `json:"refused"`
 	Unknown        int            `json:"unknown"`
-	Rejected       int            `json:"rejected"` // not accepted: 4xx with an error
+	Rejected       int            `json:"rejected"` // rejected as invalid: 4xx with an error
 	Failed         int            `json:"failed"`   // no answer came
-	NotSent        int            `json:"not-sent"` // the load tool was at its own limit
+	NotSent        int            `json:"not-sent"` // too many requests in flight in the load generator
 	Reasons        map[string]int `json:"reasons"`
 	P50            float64        `json:"p50-ms"`
 	P99            float64        `json:"p99-ms"`
 	P999           float64        `json:"p999-ms"`
 	Max            float64        `json:"max-ms"`
-	Goodput        float64        `json:"goodput"`  // in time, each second
-	Coverage       float64        `json:"coverage"` // mean over answered searches
+	Goodput        float64        `json:"goodput"`  // requests answered in time per second
+	Coverage       float64        `json:"coverage"` // mean over the answered searches
 	LeafCalls      int            `json:"leaf-calls"`
 	ExtraLeafCalls int            `json:"extra-leaf-calls"`
 }
 
-// ExtraRatio is the hedges and retries to one other leaf call.
+// ExtraRatio returns the ratio of hedges and retries to first leaf calls.
 func (r Row) ExtraRatio() float64 {
 	return ratio(float64(r.ExtraLeafCalls), float64(r.LeafCalls-r.ExtraLeafCalls))
 }
 
-// SetLoad is what a set's backend servers counted during the run. Maxima are
-// since their start.
+// SetLoad aggregates the counters of a set's backend servers. Sums cover the run;
+// maxima cover the time since the servers started.
 type SetLoad struct {
 	Set                string `json:"set"`
 	Calls              int64  `json:"calls"`
-	Overbooked         int64  `json:"overbooked"` // calls that found no slot free
+	Overbooked         int64  `json:"overbooked"` // calls that found no free slot
 	Shed               int64  `json:"shed"`
 	Refused            int64  `json:"refused"`
 	Cancelled          int64  `json:"cancelled"`
-	OfferedMax         int64  `json:"offered-max"` // calls at once at one server
+	OfferedMax         int64  `json:"offered-max"` // maximum concurrent calls at one server
 	ConnectionsMax     int64  `json:"connections-max"`
 	ConnectionsMade    int64  `json:"connections-made"`
 	ConnectionsRefused int64  `json:"connections-refused"`
 }
 
-// Write writes a result's file.
+// Write writes a result to a file.
 func Write(path string, r *Result) error {
 	b, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
@@ -90,7 +89,7 @@
 	return errors.Wrap(os.WriteFile(path, append(b, '\n'), 0o644), "Write")
 }
 
-// Read reads a result's file.
+// Read reads a result from a file.
 func Read(path string) (*Result, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -103,7 +102,7 @@
 	return r, nil
 }
 
-// ratio is 0 when there is nothing to divide by.
+// ratio returns a/b, or 0 if b is 0.
 func ratio(a, b float64) float64 {
 	if b == 0 {
 		return 0
--- a/standin/reporter/table.go
+++ b/standin/reporter/table.go
@@ -9,10 +9,10 @@
 	"text/tabwriter"
 )
 
-// maxListed bounds the violations that are printed.
-const maxListed = 20
+// maxPrintedViolations is the maximum number of violations that are printed.
+const maxPrintedViolations = 20
 
-// Print writes a result as plain tables.
+// Print writes a result to w as plain tables.
 func Print(w io.Writer, r *Result) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	p := printer{w: t}
@@ -27,9 +27,9 @@
 		}
 	}
 	p.line("")
-	p.added(r)
-	p.reasons(r)
-	p.line("set\tcalls\toverbooked\tshed\trefused\tcancelled\tat once\tconnections\tmade\trefused\t")
+	p.printDirectRatios(r)
+	p.printReasons(r)
+	p.line("set\tcalls\toverbooked\tshed\trefused\tcancelled\tmax concurrent\tmax connections\tconnections opened\tconnections refused\t")
 	for _, s := range r.Sets {
 		p.line("%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t", s.Set, s.Calls, s.Overbooked, s.Shed, s.Refused, s.Cancelled, s.OfferedMax, s.ConnectionsMax, s.ConnectionsMade, s.ConnectionsRefused)
 	}
@@ -38,7 +38,7 @@
 	for _, k := range slices.Sorted(maps.Keys(r.ViolationKinds)) {
 		p.line("%s: %d", k, r.ViolationKinds[k])
 	}
-	for _, v := range r.Violations[:min(len(r.Violations), maxListed)] {
+	for _, v := range r.Violations[:min(len(r.Violations), maxPrintedViolations)] {
 		p.line("%s %s: %s", v.Kind, v.RequestID, v.Detail)
 	}
 	for _, u := range r.Unchecked {
@@ -47,16 +47,16 @@
 	return p.flush(t)
 }
 
-// Compare writes the ratios of b to a for the ranks and streams that both
-// have.
+// Compare writes the ratios of b to a to w, for the ranks and streams that are in both
+// results.
 func Compare(w io.Writer, a, b *Result) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	p := printer{w: t}
-	p.line("workload %s to workload %s", b.Workload, a.Workload)
-	p.line("phase\trank or stream\tp50\tp99\tp99.9\tin time/s\tcoverage\tleaf calls\textra calls before\tafter\t")
+	p.line("workload %s relative to workload %s", b.Workload, a.Workload)
+	p.line("phase\trank or stream\tp50\tp99\tp99.9\tin time/s\tcoverage\tleaf calls\textra calls before\textra calls after\t")
 	for _, f := range a.Phases {
 		for _, x := range append(f.Ranks, f.Streams...) {
-			if y, ok := b.find(f.Name, x.Name); ok {
+			if y, ok := b.findRow(f.Name, x.Name); ok {
 				p.line("%s\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.4f\t%.4f\t", f.Name, x.Name, ratio(y.P50, x.P50), ratio(y.P99, x.P99), ratio(y.P999, x.P999), ratio(y.Goodput, x.Goodput), ratio(y.Coverage, x.Coverage), ratio(y.callsPerAnswer(), x.callsPerAnswer()), x.ExtraRatio(), y.ExtraRatio())
 			}
 		}
@@ -65,7 +65,7 @@
 	return p.flush(t)
 }
 
-func (r *Result) find(phase, name string) (Row, bool) {
+func (r *Result) findRow(phase, name string) (Row, bool) {
 	for _, f := range r.Phases {
 		if f.Name != phase {
 			continue
@@ -81,7 +81,7 @@
 
 func (r Row) callsPerAnswer() float64 { return ratio(float64(r.LeafCalls), float64(r.Answered)) }
 
-// printer writes lines and keeps the first error.
+// printer writes lines and keeps the first write error.
 type printer struct {
 	w   io.Writer
 	err error
@@ -98,20 +98,21 @@
 	p.line("%s\t%s\t%d\t%d\t%.1f\t%d\t%d\t%d\t%d\t%d\t%.2f\t%.2f\t%.2f\t%.4f\t%.4f\t", phase, x.Name, x.Offered, x.Answered, x.Goodput, x.Refused, x.Unknown, x.Rejected, x.Failed, x.NotSent, x.P50, x.P99, x.P999, x.Coverage, x.ExtraRatio())
 }
 
-// added compares each stream with its bare twin.
-func (p *printer) added(r *Result) {
+// printDirectRatios prints the latency ratio of each stream to the same stream that
+// bypasses the tier.
+func (p *printer) printDirectRatios(r *Result) {
 	for _, f := range r.Phases {
 		for _, x := range f.Streams {
-			if y, ok := r.find(f.Name, x.Name+BareSuffix); ok {
-				p.line("%s, %s to bare: p50 %.3f, p99 %.3f, p99.9 %.3f", f.Name, x.Name, ratio(x.P50, y.P50), ratio(x.P99, y.P99), ratio(x.P999, y.P999))
+			if y, ok := r.findRow(f.Name, x.Name+BareSuffix); ok {
+				p.line("%s, %s relative to bare: p50 %.3f, p99 %.3f, p99.9 %.3f", f.Name, x.Name, ratio(x.P50, y.P50), ratio(x.P99, y.P99), ratio(x.P999, y.P999))
 			}
 		}
 	}
 }
 
-// reasons lists why requests of each stream were refused, not accepted or
-// ended unknown.
-func (p *printer) reasons(r *Result) {
+// printReasons prints for each stream why requests were refused, rejected as invalid or
+// ended with an unknown outcome.
+func (p *printer) printReasons(r *Result) {
 	for _, f := range r.Phases {
 		for _, x := range f.Streams {
 			for _, name := range slices.Sorted(maps.Keys(x.Reasons)) {
