--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -1,6 +1,5 @@
-// Package caller sends searches and bookings as the users' services do: to
-// the API of the entry VMs, or, for comparison, straight to the backend
-// servers.
+// Package caller sends searches and bookings as the organisations' services do: to the
+// API of the entry VMs or, as a baseline, directly to the backend servers.
 package caller
 
 import (
@@ -16,10 +15,10 @@
 	"cicadagrade.example/tier"
 )
 
-// maxIdle bounds the idle connections kept to one address.
-const maxIdle = 4096
+// maxIdleConns is the maximum number of idle connections kept to one address.
+const maxIdleConns = 4096
 
-// Search is a search to send.
+// Search holds the parameters of a search.
 type Search struct {
 	requestID string
 	profile   *tier.Profile
@@ -28,44 +27,44 @@
 	deadline  tier.Millis
 }
 
-// NewSearch returns a search; the deadline is counted from its arrival.
+// NewSearch returns a search. The deadline is a duration from the arrival of the
+// request.
 func NewSearch(requestID string, p *tier.Profile, set, term string, deadline tier.Millis) Search {
 	return Search{requestID: requestID, profile: p, set: set, term: term, deadline: deadline}
 }
 
-// Booking is a request that may not be repeated.
+// Booking holds the parameters of a booking, which must take effect at most once.
 type Booking struct {
-	requestID string
-	profile   *tier.Profile
-	set       string
-	recordKey string
-	body      string
-	key       string
-	deadline  tier.Millis
+	requestID      string
+	profile        *tier.Profile
+	set            string
+	recordKey      string
+	body           string
+	idempotencyKey string
+	deadline       tier.Millis
 }
 
 // NewBooking returns a booking. The idempotency key may be empty.
-func NewBooking(requestID string, p *tier.Profile, set, recordKey, body, key string, deadline tier.Millis) Booking {
-	return Booking{requestID: requestID, profile: p, set: set, recordKey: recordKey, body: body, key: key, deadline: deadline}
+func NewBooking(requestID string, p *tier.Profile, set, recordKey, body, idempotencyKey string, deadline tier.Millis) Booking {
+	return Booking{requestID: requestID, profile: p, set: set, recordKey: recordKey, body: body, idempotencyKey: idempotencyKey, deadline: deadline}
 }
 
-// Target answers searches: *VM or *Bare.
+// Target is a client for searches: *VMClient or *DirectClient.
 type Target interface {
-	target()
-	// Search sends a search and returns its answer. An error means that no
-	// answer came.
+	isTarget()
+	// Search sends a search and returns its answer, or an error if none arrived.
 	Search(ctx context.Context, q Search) (*checker.Answer, error)
 }
 
-// VM is one entry VM.
+// VM sends requests to the API of one entry VM.
 type VM struct {
 	address string
 	client  *http.Client
 }
 
-// NewVM returns an entry VM whose API has this address.
+// NewVM returns a client of the entry VM whose API has this address.
 func NewVM(address string) *VM {
-	t := &http.Transport{MaxIdleConns: maxIdle, MaxIdleConnsPerHost: maxIdle}
+	t := &http.Transport{MaxIdleConns: maxIdleConns, MaxIdleConnsPerHost: maxIdleConns}
 	return &VM{address: address, client: &http.Client{Transport: t}}
 }
 
@@ -87,9 +86,9 @@
 	Deadline       tier.Millis `json:"deadline-ms"`
 }
 
-func (*VM) target() {}
+func (*VM) isTarget() {}
 
-// Search posts a search.
+// Search sends a search to the VM and returns its answer.
 func (v *VM) Search(ctx context.Context, q Search) (*checker.Answer, error) {
 	a, err := v.post(ctx, "/v1/search", searchBody{
 		RequestID: q.requestID,
@@ -98,10 +97,10 @@
 		Term:      q.term,
 		Deadline:  q.deadline,
 	})
-	return a, errors.Wrap(err, "VM.Search")
+	return a, errors.Wrap(err, "VMClient.Search")
 }
 
-// Book posts a booking.
+// Book sends a booking to the VM and returns its answer.
 func (v *VM) Book(ctx context.Context, q Booking) (*checker.Answer, error) {
 	a, err := v.post(ctx, "/v1/book", bookBody{
 		RequestID:      q.requestID,
@@ -109,10 +108,10 @@
 		Set:            q.set,
 		RecordKey:      q.recordKey,
 		Body:           q.body,
-		IdempotencyKey: q.key,
+		IdempotencyKey: q.idempotencyKey,
 		Deadline:       q.deadline,
 	})
-	return a, errors.Wrap(err, "VM.Book")
+	return a, errors.Wrap(err, "VMClient.Book")
 }
 
 func (v *VM) post(ctx context.Context, path string, body any) (*checker.Answer, error) {
--- a/standin/caller/bare.go
+++ b/standin/caller/direct.go
@@ -18,17 +18,17 @@
 	"cicadagrade.example/tier"
 )
 
-// Bare asks the backend servers itself: every shard at once, its replicas in
-// turn, without slots, queues, hedges or retries. It shows what the tier
-// adds.
+// Bare bypasses the tier: it calls one replica of every shard at once,
+// alternating between replicas from search to search, without slots, queues, hedges or
+// retries. Comparison with it shows the latency that the tier adds.
 type Bare struct {
 	sets    map[string]*tier.ShardSet
 	version tier.Version
 	clients map[string]backendv1connect.LeafServiceClient
-	turn    atomic.Uint64
+	counter atomic.Uint64
 }
 
-// NewBare returns a caller that asks for one index version of the sets.
+// NewBare returns a client that requests one index version of the sets.
 func NewBare(v tier.Version, sets ...*tier.ShardSet) *Bare {
 	b := &Bare{
 		sets:    map[string]*tier.ShardSet{},
@@ -45,13 +45,13 @@
 	return b
 }
 
-func (*Bare) target() {}
+func (*Bare) isTarget() {}
 
-// Search asks every shard and merges the replies; it fails when one does.
+// Search calls every shard and merges the replies. It fails if one call fails.
 func (b *Bare) Search(ctx context.Context, q Search) (*checker.Answer, error) {
 	set, ok := b.sets[q.set]
 	if !ok {
-		return nil, errors.Errorf("Bare.Search: no set %q", q.set)
+		return nil, errors.Errorf("DirectClient.Search: unknown set %q", q.set)
 	}
 	ctx, cancel := context.WithTimeout(ctx, q.deadline.Duration())
 	defer cancel()
@@ -59,10 +59,10 @@
 	var mu sync.Mutex
 	var records []tier.Record
 	var covered []string
-	turn := b.turn.Add(1)
+	number := b.counter.Add(1)
 	for _, s := range set.Shards() {
 		g.Go(func() error {
-			part, err := b.shard(ctx, set, s, q, turn)
+			part, err := b.searchShard(ctx, set, s, q, number)
 			if err != nil {
 				return err
 			}
@@ -74,17 +74,17 @@
 		})
 	}
 	if err := g.Wait(); err != nil {
-		return nil, errors.Wrap(err, "Bare.Search")
+		return nil, errors.Wrap(err, "DirectClient.Search")
 	}
 	sort.Slice(records, func(i, j int) bool { return records[i].Key() < records[j].Key() })
-	o := tier.NewAnswered(tier.NewSnapshot(set.Epoch(), b.version), tier.NewCoverage(covered, nil), records)
-	return checker.NewAnswered(q.requestID, q.profile.Rank(), o, len(covered)), nil
+	merged := tier.NewAnswered(tier.NewSnapshot(set.Epoch(), b.version), tier.NewCoverage(covered, nil), records)
+	return checker.NewAnswered(q.requestID, q.profile.Rank(), merged, len(covered)), nil
 }
 
-func (b *Bare) shard(ctx context.Context, set *tier.ShardSet, s tier.Shard, q Search, turn uint64) ([]tier.Record, error) {
-	server, _ := set.Server(s.Replicas()[turn%uint64(len(s.Replicas()))])
+func (b *Bare) searchShard(ctx context.Context, set *tier.ShardSet, s tier.Shard, q Search, number uint64) ([]tier.Record, error) {
+	server, _ := set.Server(s.Replicas()[number%uint64(len(s.Replicas()))])
 	r, err := b.clients[server.Address()].Search(ctx, connect.NewRequest(&backendv1.SearchRequest{
-		Attempt:  fmt.Sprintf("bare/1/%d", turn),
+		Attempt:  fmt.Sprintf("bare/1/%d", number),
 		Set:      q.set,
 		Shard:    s.ID(),
 		Snapshot: &backendv1.Snapshot{Epoch: uint64(set.Epoch()), Version: uint64(b.version)},
--- a/standin/responder/responder.go
+++ b/standin/responder/responder.go
@@ -1,5 +1,6 @@
-// Package responder plays a backend server of the users' platform, and says how
-// callers address an entry VM there.
+// Package responder simulates backend servers (leafs) of the platform's HTTP protocol.
+// It also sets the headers with which callers address an entry VM and reads those of
+// its answers.
 package responder
 
 import (
@@ -14,65 +15,70 @@
 	"github.com/pkg/errors"
 )
 
-// Names on the wire.
+// Header names of the protocol between callers, entry VMs and leafs.
 const (
-	headerAttempt  = "Attempt-Id"
-	headerTimeLeft = "Time-Remaining"
-	headerExpected = "Expected-Instance"
-	headerNotRun   = "Not-Executed"
-	headerProof    = "Response-Signature"
-	headerProofs   = "Part-Signatures"
+	headerAttempt        = "Attempt-Id"
+	headerTimeRemaining  = "Time-Remaining"
+	headerExpected       = "Expected-Instance"
+	headerNotExecuted    = "Not-Executed"
+	headerSignature      = "Response-Signature"
+	headerPartSignatures = "Part-Signatures"
 )
 
-// recordBytes is the size of a record.
+// recordBytes is the size of a record in bytes.
 const recordBytes = 16
 
-// Mute is the answer of a leaf that runs a request and breaks the connection.
+// Mute is the answer of a leaf that executes a request and closes the connection
+// without a reply.
 const Mute = "mute"
 
-// Leaf is a backend server that gives one answer to all. It is an http.Handler.
+// Leaf is a backend server that gives the same answer to every request. It is an
+// http.Handler.
 type Leaf struct {
 	id     string
 	answer string
 
-	mu   sync.Mutex
-	seen []string
-	held chan struct{} // closed when requests may go on, or nil
+	mu       sync.Mutex
+	executed []string
+	released chan struct{} // closed when held requests may continue; nil if none are held
 }
 
-// New returns a leaf. Its answer is records, a letter for each, or a status such
-// as 500, or 503! for one that says that it did not run the request, or Mute.
+// New returns a leaf. The answer is one of: letters, each sent as one record
+// of that letter repeated; a status such as 500; a status with "!", such as 503!, which
+// also says that the request was not executed; or NoReply.
 func New(id, answer string) *Leaf { return &Leaf{id: id, answer: answer} }
 
-// Seen lists the requests that it has run.
+// Seen returns the requests that the leaf has executed.
 func (l *Leaf) Seen() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]string(nil), l.seen...)
+	return append([]string(nil), l.executed...)
 }
 
-// Hold has it keep requests that it runs, until the function is called.
+// Hold makes the leaf keep the requests that it executes unanswered until release is
+// called.
 func (l *Leaf) Hold() (release func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	held := make(chan struct{})
-	l.held = held
-	return func() { close(held) }
+	released := make(chan struct{})
+	l.released = released
+	return func() { close(released) }
 }
 
-// Registration is what it writes of itself to the store.
+// Registration returns the entry with which the leaf registers in the store.
 func (l *Leaf) Registration(service, address, dataCentre string) ([]byte, error) {
 	raw, err := json.Marshal(map[string]any{
 		"service": service, "address": address, "zone": dataCentre,
 		"slots": 2, "state": "ready", "sequence": 1, "born": 1,
 	})
-	return raw, errors.Wrap(err, "Leaf.Registration")
+	return raw, errors.Wrap(err, "FixedLeaf.Registration")
 }
 
-// Unreadable is a registration that names no leaf.
+// Unreadable returns a registration that can't be parsed: its service is a
+// number.
 func Unreadable() []byte { return []byte(`{"service": 7}`) }
 
-// ServeHTTP answers as the leaf was told to.
+// ServeHTTP gives the leaf's fixed answer.
 func (l *Leaf) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -85,20 +91,20 @@
 	}
 	h := w.Header()
 	h.Set(headerAttempt, r.Header.Get(headerAttempt))
-	text, notRun := strings.CutSuffix(l.answer, "!")
+	text, notExecuted := strings.CutSuffix(l.answer, "!")
 	status, notStatus := strconv.Atoi(text)
-	if notRun {
-		h.Set(headerNotRun, "1")
+	if notExecuted {
+		h.Set(headerNotExecuted, "1")
 		w.WriteHeader(status)
 		return
 	}
 	l.mu.Lock()
-	l.seen = append(l.seen, fmt.Sprintf("%s %s %q", r.Method, r.RequestURI, body))
-	held := l.held
+	l.executed = append(l.executed, fmt.Sprintf("%s %s %q", r.Method, r.RequestURI, body))
+	released := l.released
 	l.mu.Unlock()
-	if held != nil {
+	if released != nil {
 		select {
-		case <-held:
+		case <-released:
 		case <-r.Context().Done():
 			return
 		}
@@ -106,7 +112,7 @@
 	if l.answer == Mute {
 		panic(http.ErrAbortHandler)
 	}
-	h.Set(headerProof, "proof-"+l.id)
+	h.Set(headerSignature, "proof-"+l.id)
 	if notStatus == nil {
 		w.WriteHeader(status)
 		return
@@ -119,15 +125,17 @@
 	}
 }
 
-// Address gives a caller's request its id and the time that the caller waits, in
-// milliseconds.
-func Address(h http.Header, attempt string, timeLeft int) {
-	h.Set(headerAttempt, attempt)
-	h.Set(headerTimeLeft, strconv.Itoa(timeLeft))
+// Address sets the attempt ID of a caller's request and the remaining time in
+// milliseconds that the caller waits.
+func Address(h http.Header, attemptID string, timeRemaining int) {
+	h.Set(headerAttempt, attemptID)
+	h.Set(headerTimeRemaining, strconv.Itoa(timeRemaining))
 }
 
-// Expect has a caller name the leaf that it wants, which is not for it to say.
+// Expect sets the header with which an entry VM names the leaf that it
+// calls. Tests use it to check that the header has no effect in a caller's request.
 func Expect(h http.Header, leaf string) { h.Set(headerExpected, leaf) }
 
-// IsProofs reports whether a header of an answer lists the proofs of its parts.
-func IsProofs(header string) bool { return header == headerProofs }
+// IsProofs reports whether a header of an answer lists the signatures of its
+// parts.
+func IsProofs(header string) bool { return header == headerPartSignatures }
