--- a/standin/deployer/sized.go
+++ b/standin/deployer/sized.go
@@ -60,6 +60,8 @@
 	return errors.Wrap(z.plan().write(dir), "WriteSized")
 }
 
+// plan returns the plan of the associacao deployment with other sizes, ports and a
+// single set.
 func (z Sizes) plan() deploymentPlan {
 	p := associacao()
 	p.name = z.name
--- a/standin/loader/run.go
+++ b/standin/loader/run.go
@@ -29,19 +29,19 @@
 
 // Run executes a workload on a deployment once.
 type Run struct {
-	workload   *Workload
-	deployment *deployer.Deployment
-	version    tier.Version
-	vms        []*caller.VM
-	balancer   *balancer
-	direct     *caller.Bare
-	records    *recorder.Recorder
-	checker    *checker.Checker
-	bookings   *checker.Ledger
-	backends   *leafserver.Client
-	results    *ring.Ring[requestResult]
-	requests   *errgroup.Group
-	idPrefix   string
+	workload      *Workload
+	deployment    *deployer.Deployment
+	directVersion tier.Version
+	vms           []*caller.VM
+	balancer      *balancer
+	direct        *caller.Bare
+	records       *recorder.Recorder
+	checker       *checker.Checker
+	bookings      *checker.Ledger
+	backends      *leafserver.Client
+	results       *ring.Ring[requestResult]
+	requests      *errgroup.Group
+	idPrefix      string // first part of all request IDs, different for each run
 }
 
 // Option configures a Run.
@@ -49,25 +49,25 @@
 
 // WithBareVersion sets the index version that streams marked "bare" request from the
 // backend servers.
-func WithBareVersion(v tier.Version) Option { return func(r *Run) { r.version = v } }
+func WithBareVersion(v tier.Version) Option { return func(r *Run) { r.directVersion = v } }
 
 // New returns a run. The API addresses of all entry VMs must be loopback addresses.
 func New(w *Workload, d *deployer.Deployment, opts ...Option) (*Run, error) {
 	r := &Run{
-		workload:   w,
-		deployment: d,
-		records:    recorder.New(d.Seed()),
-		bookings:   checker.NewLedger(),
-		backends:   leafserver.NewClient(d.Control()),
-		balancer:   newBalancer(d),
-		results:    ring.New[requestResult](resultRingSize),
-		version:    1,
+		workload:      w,
+		deployment:    d,
+		records:       recorder.New(d.Seed()),
+		bookings:      checker.NewLedger(),
+		backends:      leafserver.NewClient(d.Control()),
+		balancer:      newBalancer(d),
+		results:       ring.New[requestResult](resultRingSize),
+		directVersion: 1,
 	}
 	for _, o := range opts {
 		o(r)
 	}
-	r.checker = checker.New(r.records, append(append([]*tier.ShardSet{}, d.Sets()...), w.laterMaps...)...)
-	r.direct = caller.NewBare(r.version, d.Sets()...)
+	r.checker = checker.New(r.records, append(append([]*tier.ShardSet{}, d.Sets()...), w.laterShardMaps...)...)
+	r.direct = caller.NewBare(r.directVersion, d.Sets()...)
 	for _, v := range d.VMs() {
 		r.vms = append(r.vms, caller.NewVM(v.API()))
 	}
@@ -111,7 +111,7 @@
 	}
 	s.addSetLoads(before, after)
 	s.checkAgainstJournal(ctx)
-	return s.result(), nil
+	return s.finish(), nil
 }
 
 // send runs the phases one after the other and then waits for all requests in flight.
@@ -147,6 +147,7 @@
 	return g.Wait()
 }
 
+// postCommands sends each command at its time after the start of the phase.
 func (r *Run) postCommands(ctx context.Context, commands []command, start time.Time) error {
 	for _, c := range commands {
 		if err := sleepUntil(ctx, start.Add(c.after.Duration())); err != nil {
--- a/standin/loader/sender.go
+++ b/standin/loader/sender.go
@@ -29,10 +29,10 @@
 	id     string
 	due    time.Time
 	vm     *caller.VM
-	search caller.Search
-	query  checker.Query
-	book   caller.Booking
-	body   string
+	search caller.Search  // of a search
+	query  checker.Query  // the search as the checker sees it
+	book   caller.Booking // of a booking
+	body   string         // of a booking
 }
 
 // sendAll sends requests from start to end as a Poisson process with the stream's mean
@@ -51,6 +51,7 @@
 	}
 }
 
+// sendNext launches the next search, or the attempts of the next booking.
 func (s *sender) sendNext(due time.Time) {
 	s.count++
 	id := fmt.Sprintf("%s-%d-%d-%d", s.run.idPrefix, s.phase, s.streamIndex, s.count)
--- a/standin/loader/summary.go
+++ b/standin/loader/summary.go
@@ -26,12 +26,12 @@
 	streams [][]*tally // by phase and stream
 	ranks   [][]*tally // by phase and rank
 	refused []string   // searches that were refused as not run
-	out     reporter.Result
+	result  reporter.Result
 }
 
 func newSummary(r *Run) *summary {
 	s := &summary{run: r}
-	s.out = reporter.Result{
+	s.result = reporter.Result{
 		Workload:       r.workload.name,
 		Deployment:     r.deployment.Name(),
 		Seed:           r.workload.seed,
@@ -81,12 +81,12 @@
 }
 
 func (s *summary) addViolations(list []checker.Violation) {
-	s.out.ViolationCount += len(list)
+	s.result.ViolationCount += len(list)
 	for _, v := range list {
-		s.out.ViolationKinds[string(v.Kind)]++
+		s.result.ViolationKinds[string(v.Kind)]++
 	}
-	free := maxViolations - len(s.out.Violations)
-	s.out.Violations = append(s.out.Violations, list[:min(len(list), free)]...)
+	free := maxViolations - len(s.result.Violations)
+	s.result.Violations = append(s.result.Violations, list[:min(len(list), free)]...)
 }
 
 // settleTime is how long to wait before the check against the journal. Leaf calls whose
@@ -99,13 +99,13 @@
 	_ = sleepUntil(ctx, time.Now().Add(settleTime))
 	executed, err := s.run.backends.Booked(ctx, 0)
 	if err != nil {
-		s.out.Unchecked = append(s.out.Unchecked, "bookings: "+err.Error())
+		s.result.Unchecked = append(s.result.Unchecked, "bookings: "+err.Error())
 	} else {
 		s.addViolations(s.run.bookings.Check(executed))
 	}
 	started, err := s.run.backends.Started(ctx, s.refused)
 	if err != nil {
-		s.out.Unchecked = append(s.out.Unchecked, "refused searches: "+err.Error())
+		s.result.Unchecked = append(s.result.Unchecked, "refused searches: "+err.Error())
 		return
 	}
 	for _, id := range started {
@@ -129,7 +129,7 @@
 		}
 	}
 	for _, x := range s.run.deployment.Sets() {
-		s.out.Sets = append(s.out.Sets, *loads[x.Name()])
+		s.result.Sets = append(s.result.Sets, *loads[x.Name()])
 	}
 }
 
@@ -145,7 +145,8 @@
 	l.ConnectionsMax = max(l.ConnectionsMax, after.ConnectionsMax)
 }
 
-func (s *summary) result() *reporter.Result {
+// finish returns the result of the run after adding that of each phase.
+func (s *summary) finish() *reporter.Result {
 	for i, f := range s.run.workload.phases {
 		p := reporter.Phase{Name: f.name, Seconds: f.seconds}
 		for _, t := range s.ranks[i] {
@@ -156,9 +157,9 @@
 		for _, t := range s.streams[i] {
 			p.Streams = append(p.Streams, t.buildRow(f.seconds))
 		}
-		s.out.Phases = append(s.out.Phases, p)
+		s.result.Phases = append(s.result.Phases, p)
 	}
-	return &s.out
+	return &s.result
 }
 
 // postCommand sends a command to the control port that it is meant for.
@@ -174,6 +175,8 @@
 	}
 }
 
+// sendJSON sends a JSON body and returns an error unless the status of the reply is 200
+// OK.
 func sendJSON(ctx context.Context, method, url string, body []byte) error {
 	q, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
--- a/standin/loader/workload.go
+++ b/standin/loader/workload.go
@@ -39,7 +39,7 @@
 	maxInFlight      int
 	plannedStopsOnly bool // VMs are only stopped gracefully: every request must get an answer
 	phases           []phase
-	laterMaps        []*tier.ShardSet // shard maps of later epochs that answers may refer to
+	laterShardMaps   []*tier.ShardSet // shard maps of later epochs that answers may refer to
 }
 
 type phase struct {
@@ -132,7 +132,7 @@
 		if err != nil {
 			return nil, errors.Wrap(err, "Read "+path)
 		}
-		w.laterMaps = append(w.laterMaps, m)
+		w.laterShardMaps = append(w.laterShardMaps, m)
 	}
 	if err := doc.resolveLearnFiles(filepath.Dir(path)); err != nil {
 		return nil, errors.Wrap(err, "Read "+path)
--- a/standin/reporter/table.go
+++ b/standin/reporter/table.go
@@ -65,6 +65,7 @@
 	return p.flush(t)
 }
 
+// findRow returns the row of a rank or stream in a phase.
 func (r *Result) findRow(phase, name string) (Row, bool) {
 	for _, f := range r.Phases {
 		if f.Name != phase {
