--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -89,8 +89,8 @@
 func (*VM) isTarget() {}
 
 // Search sends a search to the VM and returns its answer.
-func (v *VM) Search(ctx context.Context, q Search) (*checker.Answer, error) {
-	a, err := v.post(ctx, "/v1/search", searchBody{
+func (c *VM) Search(ctx context.Context, q Search) (*checker.Answer, error) {
+	a, err := c.post(ctx, "/v1/search", searchBody{
 		RequestID: q.requestID,
 		Profile:   q.profile.Name(),
 		Set:       q.set,
@@ -101,8 +101,8 @@
 }
 
 // Book sends a booking to the VM and returns its answer.
-func (v *VM) Book(ctx context.Context, q Booking) (*checker.Answer, error) {
-	a, err := v.post(ctx, "/v1/book", bookBody{
+func (c *VM) Book(ctx context.Context, q Booking) (*checker.Answer, error) {
+	a, err := c.post(ctx, "/v1/book", bookBody{
 		RequestID:      q.requestID,
 		Profile:        q.profile.Name(),
 		Set:            q.set,
@@ -114,17 +114,17 @@
 	return a, errors.Wrap(err, "VMClient.Book")
 }
 
-func (v *VM) post(ctx context.Context, path string, body any) (*checker.Answer, error) {
+func (c *VM) post(ctx context.Context, path string, body any) (*checker.Answer, error) {
 	b, err := json.Marshal(body)
 	if err != nil {
 		return nil, err
 	}
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+v.address+path, bytes.NewReader(b))
+	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.address+path, bytes.NewReader(b))
 	if err != nil {
 		return nil, err
 	}
 	q.Header.Set("Content-Type", "application/json")
-	r, err := v.client.Do(q)
+	r, err := c.client.Do(q)
 	if err != nil {
 		return nil, err
 	}
--- a/standin/caller/direct.go
+++ b/standin/caller/direct.go
@@ -30,26 +30,26 @@
 
 // NewBare returns a client that requests one index version of the sets.
 func NewBare(v tier.Version, sets ...*tier.ShardSet) *Bare {
-	b := &Bare{
+	c := &Bare{
 		sets:    map[string]*tier.ShardSet{},
 		version: v,
 		clients: map[string]backendv1connect.LeafServiceClient{},
 	}
 	for _, s := range sets {
-		b.sets[s.Name()] = s
+		c.sets[s.Name()] = s
 		for _, x := range s.Servers() {
 			t := &http.Transport{MaxConnsPerHost: x.Connections(), MaxIdleConnsPerHost: x.Connections()}
-			b.clients[x.Address()] = backendv1connect.NewLeafServiceClient(&http.Client{Transport: t}, "http://"+x.Address())
+			c.clients[x.Address()] = backendv1connect.NewLeafServiceClient(&http.Client{Transport: t}, "http://"+x.Address())
 		}
 	}
-	return b
+	return c
 }
 
 func (*Bare) isTarget() {}
 
 // Search calls every shard and merges the replies. It fails if one call fails.
-func (b *Bare) Search(ctx context.Context, q Search) (*checker.Answer, error) {
-	set, ok := b.sets[q.set]
+func (c *Bare) Search(ctx context.Context, q Search) (*checker.Answer, error) {
+	set, ok := c.sets[q.set]
 	if !ok {
 		return nil, errors.Errorf("DirectClient.Search: unknown set %q", q.set)
 	}
@@ -59,10 +59,10 @@
 	var mu sync.Mutex
 	var records []tier.Record
 	var covered []string
-	number := b.counter.Add(1)
+	number := c.counter.Add(1)
 	for _, s := range set.Shards() {
 		g.Go(func() error {
-			part, err := b.searchShard(ctx, set, s, q, number)
+			part, err := c.searchShard(ctx, set, s, q, number)
 			if err != nil {
 				return err
 			}
@@ -77,17 +77,17 @@
 		return nil, errors.Wrap(err, "DirectClient.Search")
 	}
 	sort.Slice(records, func(i, j int) bool { return records[i].Key() < records[j].Key() })
-	merged := tier.NewAnswered(tier.NewSnapshot(set.Epoch(), b.version), tier.NewCoverage(covered, nil), records)
+	merged := tier.NewAnswered(tier.NewSnapshot(set.Epoch(), c.version), tier.NewCoverage(covered, nil), records)
 	return checker.NewAnswered(q.requestID, q.profile.Rank(), merged, len(covered)), nil
 }
 
-func (b *Bare) searchShard(ctx context.Context, set *tier.ShardSet, s tier.Shard, q Search, number uint64) ([]tier.Record, error) {
+func (c *Bare) searchShard(ctx context.Context, set *tier.ShardSet, s tier.Shard, q Search, number uint64) ([]tier.Record, error) {
 	server, _ := set.Server(s.Replicas()[number%uint64(len(s.Replicas()))])
-	r, err := b.clients[server.Address()].Search(ctx, connect.NewRequest(&backendv1.SearchRequest{
+	r, err := c.clients[server.Address()].Search(ctx, connect.NewRequest(&backendv1.SearchRequest{
 		Attempt:  fmt.Sprintf("bare/1/%d", number),
 		Set:      q.set,
 		Shard:    s.ID(),
-		Snapshot: &backendv1.Snapshot{Epoch: uint64(set.Epoch()), Version: uint64(b.version)},
+		Snapshot: &backendv1.Snapshot{Epoch: uint64(set.Epoch()), Version: uint64(c.version)},
 		Term:     q.term,
 	}))
 	if err != nil {
--- a/standin/checker/checker_test.go
+++ b/standin/checker/checker_test.go
@@ -33,8 +33,8 @@
 	return New(records, d.Sets()...), NewQuery("r-1", p, testSet, testTerm), NewAnswered("r-1", tier.Urgent, o, 20)
 }
 
-// recomputeDigest makes count and digest match the records. They match too if records
-// go wrong before the tier merges them.
+// recomputeDigest sets count and digest to those of the records, as a tier that merged
+// wrong records would.
 func (a *Answer) recomputeDigest() {
 	a.count = len(a.records)
 	a.digest = tier.Digest(a.records)
--- a/standin/recorder/generator.go
+++ b/standin/recorder/generator.go
@@ -82,11 +82,11 @@
 
 // Terms returns the search terms of the set. The empty term, which is not among them,
 // matches every record.
-func (r *Recorder) Terms(set string) []string {
+func (g *Recorder) Terms(set string) []string {
 	var out []string
 	for _, k := range kindsFor(set) {
-		for g := range groupsPerSet {
-			out = append(out, groupName(k, g))
+		for i := range groupsPerSet {
+			out = append(out, groupName(k, i))
 		}
 	}
 	return out
@@ -94,14 +94,14 @@
 
 // Records returns the complete answer to a search of the set at an index version,
 // sorted by key.
-func (r *Recorder) Records(set string, v tier.Version, term string) []tier.Record {
-	return r.Shard(set, v, term, 0, ^uint64(0))
+func (g *Recorder) Records(set string, v tier.Version, term string) []tier.Record {
+	return g.Shard(set, v, term, 0, ^uint64(0))
 }
 
 // Shard returns the part of the complete answer whose key hashes are in [from,
 // to].
-func (r *Recorder) Shard(set string, v tier.Version, term string, from, to uint64) []tier.Record {
-	c := r.content(set, v)
+func (g *Recorder) Shard(set string, v tier.Version, term string, from, to uint64) []tier.Record {
+	c := g.content(set, v)
 	term, _ = SplitTerm(term)
 	var out []tier.Record
 	for _, p := range c[term] {
@@ -133,23 +133,23 @@
 	return tier.Version(n), ok && err == nil
 }
 
-func (r *Recorder) content(set string, v tier.Version) content {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (g *Recorder) content(set string, v tier.Version) content {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	id := contentKey{set: set, version: v}
-	if c, ok := r.contents[id]; ok {
+	if c, ok := g.contents[id]; ok {
 		return c
 	}
-	c := r.generate(set, v)
-	r.contents[id] = c
+	c := g.generate(set, v)
+	g.contents[id] = c
 	return c
 }
 
-func (r *Recorder) generate(set string, v tier.Version) content {
+func (g *Recorder) generate(set string, v tier.Version) content {
 	c := content{}
 	for _, k := range kindsFor(set) {
 		for i := range recordsPerSet {
-			r.addRecord(c, set, v, k, i)
+			g.addRecord(c, set, v, k, i)
 		}
 	}
 	for _, list := range c {
@@ -159,9 +159,9 @@
 }
 
 // addRecord generates record i, unless this index version lacks it.
-func (r *Recorder) addRecord(c content, set string, v tier.Version, k recordKind, i int) {
+func (g *Recorder) addRecord(c content, set string, v tier.Version, k recordKind, i int) {
 	key := fmt.Sprintf("%s-%05d", k.name, i)
-	random := rand.New(rand.NewPCG(r.seed^tier.HashKey(set), uint64(v)^tier.HashKey(key)))
+	random := rand.New(rand.NewPCG(g.seed^tier.HashKey(set), uint64(v)^tier.HashKey(key)))
 	if random.IntN(absentOneIn) == 0 {
 		return
 	}
@@ -184,7 +184,7 @@
 	return b.String()
 }
 
-func groupName(k recordKind, g int) string { return fmt.Sprintf("%s-%d", k.group, g) }
+func groupName(k recordKind, i int) string { return fmt.Sprintf("%s-%d", k.group, i) }
 
 // kindsFor returns the kinds of records in a set. Sets that only tests use have crate
 // histories.
