--- a/standin/backends.go
+++ b/standin/backends.go
@@ -83,7 +83,7 @@
 		leafserver.WithServiceTime(f.median, f.spread, f.tail),
 	)
 	fmt.Fprintf(c.OutOrStdout(), "event=backends deployment=%s servers=%d control=%s\n", d.Name(), len(fleet.Servers()), d.Control())
-	return serveWithControl(c.Context(), fleet.Serve, d.Control(), fleet.Control())
+	return serveWithControl(c.Context(), fleet.Serve, d.Control(), fleet.ControlHandler())
 }
 
 // serveWithControl runs a simulated service and the HTTP server of its control port
--- a/standin/checker/checker_test.go
+++ b/standin/checker/checker_test.go
@@ -112,7 +112,7 @@
 				h.Ended("r-1", "body", &Answer{requestID: "r-1", outcome: o, receipt: "receipt"})
 			}
 			var kinds []Kind
-			for _, v := range h.Check(slices.Repeat([]leafserver.Booked{{Body: "body", Receipt: "receipt"}}, x.executions)) {
+			for _, v := range h.Check(slices.Repeat([]leafserver.AppliedBooking{{Body: "body", Receipt: "receipt"}}, x.executions)) {
 				kinds = append(kinds, v.Kind)
 			}
 			if !slices.Equal(kinds, x.kinds) {
--- a/standin/checker/history.go
+++ b/standin/checker/history.go
@@ -58,7 +58,7 @@
 }
 
 // Check compares the outcomes with the bookings that the backend servers executed.
-func (h *Ledger) Check(executed []leafserver.Booked) []Violation {
+func (h *Ledger) Check(executed []leafserver.AppliedBooking) []Violation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	receipts := map[string][]string{}
--- a/standin/fault.go
+++ b/standin/fault.go
@@ -21,7 +21,7 @@
 			if err != nil {
 				return err
 			}
-			n, err := leafserver.NewClient(control).Order(c.Context(), command)
+			n, err := leafserver.NewClient(control).SetFaults(c.Context(), command)
 			if err != nil {
 				return err
 			}
@@ -44,7 +44,7 @@
 		return []byte(args[0]), nil
 	}
 	b, err := os.ReadFile(learn)
-	return leafserver.LearnOrder(b), errors.Wrap(err, "fault")
+	return leafserver.LearnRequest(b), errors.Wrap(err, "fault")
 }
 
 func bookedCommand() *cobra.Command {
@@ -54,7 +54,7 @@
 		Short: "List the bookings that the backend servers executed",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			list, err := leafserver.NewClient(control).Booked(c.Context(), 0)
+			list, err := leafserver.NewClient(control).AppliedBookings(c.Context(), 0)
 			if err != nil {
 				return err
 			}
@@ -69,7 +69,7 @@
 
 // printBookings lists the bookings or, if countKey is set, prints how many have that
 // record key.
-func printBookings(c *cobra.Command, list []leafserver.Booked, countKey string) {
+func printBookings(c *cobra.Command, list []leafserver.AppliedBooking, countKey string) {
 	n := 0
 	for _, b := range list {
 		if countKey == "" {
--- a/standin/leafserver/server.go
+++ b/standin/leafserver/server.go
@@ -25,14 +25,14 @@
 
 // Defaults of a server.
 const (
-	DefaultMedian   = 3 * time.Millisecond
-	DefaultSpread   = 0.4
-	DefaultTail     = 0.01
-	DefaultPatience = 20 * time.Millisecond
-	tailFactor      = 8
-	coldSpan        = 10 * tier.Second
-	coldFactor      = 5
-	shedFraction    = 0.5 // of the calls to a shedding server
+	DefaultMedian       = 3 * time.Millisecond
+	DefaultSpread       = 0.4
+	DefaultTail         = 0.01
+	DefaultQueueTimeout = 20 * time.Millisecond
+	tailFactor          = 8
+	coldSpan            = 10 * tier.Second
+	coldFactor          = 5
+	shedFraction        = 0.5 // of the calls to a shedding server
 )
 
 var errShed = errors.New("no slot free")
@@ -88,8 +88,8 @@
 	return func(s *Server) { s.median, s.spread, s.tail = median, spread, tail }
 }
 
-// WithPatience sets how long a call waits for a slot before it is shed.
-func WithPatience(d time.Duration) Option { return func(s *Server) { s.patience = d } }
+// WithQueueTimeout sets how long a call waits for a slot before it is shed.
+func WithQueueTimeout(d time.Duration) Option { return func(s *Server) { s.patience = d } }
 
 // WithClock sets the clock.
 func WithClock(c *tier.Clock) Option { return func(s *Server) { s.clock = c } }
@@ -116,7 +116,7 @@
 	s.median = DefaultMedian
 	s.spread = DefaultSpread
 	s.tail = DefaultTail
-	s.patience = DefaultPatience
+	s.patience = DefaultQueueTimeout
 	s.clock = tier.NewClock()
 }
 
--- a/standin/leafserver/server_test.go
+++ b/standin/leafserver/server_test.go
@@ -120,8 +120,8 @@
 		t.Errorf("after cancellation: %v", code)
 	}
 	c := b.server.Counters()
-	if c.InUseMax != testSlots || c.Shed != 1 || c.Overbooked != 1 || c.Cancelled != testSlots || len(b.fleet.Journal().Served(0)) != 1 {
-		t.Errorf("counters %+v, served %v", c, b.fleet.Journal().Served(0))
+	if c.InUseMax != testSlots || c.Shed != 1 || c.Overbooked != 1 || c.Cancelled != testSlots || len(b.fleet.Journal().ServedSearches(0)) != 1 {
+		t.Errorf("counters %+v, served %v", c, b.fleet.Journal().ServedSearches(0))
 	}
 }
 
@@ -206,7 +206,7 @@
 	b.until("the call hangs", func() bool { return b.server.gate.inUse() == 1 })
 	b.order(faultOrder{Down: ptr(true)})
 	_ = g.Wait()
-	b.order(faultOrder{Call: ptr(CallServed)})
+	b.order(faultOrder{Call: ptr(CallNormal)})
 	if _, err := net.Dial("tcp", b.addr); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("a server that is down: %v", err)
 	}
--- a/standin/loader/run.go
+++ b/standin/loader/run.go
@@ -17,7 +17,7 @@
 	"cicadagrade.example/standin/recorder"
 	"cicadagrade.example/standin/reporter"
 	"cicadagrade.example/tier"
-	"cicadagrade.example/tier/ring"
+	"cicadagrade.example/tier/queue"
 )
 
 // answerGrace is how long after its deadline a request still waits for an answer.
@@ -39,7 +39,7 @@
 	checker       *checker.Checker
 	bookings      *checker.Ledger
 	backends      *leafserver.Client
-	results       *ring.Ring[requestResult]
+	results       *queue.Queue[requestResult]
 	requests      *errgroup.Group
 	idPrefix      string // first part of all request IDs, different for each run
 }
@@ -60,7 +60,7 @@
 		bookings:      checker.NewLedger(),
 		backends:      leafserver.NewClient(d.Control()),
 		balancer:      newBalancer(d),
-		results:       ring.New[requestResult](resultRingSize),
+		results:       queue.New[requestResult](resultRingSize),
 		directVersion: 1,
 	}
 	for _, o := range opts {
--- a/standin/loader/run_test.go
+++ b/standin/loader/run_test.go
@@ -157,10 +157,10 @@
 // executed, or none.
 func fakeControlPort(executed bool) http.Handler {
 	if !executed {
-		return leafserver.NewFleet(nil, recorder.New(1)).Control()
+		return leafserver.NewFleet(nil, recorder.New(1)).ControlHandler()
 	}
 	m := http.NewServeMux()
-	m.Handle("/", leafserver.NewFleet(nil, recorder.New(1)).Control())
+	m.Handle("/", leafserver.NewFleet(nil, recorder.New(1)).ControlHandler())
 	m.HandleFunc("POST /started", func(w http.ResponseWriter, r *http.Request) {
 		var q struct {
 			Tags []string `json:"tags"`
--- a/standin/loader/summary.go
+++ b/standin/loader/summary.go
@@ -13,7 +13,7 @@
 	"cicadagrade.example/standin/leafserver"
 	"cicadagrade.example/standin/reporter"
 	"cicadagrade.example/tier"
-	"cicadagrade.example/tier/ring"
+	"cicadagrade.example/tier/queue"
 )
 
 // maxViolations is the maximum number of violations that a result lists.
@@ -54,7 +54,7 @@
 }
 
 // collect adds results until ctx ends, and then those left in the ring.
-func (s *summary) collect(ctx context.Context, ends *ring.Ring[requestResult]) error {
+func (s *summary) collect(ctx context.Context, ends *queue.Queue[requestResult]) error {
 	for {
 		e, err := ends.Pop(ctx)
 		if err != nil {
@@ -63,7 +63,7 @@
 		s.add(e)
 	}
 	for ends.Len() > 0 {
-		s.add(<-ends.Out())
+		s.add(<-ends.Chan())
 	}
 	return nil
 }
@@ -97,13 +97,13 @@
 // that the backend servers executed.
 func (s *summary) checkAgainstJournal(ctx context.Context) {
 	_ = sleepUntil(ctx, time.Now().Add(settleTime))
-	executed, err := s.run.backends.Booked(ctx, 0)
+	executed, err := s.run.backends.AppliedBookings(ctx, 0)
 	if err != nil {
 		s.result.Unchecked = append(s.result.Unchecked, "bookings: "+err.Error())
 	} else {
 		s.addViolations(s.run.bookings.Check(executed))
 	}
-	started, err := s.run.backends.Started(ctx, s.refused)
+	started, err := s.run.backends.StartedTags(ctx, s.refused)
 	if err != nil {
 		s.result.Unchecked = append(s.result.Unchecked, "refused searches: "+err.Error())
 		return
@@ -166,7 +166,7 @@
 func (r *Run) postCommand(ctx context.Context, c command) error {
 	switch c.target {
 	case targetBackends:
-		_, err := r.backends.Order(ctx, c.body)
+		_, err := r.backends.SetFaults(ctx, c.body)
 		return err
 	case targetStore:
 		return sendJSON(ctx, http.MethodPut, "http://"+r.deployment.Store()+"/faults", c.body)
--- a/standin/loader/workload.go
+++ b/standin/loader/workload.go
@@ -156,7 +156,7 @@
 			if err != nil {
 				return err
 			}
-			commands[j].Command = leafserver.LearnOrder(b)
+			commands[j].Command = leafserver.LearnRequest(b)
 		}
 	}
 	return nil
