--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -56,16 +56,16 @@
 	Search(ctx context.Context, q Search) (*checker.Answer, error)
 }
 
-// VM sends requests to the API of one entry VM.
-type VM struct {
+// VMClient sends requests to the API of one entry VM.
+type VMClient struct {
 	address string
 	client  *http.Client
 }
 
-// NewVM returns a client of the entry VM whose API has this address.
-func NewVM(address string) *VM {
+// NewVMClient returns a client of the entry VM whose API has this address.
+func NewVMClient(address string) *VMClient {
 	t := &http.Transport{MaxIdleConns: maxIdleConns, MaxIdleConnsPerHost: maxIdleConns}
-	return &VM{address: address, client: &http.Client{Transport: t}}
+	return &VMClient{address: address, client: &http.Client{Transport: t}}
 }
 
 type searchBody struct {
@@ -86,10 +86,10 @@
 	Deadline       tier.Millis `json:"deadline-ms"`
 }
 
-func (*VM) isTarget() {}
+func (*VMClient) isTarget() {}
 
 // Search sends a search to the VM and returns its answer.
-func (c *VM) Search(ctx context.Context, q Search) (*checker.Answer, error) {
+func (c *VMClient) Search(ctx context.Context, q Search) (*checker.Answer, error) {
 	a, err := c.post(ctx, "/v1/search", searchBody{
 		RequestID: q.requestID,
 		Profile:   q.profile.Name(),
@@ -101,7 +101,7 @@
 }
 
 // Book sends a booking to the VM and returns its answer.
-func (c *VM) Book(ctx context.Context, q Booking) (*checker.Answer, error) {
+func (c *VMClient) Book(ctx context.Context, q Booking) (*checker.Answer, error) {
 	a, err := c.post(ctx, "/v1/book", bookBody{
 		RequestID:      q.requestID,
 		Profile:        q.profile.Name(),
@@ -114,7 +114,7 @@
 	return a, errors.Wrap(err, "VMClient.Book")
 }
 
-func (c *VM) post(ctx context.Context, path string, body any) (*checker.Answer, error) {
+func (c *VMClient) post(ctx context.Context, path string, body any) (*checker.Answer, error) {
 	b, err := json.Marshal(body)
 	if err != nil {
 		return nil, err
--- a/standin/caller/direct.go
+++ b/standin/caller/direct.go
@@ -18,19 +18,19 @@
 	"cicadagrade.example/tier"
 )
 
-// Bare bypasses the tier: it calls one replica of every shard at once,
+// DirectClient bypasses the tier: it calls one replica of every shard at once,
 // alternating between replicas from search to search, without slots, queues, hedges or
 // retries. Comparison with it shows the latency that the tier adds.
-type Bare struct {
+type DirectClient struct {
 	sets    map[string]*tier.ShardSet
 	version tier.Version
 	clients map[string]backendv1connect.LeafServiceClient
 	counter atomic.Uint64
 }
 
-// NewBare returns a client that requests one index version of the sets.
-func NewBare(v tier.Version, sets ...*tier.ShardSet) *Bare {
-	c := &Bare{
+// NewDirectClient returns a client that requests one index version of the sets.
+func NewDirectClient(v tier.Version, sets ...*tier.ShardSet) *DirectClient {
+	c := &DirectClient{
 		sets:    map[string]*tier.ShardSet{},
 		version: v,
 		clients: map[string]backendv1connect.LeafServiceClient{},
@@ -45,10 +45,10 @@
 	return c
 }
 
-func (*Bare) isTarget() {}
+func (*DirectClient) isTarget() {}
 
 // Search calls every shard and merges the replies. It fails if one call fails.
-func (c *Bare) Search(ctx context.Context, q Search) (*checker.Answer, error) {
+func (c *DirectClient) Search(ctx context.Context, q Search) (*checker.Answer, error) {
 	set, ok := c.sets[q.set]
 	if !ok {
 		return nil, errors.Errorf("DirectClient.Search: unknown set %q", q.set)
@@ -78,10 +78,10 @@
 	}
 	sort.Slice(records, func(i, j int) bool { return records[i].Key() < records[j].Key() })
 	merged := tier.NewAnswered(tier.NewSnapshot(set.Epoch(), c.version), tier.NewCoverage(covered, nil), records)
-	return checker.NewAnswered(q.requestID, q.profile.Rank(), merged, len(covered)), nil
+	return checker.NewMergedAnswer(q.requestID, q.profile.Rank(), merged, len(covered)), nil
 }
 
-func (c *Bare) searchShard(ctx context.Context, set *tier.ShardSet, s tier.Shard, q Search, number uint64) ([]tier.Record, error) {
+func (c *DirectClient) searchShard(ctx context.Context, set *tier.ShardSet, s tier.Shard, q Search, number uint64) ([]tier.Record, error) {
 	server, _ := set.Server(s.Replicas()[number%uint64(len(s.Replicas()))])
 	r, err := c.clients[server.Address()].Search(ctx, connect.NewRequest(&backendv1.SearchRequest{
 		Attempt:  fmt.Sprintf("bare/1/%d", number),
--- a/standin/checker/answer.go
+++ b/standin/checker/answer.go
@@ -122,9 +122,9 @@
 	}
 }
 
-// NewAnswered returns the answer to a search whose caller has merged the replies of
+// NewMergedAnswer returns the answer to a search whose caller has merged the replies of
 // the backend servers itself.
-func NewAnswered(requestID string, rank tier.Rank, merged *tier.Answered, leafCalls int) *Answer {
+func NewMergedAnswer(requestID string, rank tier.Rank, merged *tier.Answered, leafCalls int) *Answer {
 	s := merged.Snapshot()
 	a := &Answer{
 		requestID:   requestID,
@@ -163,8 +163,8 @@
 // Accepted reports whether the API accepted the request as valid.
 func (a *Answer) Accepted() bool { return a.errorCode == "" }
 
-// Fraction returns the fraction of the set's shards that the answer covers.
-func (a *Answer) Fraction() float64 { return a.fraction }
+// CoveredFraction returns the fraction of the set's shards that the answer covers.
+func (a *Answer) CoveredFraction() float64 { return a.fraction }
 
 // LeafCalls returns the number of calls to backend servers made for the request.
 func (a *Answer) LeafCalls() int { return a.leafCalls }
--- a/standin/checker/checker.go
+++ b/standin/checker/checker.go
@@ -6,7 +6,7 @@
 	"slices"
 	"sort"
 
-	"cicadagrade.example/standin/recorder"
+	"cicadagrade.example/standin/recordgenerator"
 	"cicadagrade.example/tier"
 )
 
@@ -28,13 +28,13 @@
 
 // Checker checks answers to searches. It is safe for concurrent use.
 type Checker struct {
-	records *recorder.Recorder
+	records *recordgenerator.Generator
 	maps    map[string]map[tier.Epoch]*tier.ShardSet
 }
 
 // New returns a checker. maps are the shard maps of all epochs that answers may refer
 // to.
-func New(records *recorder.Recorder, maps ...*tier.ShardSet) *Checker {
+func New(records *recordgenerator.Generator, maps ...*tier.ShardSet) *Checker {
 	c := &Checker{records: records, maps: map[string]map[tier.Epoch]*tier.ShardSet{}}
 	for _, m := range maps {
 		if c.maps[m.Name()] == nil {
@@ -53,8 +53,8 @@
 	violations []Violation
 }
 
-// Search returns the violations in the answer to a search.
-func (c *Checker) Search(q Query, a *Answer) []Violation {
+// CheckSearch returns the violations in the answer to a search.
+func (c *Checker) CheckSearch(q Query, a *Answer) []Violation {
 	k := &searchCheck{Checker: c, query: q, answer: a}
 	k.checkHeader()
 	if a.outcome == OutcomeAnswered {
@@ -71,7 +71,7 @@
 func (k *searchCheck) checkHeader() {
 	a := k.answer
 	if a.requestID != k.query.requestID {
-		k.addViolation(Crossed, "the answer is for request %q", a.requestID)
+		k.addViolation(WrongRequest, "the answer is for request %q", a.requestID)
 	}
 	if a.outcome != OutcomeAnswered && a.outcome != OutcomeRefused && a.outcome != OutcomeUnknown {
 		k.addViolation(InvalidOutcome, "outcome %q", a.outcome)
@@ -132,7 +132,7 @@
 	for i := 1; i < len(a.records); i++ {
 		previous, key := a.records[i-1].Key(), a.records[i].Key()
 		if previous == key {
-			k.addViolation(Doubled, "key %s is present twice", key)
+			k.addViolation(Duplicate, "key %s is present twice", key)
 		}
 		if previous > key {
 			k.addViolation(Unordered, "key %s after %s", key, previous)
@@ -163,7 +163,7 @@
 		if !slices.Contains(k.answer.covered, s.ID()) {
 			continue
 		}
-		for _, r := range k.records.Shard(k.query.set, k.answer.snapshot.Version(), k.query.term, s.From(), s.To()) {
+		for _, r := range k.records.ShardRecords(k.query.set, k.answer.snapshot.Version(), k.query.term, s.From(), s.To()) {
 			out[r.Key()] = r.Value()
 		}
 	}
@@ -171,9 +171,9 @@
 }
 
 func (k *searchCheck) checkRecord(m *tier.ShardSet, want map[string]string, r tier.Record) {
-	version, ok := recorder.VersionOf(r.Value())
+	version, ok := recordgenerator.ParseVersion(r.Value())
 	if ok && version != k.answer.snapshot.Version() {
-		k.addViolation(Mixed, "record %s has version %d, the snapshot is %s", r.Key(), version, k.answer.snapshot)
+		k.addViolation(MixedVersions, "record %s has version %d, the snapshot is %s", r.Key(), version, k.answer.snapshot)
 		return
 	}
 	value, ok := want[r.Key()]
@@ -184,6 +184,6 @@
 	case !slices.Contains(k.answer.covered, m.ShardOf(r.Key()).ID()):
 		k.addViolation(FalseCoverage, "record %s belongs to shard %s, which is not covered", r.Key(), m.ShardOf(r.Key()).ID())
 	default:
-		k.addViolation(Crossed, "record %s does not match term %s", r.Key(), k.query.term)
+		k.addViolation(WrongRequest, "record %s does not match term %s", r.Key(), k.query.term)
 	}
 }
--- a/standin/checker/checker_test.go
+++ b/standin/checker/checker_test.go
@@ -6,7 +6,7 @@
 
 	"cicadagrade.example/standin/deployer"
 	"cicadagrade.example/standin/leafserver"
-	"cicadagrade.example/standin/recorder"
+	"cicadagrade.example/standin/recordgenerator"
 	"cicadagrade.example/tier"
 )
 
@@ -24,13 +24,13 @@
 	}
 	set, _ := d.Set(testSet)
 	p, _ := d.Profile("gate")
-	records := recorder.New(d.Seed())
+	records := recordgenerator.New(d.RecordSeed())
 	var covered []string
 	for _, s := range set.Shards() {
 		covered = append(covered, s.ID())
 	}
 	o := tier.NewAnswered(tier.NewSnapshot(1, 2), tier.NewCoverage(covered, nil), records.Records(testSet, 2, testTerm))
-	return New(records, d.Sets()...), NewQuery("r-1", p, testSet, testTerm), NewAnswered("r-1", tier.Urgent, o, 20)
+	return New(records, d.Sets()...), NewQuery("r-1", p, testSet, testTerm), NewMergedAnswer("r-1", tier.Urgent, o, 20)
 }
 
 // recomputeDigest sets count and digest to those of the records, as a tier that merged
@@ -54,12 +54,12 @@
 			old := c.records.Records(testSet, 1, testTerm)
 			i := slices.IndexFunc(a.records, func(r tier.Record) bool { return r.Key() == old[0].Key() })
 			a.records[i] = old[0]
-		}, []Kind{Mixed}, true},
-		{"duplicate", func(_ *Checker, a *Answer) { a.records = slices.Insert(a.records, 1, a.records[0]) }, []Kind{Doubled}, true},
+		}, []Kind{MixedVersions}, true},
+		{"duplicate", func(_ *Checker, a *Answer) { a.records = slices.Insert(a.records, 1, a.records[0]) }, []Kind{Duplicate}, true},
 		{"truncated", func(_ *Checker, a *Answer) { a.records = a.records[1:] }, []Kind{Truncated}, true},
 		{"truncated in transit", func(_ *Checker, a *Answer) { a.records = a.records[1:] }, []Kind{Truncated, Corrupted}, false},
-		{"records of another term", func(c *Checker, a *Answer) { a.records = c.records.Records(testSet, 2, "grower-8") }, []Kind{Crossed, Truncated}, true},
-		{"answer to another request", func(_ *Checker, a *Answer) { a.requestID = "r-2" }, []Kind{Crossed}, true},
+		{"records of another term", func(c *Checker, a *Answer) { a.records = c.records.Records(testSet, 2, "grower-8") }, []Kind{WrongRequest, Truncated}, true},
+		{"answer to another request", func(_ *Checker, a *Answer) { a.requestID = "r-2" }, []Kind{WrongRequest}, true},
 		{"corrupted", func(_ *Checker, a *Answer) {
 			a.records[0] = tier.NewRecord(a.records[0].Key(), a.records[0].Value()+" ")
 		}, []Kind{Corrupted}, true},
@@ -72,7 +72,7 @@
 			if x.recompute {
 				a.recomputeDigest()
 			}
-			got := c.Search(q, a)
+			got := c.CheckSearch(q, a)
 			for _, v := range got {
 				if !slices.Contains(x.kinds, v.Kind) {
 					t.Errorf("unexpected %+v", v)
@@ -100,16 +100,16 @@
 		{"unknown, executed", []string{OutcomeUnknown}, 1, nil},
 		{"unknown, not executed", []string{OutcomeUnknown}, 0, nil},
 		{"refused, then answered", []string{OutcomeRefused, OutcomeAnswered}, 1, nil},
-		{"executed twice", []string{OutcomeAnswered, OutcomeUnknown}, 2, []Kind{Doubled}},
+		{"executed twice", []string{OutcomeAnswered, OutcomeUnknown}, 2, []Kind{Duplicate}},
 		{"answered, not executed", []string{OutcomeAnswered}, 0, []Kind{LostBooking}},
 		{"refused, executed", []string{OutcomeRefused}, 1, []Kind{FalseRefusal}},
 	}
 	for _, x := range cases {
 		t.Run(x.name, func(t *testing.T) {
-			h := NewLedger()
+			h := NewBookingHistory()
 			for _, o := range x.outcomes {
-				h.Sent("r-1", "body")
-				h.Ended("r-1", "body", &Answer{requestID: "r-1", outcome: o, receipt: "receipt"})
+				h.RecordAttempt("r-1", "body")
+				h.RecordOutcome("r-1", "body", &Answer{requestID: "r-1", outcome: o, receipt: "receipt"})
 			}
 			var kinds []Kind
 			for _, v := range h.Check(slices.Repeat([]leafserver.AppliedBooking{{Body: "body", Receipt: "receipt"}}, x.executions)) {
--- a/standin/checker/history.go
+++ b/standin/checker/history.go
@@ -8,10 +8,10 @@
 	"cicadagrade.example/standin/leafserver"
 )
 
-// Ledger holds the outcomes of bookings until they can be compared with the
+// BookingHistory holds the outcomes of bookings until they can be compared with the
 // bookings that the backend servers executed. The body identifies a booking. It is safe
 // for concurrent use.
-type Ledger struct {
+type BookingHistory struct {
 	mu       sync.Mutex
 	bookings map[string]*booking
 }
@@ -23,12 +23,12 @@
 	receipts  []string
 }
 
-// NewLedger returns an empty history.
-func NewLedger() *Ledger { return &Ledger{bookings: map[string]*booking{}} }
+// NewBookingHistory returns an empty history.
+func NewBookingHistory() *BookingHistory { return &BookingHistory{bookings: map[string]*booking{}} }
 
-// Sent records that a booking is about to be sent, for the first time or
+// RecordAttempt records that a booking is about to be sent, for the first time or
 // again.
-func (h *Ledger) Sent(requestID, body string) {
+func (h *BookingHistory) RecordAttempt(requestID, body string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	b, ok := h.bookings[body]
@@ -39,9 +39,9 @@
 	b.attempts++
 }
 
-// Ended records the outcome of one attempt and returns the violations in its
+// RecordOutcome records the outcome of one attempt and returns the violations in its
 // answer.
-func (h *Ledger) Ended(requestID, body string, a *Answer) []Violation {
+func (h *BookingHistory) RecordOutcome(requestID, body string, a *Answer) []Violation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	b := h.bookings[body]
@@ -52,13 +52,13 @@
 		b.refusals++
 	}
 	if a.requestID != requestID {
-		return []Violation{{Kind: Crossed, RequestID: requestID, Detail: fmt.Sprintf("the answer is for request %q", a.requestID)}}
+		return []Violation{{Kind: WrongRequest, RequestID: requestID, Detail: fmt.Sprintf("the answer is for request %q", a.requestID)}}
 	}
 	return nil
 }
 
 // Check compares the outcomes with the bookings that the backend servers executed.
-func (h *Ledger) Check(executed []leafserver.AppliedBooking) []Violation {
+func (h *BookingHistory) Check(executed []leafserver.AppliedBooking) []Violation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	receipts := map[string][]string{}
@@ -80,7 +80,7 @@
 		out = append(out, Violation{Kind: kind, RequestID: b.requestID, Detail: fmt.Sprintf(format, args...)})
 	}
 	if len(executed) > 1 {
-		report(Doubled, "the booking was executed %d times: %v", len(executed), executed)
+		report(Duplicate, "the booking was executed %d times: %v", len(executed), executed)
 	}
 	if len(b.receipts) > 0 && len(executed) == 0 {
 		report(LostBooking, "answered with receipt %s, but never executed", b.receipts[0])
@@ -90,7 +90,7 @@
 	}
 	for _, r := range b.receipts {
 		if len(executed) == 1 && r != executed[0] {
-			report(Crossed, "receipt %s, want %s", r, executed[0])
+			report(WrongRequest, "receipt %s, want %s", r, executed[0])
 		}
 	}
 	return out
--- a/standin/checker/violation.go
+++ b/standin/checker/violation.go
@@ -5,10 +5,10 @@
 
 // The kinds of violations.
 const (
-	Mixed          Kind = "mixed"           // records of an index version other than the snapshot's
-	Doubled        Kind = "doubled"         // a key is present twice, or a booking was executed twice
+	MixedVersions  Kind = "mixed"           // records of an index version other than the snapshot's
+	Duplicate      Kind = "doubled"         // a key is present twice, or a booking was executed twice
 	Truncated      Kind = "truncated"       // records of a covered shard are missing, or the count is wrong
-	Crossed        Kind = "crossed"         // the ID, records or receipt of another request
+	WrongRequest   Kind = "crossed"         // the ID, records or receipt of another request
 	Corrupted      Kind = "corrupted"       // a value or the digest is wrong
 	Unordered      Kind = "unordered"       // records are not sorted by key
 	FalseCoverage  Kind = "false-coverage"  // the coverage does not match the shard map or the records
@@ -16,7 +16,7 @@
 	NoSnapshot     Kind = "no-snapshot"     // answered without a known snapshot
 	FalseRefusal   Kind = "false-refusal"   // refused as not executed, but executed
 	LostBooking    Kind = "lost-booking"    // answered, but never executed
-	CutOff         Kind = "cut-off"         // no answer, although VMs were only stopped gracefully
+	Unanswered     Kind = "cut-off"         // no answer, although VMs were only stopped gracefully
 	InvalidOutcome Kind = "invalid-outcome" // outcome or rank that the API does not allow
 )
 
--- a/standin/deployer/deployment.go
+++ b/standin/deployer/deployment.go
@@ -21,11 +21,11 @@
 // DataCentre returns the name of the data centre that the VM runs in.
 func (v VM) DataCentre() string { return v.dataCentre }
 
-// API returns the address that callers use.
-func (v VM) API() string { return v.api }
+// APIAddress returns the address that callers use.
+func (v VM) APIAddress() string { return v.api }
 
-// Peer returns the address that other VMs use.
-func (v VM) Peer() string { return v.peer }
+// PeerAddress returns the address that other VMs use.
+func (v VM) PeerAddress() string { return v.peer }
 
 // Deployment holds the data centres, VMs, backend servers, shard sets and profiles of
 // one organisation.
@@ -44,20 +44,20 @@
 // Name returns the deployment's name, such as "associacao".
 func (d *Deployment) Name() string { return d.name }
 
-// Seed returns the seed from which the records of the backend servers are
+// RecordSeed returns the seed from which the records of the backend servers are
 // generated.
-func (d *Deployment) Seed() uint64 { return d.seed }
+func (d *Deployment) RecordSeed() uint64 { return d.seed }
 
-// Store returns the address of the simulated store.
-func (d *Deployment) Store() string { return d.store }
+// StoreAddress returns the address of the simulated store.
+func (d *Deployment) StoreAddress() string { return d.store }
 
-// Control returns the address of the control port of the simulated
+// BackendControlAddress returns the address of the control port of the simulated
 // backend servers.
-func (d *Deployment) Control() string { return d.control }
+func (d *Deployment) BackendControlAddress() string { return d.control }
 
-// Links returns the address of the control port of the links between data
+// LinkControlAddress returns the address of the control port of the links between data
 // centres.
-func (d *Deployment) Links() string { return d.links }
+func (d *Deployment) LinkControlAddress() string { return d.links }
 
 // DataCentres returns all data centres.
 func (d *Deployment) DataCentres() []tier.DataCentre { return d.dataCentres }
--- a/standin/experiment.go
+++ b/standin/experiment.go
@@ -120,7 +120,7 @@
 // postCommands sends fault commands to the control port of the backend servers.
 func postCommands(ctx context.Context, d *deployer.Deployment, commands []json.RawMessage) error {
 	for _, command := range commands {
-		if _, err := leafserver.NewClient(d.Control()).SetFaults(ctx, command); err != nil {
+		if _, err := leafserver.NewClient(d.BackendControlAddress()).SetFaults(ctx, command); err != nil {
 			return err
 		}
 	}
--- a/standin/loader/run.go
+++ b/standin/loadgenerator/run.go
@@ -1,4 +1,4 @@
-package loader
+package loadgenerator
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"cicadagrade.example/standin/checker"
 	"cicadagrade.example/standin/deployer"
 	"cicadagrade.example/standin/leafserver"
-	"cicadagrade.example/standin/recorder"
+	"cicadagrade.example/standin/recordgenerator"
 	"cicadagrade.example/standin/reporter"
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/queue"
@@ -32,12 +32,12 @@
 	workload      *Workload
 	deployment    *deployer.Deployment
 	directVersion tier.Version
-	vms           []*caller.VM
+	vms           []*caller.VMClient
 	balancer      *balancer
-	direct        *caller.Bare
-	records       *recorder.Recorder
+	direct        *caller.DirectClient
+	records       *recordgenerator.Generator
 	checker       *checker.Checker
-	bookings      *checker.Ledger
+	bookings      *checker.BookingHistory
 	backends      *leafserver.Client
 	results       *queue.Queue[requestResult]
 	requests      *errgroup.Group
@@ -47,18 +47,18 @@
 // Option configures a Run.
 type Option func(*Run)
 
-// WithBareVersion sets the index version that streams marked "bare" request from the
+// WithDirectVersion sets the index version that streams marked "bare" request from the
 // backend servers.
-func WithBareVersion(v tier.Version) Option { return func(r *Run) { r.directVersion = v } }
+func WithDirectVersion(v tier.Version) Option { return func(r *Run) { r.directVersion = v } }
 
 // New returns a run. The API addresses of all entry VMs must be loopback addresses.
 func New(w *Workload, d *deployer.Deployment, opts ...Option) (*Run, error) {
 	r := &Run{
 		workload:      w,
 		deployment:    d,
-		records:       recorder.New(d.Seed()),
-		bookings:      checker.NewLedger(),
-		backends:      leafserver.NewClient(d.Control()),
+		records:       recordgenerator.New(d.RecordSeed()),
+		bookings:      checker.NewBookingHistory(),
+		backends:      leafserver.NewClient(d.BackendControlAddress()),
 		balancer:      newBalancer(d),
 		results:       queue.New[requestResult](resultRingSize),
 		directVersion: 1,
@@ -67,25 +67,25 @@
 		o(r)
 	}
 	r.checker = checker.New(r.records, append(append([]*tier.ShardSet{}, d.Sets()...), w.laterShardMaps...)...)
-	r.direct = caller.NewBare(r.directVersion, d.Sets()...)
+	r.direct = caller.NewDirectClient(r.directVersion, d.Sets()...)
 	for _, v := range d.VMs() {
-		r.vms = append(r.vms, caller.NewVM(v.API()))
+		r.vms = append(r.vms, caller.NewVMClient(v.APIAddress()))
 	}
 	return r, errors.Wrap(r.validate(), "New")
 }
 
 func (r *Run) validate() error {
 	for _, v := range r.deployment.VMs() {
-		a, err := netip.ParseAddrPort(v.API())
+		a, err := netip.ParseAddrPort(v.APIAddress())
 		if err != nil || !a.Addr().IsLoopback() {
-			return errors.Errorf("%s is not a loopback address", v.API())
+			return errors.Errorf("%s is not a loopback address", v.APIAddress())
 		}
 	}
 	return nil
 }
 
-// Go runs the workload to its end and returns its result.
-func (r *Run) Go(ctx context.Context) (*reporter.Result, error) {
+// Execute runs the workload to its end and returns its result.
+func (r *Run) Execute(ctx context.Context) (*reporter.Result, error) {
 	r.idPrefix = strconv.FormatInt(time.Now().UnixMilli(), 36)
 	before, err := r.backends.Counters(ctx)
 	if err != nil {
--- a/standin/loader/run_test.go
+++ b/standin/loadgenerator/run_test.go
@@ -1,4 +1,4 @@
-package loader
+package loadgenerator
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"cicadagrade.example/standin/checker"
 	"cicadagrade.example/standin/deployer"
 	"cicadagrade.example/standin/leafserver"
-	"cicadagrade.example/standin/recorder"
+	"cicadagrade.example/standin/recordgenerator"
 	"cicadagrade.example/tier"
 )
 
@@ -23,7 +23,7 @@
 // version 1 after corrupt has altered the answer.
 type fakeVM struct {
 	deployment *deployer.Deployment
-	records    *recorder.Recorder
+	records    *recordgenerator.Generator
 	corrupt    func(answer map[string]any, records []tier.Record) []tier.Record
 }
 
@@ -109,7 +109,7 @@
 		kind     checker.Kind
 	}{
 		{"correct", func(_ map[string]any, r []tier.Record) []tier.Record { return r }, true, ""},
-		{"duplicate", func(_ map[string]any, r []tier.Record) []tier.Record { return append(r[:1:1], r...) }, true, checker.Doubled},
+		{"duplicate", func(_ map[string]any, r []tier.Record) []tier.Record { return append(r[:1:1], r...) }, true, checker.Duplicate},
 		{"truncated", func(_ map[string]any, r []tier.Record) []tier.Record { return r[1:] }, true, checker.Truncated},
 		{"refused", refuse, false, ""},
 		{"false refusal", refuse, true, checker.FalseRefusal},
@@ -126,7 +126,7 @@
 	api := httptest.NewServer(vm)
 	defer api.Close()
 	vm.deployment = testDeployment(t, hostPort(api), hostPort(control))
-	vm.records = recorder.New(vm.deployment.Seed())
+	vm.records = recordgenerator.New(vm.deployment.RecordSeed())
 	w, err := Read("testdata/short.json", vm.deployment)
 	if err != nil {
 		t.Fatal(err)
@@ -135,7 +135,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := run.Go(context.Background())
+	r, err := run.Execute(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -157,10 +157,10 @@
 // executed, or none.
 func fakeControlPort(executed bool) http.Handler {
 	if !executed {
-		return leafserver.NewFleet(nil, recorder.New(1)).ControlHandler()
+		return leafserver.NewFleet(nil, recordgenerator.New(1)).ControlHandler()
 	}
 	m := http.NewServeMux()
-	m.Handle("/", leafserver.NewFleet(nil, recorder.New(1)).ControlHandler())
+	m.Handle("/", leafserver.NewFleet(nil, recordgenerator.New(1)).ControlHandler())
 	m.HandleFunc("POST /started", func(w http.ResponseWriter, r *http.Request) {
 		var q struct {
 			Tags []string `json:"tags"`
--- a/standin/loader/sender.go
+++ b/standin/loadgenerator/sender.go
@@ -1,4 +1,4 @@
-package loader
+package loadgenerator
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 
 	"cicadagrade.example/standin/caller"
 	"cicadagrade.example/standin/checker"
-	"cicadagrade.example/standin/recorder"
+	"cicadagrade.example/standin/recordgenerator"
 )
 
 // maxRepeatDelay is the maximum delay before a booking is sent a second time.
@@ -28,7 +28,7 @@
 type request struct {
 	id     string
 	due    time.Time
-	vm     *caller.VM
+	vm     *caller.VMClient
 	search caller.Search  // of a search
 	query  checker.Query  // the search as the checker sees it
 	book   caller.Booking // of a booking
@@ -60,13 +60,15 @@
 		return
 	}
 	for _, q := range s.newBookings(id, due) {
-		s.run.bookings.Sent(q.id, q.body)
+		s.run.bookings.RecordAttempt(q.id, q.body)
 		s.launch(q)
 	}
 }
 
 // nextVM selects a ready VM round robin, as the platform's load balancer does.
-func (s *sender) nextVM(n int) *caller.VM { return s.run.vms[s.run.balancer.pick(s.stream.vms, n)] }
+func (s *sender) nextVM(n int) *caller.VMClient {
+	return s.run.vms[s.run.balancer.pick(s.stream.vms, n)]
+}
 
 func (s *sender) newSearch(id string, due time.Time) request {
 	terms := s.run.records.Terms(s.stream.set.Name())
@@ -75,7 +77,7 @@
 		id:     id,
 		due:    due,
 		vm:     s.nextVM(s.count),
-		search: caller.NewSearch(id, s.stream.profile, s.stream.set.Name(), recorder.TagTerm(term, id), s.stream.deadline),
+		search: caller.NewSearch(id, s.stream.profile, s.stream.set.Name(), recordgenerator.TagTerm(term, id), s.stream.deadline),
 		query:  checker.NewQuery(id, s.stream.profile, s.stream.set.Name(), term),
 	}
 }
@@ -138,9 +140,9 @@
 	r := requestResult{latency: time.Since(q.due), answer: a}
 	r.inTime = r.latency <= s.stream.deadline.Duration()
 	if s.stream.book {
-		r.violations = s.run.bookings.Ended(q.id, q.body, a)
+		r.violations = s.run.bookings.RecordOutcome(q.id, q.body, a)
 	} else {
-		r.violations = s.run.checker.Search(q.query, a)
+		r.violations = s.run.checker.CheckSearch(q.query, a)
 	}
 	return r
 }
@@ -151,7 +153,7 @@
 	if !s.run.workload.plannedStopsOnly {
 		return requestResult{}
 	}
-	return requestResult{violations: []checker.Violation{{Kind: checker.CutOff, RequestID: q.id, Detail: err.Error()}}}
+	return requestResult{violations: []checker.Violation{{Kind: checker.Unanswered, RequestID: q.id, Detail: err.Error()}}}
 }
 
 func (s *sender) call(ctx context.Context, q request) (*checker.Answer, error) {
--- a/standin/loader/summary.go
+++ b/standin/loadgenerator/summary.go
@@ -1,4 +1,4 @@
-package loader
+package loadgenerator
 
 import (
 	"bytes"
@@ -169,9 +169,9 @@
 		_, err := r.backends.SetFaults(ctx, c.body)
 		return err
 	case targetStore:
-		return sendJSON(ctx, http.MethodPut, "http://"+r.deployment.Store()+"/faults", c.body)
+		return sendJSON(ctx, http.MethodPut, "http://"+r.deployment.StoreAddress()+"/faults", c.body)
 	default:
-		return sendJSON(ctx, http.MethodPost, "http://"+r.deployment.Links()+"/links", c.body)
+		return sendJSON(ctx, http.MethodPost, "http://"+r.deployment.LinkControlAddress()+"/links", c.body)
 	}
 }
 
--- a/standin/loader/tally.go
+++ b/standin/loadgenerator/tally.go
@@ -1,4 +1,4 @@
-package loader
+package loadgenerator
 
 import (
 	"time"
@@ -75,7 +75,7 @@
 	t.row.Answered++
 	if !r.booking {
 		t.searches++
-		t.coverage += r.answer.Fraction()
+		t.coverage += r.answer.CoveredFraction()
 	}
 	if r.inTime && len(r.violations) == 0 {
 		t.row.InTime++
--- a/standin/loader/workload.go
+++ b/standin/loadgenerator/workload.go
@@ -1,7 +1,7 @@
-// Package loader generates load: it sends the requests of a workload file to a running
+// Package loadgenerator generates load: it sends the requests of a workload file to a running
 // deployment at fixed mean rates, whether or not earlier requests have ended (open
 // loop). It checks each answer on arrival and aggregates the results.
-package loader
+package loadgenerator
 
 import (
 	"bytes"
@@ -228,7 +228,7 @@
 		}
 	}
 	if out.direct {
-		out.name += reporter.BareSuffix
+		out.name += reporter.DirectSuffix
 	}
 	if out.deadline == 0 && known {
 		out.deadline = p.Deadline()
--- a/standin/recorder/generator.go
+++ b/standin/recordgenerator/generator.go
@@ -1,9 +1,9 @@
-// Package recorder generates the records that simulated backend servers hold:
+// Package recordgenerator generates the records that simulated backend servers hold:
 // crate histories, hygiene certificates and fees of the organisation Associação, and
 // mould numbers, colour batches, order books and breakage of the organisation Zorin. The
 // records depend only on the seed, the set and the index version, so that a checker can
 // compute the complete correct answer to any search.
-package recorder
+package recordgenerator
 
 import (
 	"fmt"
@@ -68,21 +68,21 @@
 // sorted by key. The empty term has all records.
 type content map[string][]hashedRecord
 
-// Recorder generates and caches the contents of sets. It is safe for concurrent use.
-type Recorder struct {
+// Generator generates and caches the contents of sets. It is safe for concurrent use.
+type Generator struct {
 	seed     uint64
 	mu       sync.Mutex
 	contents map[contentKey]content
 }
 
 // New returns a generator for a seed.
-func New(seed uint64) *Recorder {
-	return &Recorder{seed: seed, contents: map[contentKey]content{}}
+func New(seed uint64) *Generator {
+	return &Generator{seed: seed, contents: map[contentKey]content{}}
 }
 
 // Terms returns the search terms of the set. The empty term, which is not among them,
 // matches every record.
-func (g *Recorder) Terms(set string) []string {
+func (g *Generator) Terms(set string) []string {
 	var out []string
 	for _, k := range kindsFor(set) {
 		for i := range groupsPerSet {
@@ -94,13 +94,13 @@
 
 // Records returns the complete answer to a search of the set at an index version,
 // sorted by key.
-func (g *Recorder) Records(set string, v tier.Version, term string) []tier.Record {
-	return g.Shard(set, v, term, 0, ^uint64(0))
+func (g *Generator) Records(set string, v tier.Version, term string) []tier.Record {
+	return g.ShardRecords(set, v, term, 0, ^uint64(0))
 }
 
-// Shard returns the part of the complete answer whose key hashes are in [from,
+// ShardRecords returns the part of the complete answer whose key hashes are in [from,
 // to].
-func (g *Recorder) Shard(set string, v tier.Version, term string, from, to uint64) []tier.Record {
+func (g *Generator) ShardRecords(set string, v tier.Version, term string, from, to uint64) []tier.Record {
 	c := g.content(set, v)
 	term, _ = SplitTerm(term)
 	var out []tier.Record
@@ -125,15 +125,15 @@
 	return term, tag
 }
 
-// VersionOf parses the index version that a record's value starts with.
-func VersionOf(value string) (tier.Version, bool) {
+// ParseVersion parses the index version that a record's value starts with.
+func ParseVersion(value string) (tier.Version, bool) {
 	head, _, _ := strings.Cut(value, " ")
 	digits, ok := strings.CutPrefix(head, "version=")
 	n, err := strconv.ParseUint(digits, 10, 64)
 	return tier.Version(n), ok && err == nil
 }
 
-func (g *Recorder) content(set string, v tier.Version) content {
+func (g *Generator) content(set string, v tier.Version) content {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	id := contentKey{set: set, version: v}
@@ -145,7 +145,7 @@
 	return c
 }
 
-func (g *Recorder) generate(set string, v tier.Version) content {
+func (g *Generator) generate(set string, v tier.Version) content {
 	c := content{}
 	for _, k := range kindsFor(set) {
 		for i := range recordsPerSet {
@@ -159,7 +159,7 @@
 }
 
 // addRecord generates record i, unless this index version lacks it.
-func (g *Recorder) addRecord(c content, set string, v tier.Version, k recordKind, i int) {
+func (g *Generator) addRecord(c content, set string, v tier.Version, k recordKind, i int) {
 	key := fmt.Sprintf("%s-%05d", k.name, i)
 	random := rand.New(rand.NewPCG(g.seed^tier.HashKey(set), uint64(v)^tier.HashKey(key)))
 	if random.IntN(absentOneIn) == 0 {
--- a/standin/reporter/result.go
+++ b/standin/reporter/result.go
@@ -11,10 +11,10 @@
 	"cicadagrade.example/standin/checker"
 )
 
-// BareSuffix is the suffix of the name of a stream that bypasses the tier and calls
+// DirectSuffix is the suffix of the name of a stream that bypasses the tier and calls
 // the backend servers directly. Such a stream is the baseline for the stream of the
 // same name without the suffix.
-const BareSuffix = "/bare"
+const DirectSuffix = "/bare"
 
 // Result is the result of one run of a workload.
 type Result struct {
@@ -60,8 +60,8 @@
 	ExtraLeafCalls int            `json:"extra-leaf-calls"`
 }
 
-// ExtraRatio returns the ratio of hedges and retries to first leaf calls.
-func (r Row) ExtraRatio() float64 {
+// ExtraCallRatio returns the ratio of hedges and retries to first leaf calls.
+func (r Row) ExtraCallRatio() float64 {
 	return ratio(float64(r.ExtraLeafCalls), float64(r.LeafCalls-r.ExtraLeafCalls))
 }
 
--- a/standin/responder/responder.go
+++ b/standin/responder/responder.go
@@ -28,13 +28,13 @@
 // recordBytes is the size of a record in bytes.
 const recordBytes = 16
 
-// Mute is the answer of a leaf that executes a request and closes the connection
+// NoReply is the answer of a leaf that executes a request and closes the connection
 // without a reply.
-const Mute = "mute"
+const NoReply = "mute"
 
-// Leaf is a backend server that gives the same answer to every request. It is an
+// FixedLeaf is a backend server that gives the same answer to every request. It is an
 // http.Handler.
-type Leaf struct {
+type FixedLeaf struct {
 	id     string
 	answer string
 
@@ -43,13 +43,13 @@
 	released chan struct{} // closed when held requests may continue; nil if none are held
 }
 
-// New returns a leaf. The answer is one of: letters, each sent as one record
+// NewFixedLeaf returns a leaf. The answer is one of: letters, each sent as one record
 // of that letter repeated; a status such as 500; a status with "!", such as 503!, which
 // also says that the request was not executed; or NoReply.
-func New(id, answer string) *Leaf { return &Leaf{id: id, answer: answer} }
+func NewFixedLeaf(id, answer string) *FixedLeaf { return &FixedLeaf{id: id, answer: answer} }
 
-// Seen returns the requests that the leaf has executed.
-func (l *Leaf) Seen() []string {
+// Executed returns the requests that the leaf has executed.
+func (l *FixedLeaf) Executed() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]string(nil), l.executed...)
@@ -57,7 +57,7 @@
 
 // Hold makes the leaf keep the requests that it executes unanswered until release is
 // called.
-func (l *Leaf) Hold() (release func()) {
+func (l *FixedLeaf) Hold() (release func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	released := make(chan struct{})
@@ -66,7 +66,7 @@
 }
 
 // Registration returns the entry with which the leaf registers in the store.
-func (l *Leaf) Registration(service, address, dataCentre string) ([]byte, error) {
+func (l *FixedLeaf) Registration(service, address, dataCentre string) ([]byte, error) {
 	raw, err := json.Marshal(map[string]any{
 		"service": service, "address": address, "zone": dataCentre,
 		"slots": 2, "state": "ready", "sequence": 1, "born": 1,
@@ -74,12 +74,12 @@
 	return raw, errors.Wrap(err, "FixedLeaf.Registration")
 }
 
-// Unreadable returns a registration that can't be parsed: its service is a
+// InvalidRegistration returns a registration that can't be parsed: its service is a
 // number.
-func Unreadable() []byte { return []byte(`{"service": 7}`) }
+func InvalidRegistration() []byte { return []byte(`{"service": 7}`) }
 
 // ServeHTTP gives the leaf's fixed answer.
-func (l *Leaf) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (l *FixedLeaf) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -109,7 +109,7 @@
 			return
 		}
 	}
-	if l.answer == Mute {
+	if l.answer == NoReply {
 		panic(http.ErrAbortHandler)
 	}
 	h.Set(headerSignature, "proof-"+l.id)
@@ -125,17 +125,17 @@
 	}
 }
 
-// Address sets the attempt ID of a caller's request and the remaining time in
+// SetCallerHeaders sets the attempt ID of a caller's request and the remaining time in
 // milliseconds that the caller waits.
-func Address(h http.Header, attemptID string, timeRemaining int) {
+func SetCallerHeaders(h http.Header, attemptID string, timeRemaining int) {
 	h.Set(headerAttempt, attemptID)
 	h.Set(headerTimeRemaining, strconv.Itoa(timeRemaining))
 }
 
-// Expect sets the header with which an entry VM names the leaf that it
+// SetExpectedInstance sets the header with which an entry VM names the leaf that it
 // calls. Tests use it to check that the header has no effect in a caller's request.
-func Expect(h http.Header, leaf string) { h.Set(headerExpected, leaf) }
+func SetExpectedInstance(h http.Header, leaf string) { h.Set(headerExpected, leaf) }
 
-// IsProofs reports whether a header of an answer lists the signatures of its
+// IsPartSignatures reports whether a header of an answer lists the signatures of its
 // parts.
-func IsProofs(header string) bool { return header == headerPartSignatures }
+func IsPartSignatures(header string) bool { return header == headerPartSignatures }
--- a/standin/responder/simulated.go
+++ b/standin/responder/simulated.go
@@ -17,23 +17,23 @@
 	"cicadagrade.example/tier/ranker"
 )
 
-// Mood is how a SimulatedLeaf fails.
-type Mood int
+// FaultMode is how a SimulatedLeaf fails.
+type FaultMode int
 
 // The fault modes of a simulated leaf.
 const (
-	Sound   Mood = iota
-	Slow         // takes ten times as long
-	Grey         // fails every second request with status 500
-	Silent       // executes a request and closes the connection without a reply
-	Crowded      // replies that it is overloaded and has not executed the request
-	Rotten       // sends only half of its reply
-	Mistook      // replies with the ID of another attempt
+	Healthy        FaultMode = iota
+	Slow                     // takes ten times as long
+	FailAlternate            // fails every second request with status 500
+	DropReply                // executes a request and closes the connection without a reply
+	Overloaded               // replies that it is overloaded and has not executed the request
+	TruncateReply            // sends only half of its reply
+	WrongAttemptID           // replies with the ID of another attempt
 	faultModeCount
 )
 
-// Moods is the number of fault modes, including Healthy.
-const Moods = int(faultModeCount)
+// FaultModeCount is the number of fault modes, including Healthy.
+const FaultModeCount = int(faultModeCount)
 
 const (
 	// slowFactor multiplies the service time of a leaf in mode Slow.
@@ -44,41 +44,41 @@
 	recordsPerPart = 8
 )
 
-// Run is a request that a simulated leaf has received.
-type Run struct {
-	Leaf, Service, Attempt, Method, Path string
-	At                                   time.Time
-	TimeLeft                             tier.Millis
+// Request is a request that a simulated leaf has received.
+type Request struct {
+	Leaf, Service, AttemptID, Method, Path string
+	ReceivedAt                             time.Time
+	TimeRemaining                          tier.Millis
 }
 
-// Worker is a backend server that replies to each request with records of its
+// SimulatedLeaf is a backend server that replies to each request with records of its
 // own service after a service time. It is an http.Handler.
-type Worker struct {
+type SimulatedLeaf struct {
 	id, service  string
 	serviceTime  time.Duration
 	faultMode    atomic.Int64
 	requestCount atomic.Int64
-	onExecute    func(Run)
-	onArrive     func(Run)
+	onExecute    func(Request)
+	onArrive     func(Request)
 }
 
-// NewWorker returns a healthy leaf. It calls onArrive for each request addressed
+// NewSimulatedLeaf returns a healthy leaf. It calls onArrive for each request addressed
 // to it and onExecute for each of them that it starts to execute.
-func NewWorker(id, service string, serviceTime tier.Millis, onArrive, onExecute func(Run)) *Worker {
-	return &Worker{id: id, service: service, serviceTime: serviceTime.Duration(), onArrive: onArrive, onExecute: onExecute}
+func NewSimulatedLeaf(id, service string, serviceTime tier.Millis, onArrive, onExecute func(Request)) *SimulatedLeaf {
+	return &SimulatedLeaf{id: id, service: service, serviceTime: serviceTime.Duration(), onArrive: onArrive, onExecute: onExecute}
 }
 
-// SetMood sets how the leaf fails from now on.
-func (l *Worker) SetMood(m Mood) { l.faultMode.Store(int64(m)) }
+// SetFaultMode sets how the leaf fails from now on.
+func (l *SimulatedLeaf) SetFaultMode(m FaultMode) { l.faultMode.Store(int64(m)) }
 
 // ID returns the ID of the leaf's instance.
-func (l *Worker) ID() string { return l.id }
+func (l *SimulatedLeaf) ID() string { return l.id }
 
 // Service returns the name of the service that the leaf serves.
-func (l *Worker) Service() string { return l.service }
+func (l *SimulatedLeaf) Service() string { return l.service }
 
 // Registration returns the entry with which the leaf registers in the store.
-func (l *Worker) Registration(address, dataCentre string, draining bool, sequence int64) ([]byte, error) {
+func (l *SimulatedLeaf) Registration(address, dataCentre string, draining bool, sequence int64) ([]byte, error) {
 	state := "ready"
 	if draining {
 		state = "draining"
@@ -91,16 +91,16 @@
 }
 
 // ServeHTTP replies to a request according to the fault mode.
-func (l *Worker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (l *SimulatedLeaf) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	attemptID := r.Header.Get(headerAttempt)
 	timeRemaining, _ := strconv.Atoi(r.Header.Get(headerTimeRemaining))
-	request := Run{
-		Leaf: l.id, Service: l.service, Attempt: attemptID, Method: r.Method, Path: r.RequestURI,
-		At: time.Now(), TimeLeft: tier.Millis(timeRemaining),
+	request := Request{
+		Leaf: l.id, Service: l.service, AttemptID: attemptID, Method: r.Method, Path: r.RequestURI,
+		ReceivedAt: time.Now(), TimeRemaining: tier.Millis(timeRemaining),
 	}
 	h := w.Header()
 	if r.Header.Get(headerExpected) != l.id {
@@ -108,9 +108,9 @@
 		return
 	}
 	l.onArrive(request)
-	mode := Mood(l.faultMode.Load())
+	mode := FaultMode(l.faultMode.Load())
 	h.Set(headerAttempt, attemptID)
-	if mode == Crowded {
+	if mode == Overloaded {
 		h.Set(headerNotExecuted, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -128,24 +128,24 @@
 	l.writeReply(w, mode, attemptID, r.RequestURI)
 }
 
-func (l *Worker) writeReply(w http.ResponseWriter, mode Mood, attemptID, path string) {
+func (l *SimulatedLeaf) writeReply(w http.ResponseWriter, mode FaultMode, attemptID, path string) {
 	h, body := w.Header(), Records(l.service, path)
 	switch {
-	case mode == Silent:
+	case mode == DropReply:
 		panic(http.ErrAbortHandler)
-	case mode == Grey && l.requestCount.Add(1)%2 == 0:
+	case mode == FailAlternate && l.requestCount.Add(1)%2 == 0:
 		h.Set(headerSignature, signature(l.id, l.service, attemptID))
 		w.WriteHeader(errorStatus)
 		return
-	case mode == Mistook:
+	case mode == WrongAttemptID:
 		h.Set(headerAttempt, "0"+attemptID)
 	}
 	h.Set(headerSignature, signature(l.id, l.service, attemptID))
 	h.Set("Content-Length", strconv.Itoa(len(body)))
-	if mode == Rotten {
+	if mode == TruncateReply {
 		body = body[:len(body)/2]
 	}
-	if _, err := w.Write(body); err != nil || mode == Rotten {
+	if _, err := w.Write(body); err != nil || mode == TruncateReply {
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -161,9 +161,9 @@
 	return b
 }
 
-// Greatest returns the greatest records of the services for a path: those that an
+// TopRecords returns the greatest records of the services for a path: those that an
 // answer from all these services must contain.
-func Greatest(top int, path string, services ...string) []byte {
+func TopRecords(top int, path string, services ...string) []byte {
 	r := ranker.New(top)
 	for _, s := range services {
 		r.Add(Records(s, path))
@@ -177,9 +177,9 @@
 	return strings.Join([]string{id, service, attemptID, strconv.FormatUint(binary.BigEndian.Uint64(sum.Sum(nil)), 36)}, ".")
 }
 
-// ServiceOf reports whether a signature is valid for an attempt, and returns the
+// VerifySignature reports whether a signature is valid for an attempt, and returns the
 // service that made it.
-func ServiceOf(signed, attemptID string) (string, bool) {
+func VerifySignature(signed, attemptID string) (string, bool) {
 	f := strings.Split(signed, ".")
 	if len(f) != 4 || f[2] != attemptID || signature(f[0], f[1], attemptID) != signed {
 		return "", false
@@ -187,9 +187,9 @@
 	return f[1], true
 }
 
-// Proofs returns the signatures in the headers of an answer: that of a single leaf,
+// Signatures returns the signatures in the headers of an answer: that of a single leaf,
 // or those of its parts.
-func Proofs(h http.Header) []string {
+func Signatures(h http.Header) []string {
 	if p := h.Get(headerSignature); p != "" {
 		return []string{p}
 	}
@@ -202,11 +202,13 @@
 	return list
 }
 
-// Missing returns the number of parts that an answer says are missing.
-func Missing(h http.Header) (int, error) {
+// MissingParts returns the number of parts that an answer says are missing.
+func MissingParts(h http.Header) (int, error) {
 	n, err := strconv.Atoi(h.Get("Missing-Parts"))
 	return n, errors.Wrap(err, "MissingParts")
 }
 
-// Proof returns the leaf's signature for an attempt.
-func (l *Worker) Proof(attemptID string) string { return signature(l.id, l.service, attemptID) }
+// Signature returns the leaf's signature for an attempt.
+func (l *SimulatedLeaf) Signature(attemptID string) string {
+	return signature(l.id, l.service, attemptID)
+}
