--- a/tier/dispatcher/admission.go
+++ b/tier/dispatcher/admission.go
@@ -4,14 +4,15 @@
 
 // Limits of the admission check.
 const (
-	usableDeadlineFraction = 0.8 // part of the remaining time for queueing and service
+	usableDeadlineFraction = 0.8 // fraction of the remaining time for queueing and service
 	skippedShardDivisor    = 2   // at most 1/2 of a part's shards may be skipped
 )
 
 // excessWait estimates by how many milliseconds a part exceeds the usable fraction of
-// its remaining time; 0 or less means that it can be admitted. Shards that are late only
-// because all their servers in this data centre are impaired don't count if other
-// data centres have replicas. They are returned to be skipped, unless they are too
+// its remaining time; 0 or less means that it can be admitted. The remaining time ends
+// when the client is expected to disconnect, if that is before the deadline. Shards that
+// are late only because all their servers in this data centre are impaired don't count if
+// other data centres have replicas. They are returned to be skipped, unless they are too
 // large a fraction of the part.
 func (d *Dispatcher) excessWait(p *part) (float64, []*task) {
 	longest, all := 0.0, 0.0
--- a/tier/dispatcher/events.go
+++ b/tier/dispatcher/events.go
@@ -106,7 +106,7 @@
 }
 
 // HoldingChanged reports which index versions of a shard a server holds in one epoch.
-// An empty list means that it holds none.
+// An empty list means that it holds none in that epoch.
 type HoldingChanged struct {
 	server   string
 	shard    string
--- a/tier/dispatcher/overload.go
+++ b/tier/dispatcher/overload.go
@@ -27,7 +27,7 @@
 	arrivals      [len(tier.Ranks)]int
 	refusals      [len(tier.Ranks)]int
 	fractions     [len(tier.Ranks)]float64
-	acceptRates   [len(tier.Ranks)]float64 // average of accepted parts per millisecond
+	acceptRates   [len(tier.Ranks)]float64 // average of accepted parts per millisecond, over intervals with refusals
 	retryTimes    [len(tier.Ranks)]float64 // when the last refused request may be retried
 }
 
--- a/tier/dispatcher/retry.go
+++ b/tier/dispatcher/retry.go
@@ -4,7 +4,7 @@
 
 // Limits of retries.
 const (
-	maxCallsPerReplica = 2 // for one task
+	maxCallsPerReplica = 2 // calls that a task may make for each local replica
 	initialBackoff     = 4 * tier.Millis(1)
 	maxBackoff         = 250 * tier.Millis(1)
 	retryWaitDivisor   = 4 // a retry waits to start for at most 1/4 of the remaining time
--- a/tier/dispatcher/script_test.go
+++ b/tier/dispatcher/script_test.go
@@ -54,7 +54,7 @@
 		switch {
 		case len(f) == 0 || f[0] == "#":
 		case s.d == nil:
-			s.describe(f)
+			s.configure(f)
 		default:
 			s.event(f)
 		}
@@ -62,7 +62,7 @@
 	return s.out.String()
 }
 
-func (s *script) describe(f []string) {
+func (s *script) configure(f []string) {
 	switch f[0] {
 	case "server":
 		dataCentre := "here"
--- a/tier/dispatcher/wait.go
+++ b/tier/dispatcher/wait.go
@@ -11,7 +11,7 @@
 	startGapMaxAge    = 2 * tier.Second // age after which a measured gap is not used any more
 	serviceTimeWeight = 1.0 / 64        // weight of the newest latency in a rank's average
 	abandonWeight     = 1.0 / 16        // weight of the newest abandoned part
-	abandonGrowth     = 1 + 1.0/256
+	abandonGrowth     = 1 + 1.0/256     // factor on the estimate for each answered part
 	maxAbandonTime    = float64(tier.MaxDeadlineAllowed)
 )
 
--- a/tier/planner/event.go
+++ b/tier/planner/event.go
@@ -9,8 +9,8 @@
 // *CallerGone or *Tick.
 type Event interface{ event() }
 
-// HeldVersions lists the index versions of a shard that the backend servers of one data centre
-// hold, and the epoch of the shard map under which they hold them.
+// HeldVersions lists the index versions of a shard that the backend servers of one data
+// centre hold, and the epoch of the shard map under which they hold them.
 type HeldVersions struct {
 	shard    string
 	epoch    tier.Epoch
--- a/tier/planner/planner.go
+++ b/tier/planner/planner.go
@@ -33,7 +33,7 @@
 	budget          *Budget
 	rerunsLeft      int
 
-	maps           []*tier.ShardSet // the map in force first
+	maps           []*tier.ShardSet // shard maps, the one in force first
 	currentRound   *round
 	rounds         []*round
 	pinned         map[tier.Snapshot]bool
@@ -74,7 +74,8 @@
 }
 
 // WithViewWait sets how long a search whose snapshot is no longer served waits for the
-// view to show a better one. A search that can be answered never waits.
+// view to show a better one, but at most a quarter of the search's total time. A search
+// that can be answered never waits.
 func WithViewWait(m tier.Millis) Option { return func(p *Plan) { p.viewWait = m } }
 
 // New returns the plan of a search that has to end by the deadline. The first Step,
--- a/tier/planner/property_test.go
+++ b/tier/planner/property_test.go
@@ -182,20 +182,20 @@
 }
 
 // TestCheckDetectsMixedRounds checks that servedLedger.check rejects an answer that
-// mixes two rounds.
+// mixes two rounds, as a planner that kept no separate rounds would return it.
 func TestCheckDetectsMixedRounds(t *testing.T) {
 	l := servedLedger{}
-	old, now := tier.NewSnapshot(1, 7), tier.NewSnapshot(1, 8)
-	records := append(slices.Clone(l.result(old, "s0").Records()), l.result(now, "s1").Records()[1:]...)
-	mixed := tier.NewAnswered(old, tier.NewCoverage([]string{"s0", "s1"}, nil), records)
+	older, newer := tier.NewSnapshot(1, 7), tier.NewSnapshot(1, 8)
+	records := append(slices.Clone(l.result(older, "s0").Records()), l.result(newer, "s1").Records()[1:]...)
+	mixed := tier.NewAnswered(older, tier.NewCoverage([]string{"s0", "s1"}, nil), records)
 	if err := l.check(mixed); err == nil {
 		t.Error("check accepts records of two versions")
 	}
-	short := tier.NewAnswered(old, tier.NewCoverage([]string{"s0", "s1"}, nil), l.result(old, "s0").Records())
+	short := tier.NewAnswered(older, tier.NewCoverage([]string{"s0", "s1"}, nil), l.result(older, "s0").Records())
 	if err := l.check(short); err == nil {
 		t.Error("check accepts a shard that was not merged")
 	}
-	if err := l.check(tier.NewAnswered(old, tier.NewCoverage([]string{"s0"}, nil), l.result(old, "s0").Records())); err != nil {
+	if err := l.check(tier.NewAnswered(older, tier.NewCoverage([]string{"s0"}, nil), l.result(older, "s0").Records())); err != nil {
 		t.Error(errors.Wrap(err, "check rejects a correct answer"))
 	}
 }
--- a/tier/planner/round.go
+++ b/tier/planner/round.go
@@ -136,7 +136,7 @@
 	return p.deadline - p.capReserve(reserve)
 }
 
-// capReserve limits a reserve to a quarter of the search's whole time.
+// capReserve limits a reserve to a quarter of the search's total time.
 func (p *Plan) capReserve(m tier.Millis) tier.Millis { return min(m, (p.deadline-p.startedAt)/4) }
 
 // closePart closes a part and retries its missing shards in other data centres. Costly
--- a/tier/planner/script_test.go
+++ b/tier/planner/script_test.go
@@ -46,7 +46,7 @@
 //	profile MIN-COVERAGE DEADLINE
 //	map EPOCH SHARD=DC[,DC...] ...     the shard map; a is the local data centre
 //	hold DC EPOCH.VERSION SHARD ...    versions that a data centre can serve
-//	cut DC, mend DC                    a data centre can't, can be reached
+//	cut DC, mend DC                    makes a data centre unreachable, reachable
 //	at MS, tick                        sets the time, sends a Tick
 //	gone                               the caller no longer waits
 //	former                             makes the last map the earlier one of the view
@@ -55,7 +55,8 @@
 //	reply PART SNAPSHOT CALLS RESULT ... [held SHARD=EPOCH.VERSION[+VERSION] ...]
 //	refuse PART REASON, fail PART REASON
 //
-// A result is SHARD, SHARD!cut, SHARD!corrupt or SHARD:MISS.
+// CALLS is the number of leaf calls. A result is SHARD for a complete reply, SHARD!cut
+// for a truncated one, SHARD!corrupt, or SHARD:MISS for a missing shard and the reason.
 type script struct {
 	t       *testing.T
 	now     tier.Millis
--- a/tier/planner/snapshot.go
+++ b/tier/planner/snapshot.go
@@ -23,6 +23,7 @@
 // present one.
 type EarlierView interface {
 	View
+	// Earlier returns the shard map that was in force before the present one.
 	Earlier(name string) (*tier.ShardSet, bool)
 }
 
