--- a/tier/gossiper/gossiper_test.go
+++ b/tier/gossiper/gossiper_test.go
@@ -263,12 +263,12 @@
 // TestFormerNameOfAddressStaysDead checks that late entries of a VM whose address
 // another VM has taken do not bring it back.
 func TestFormerNameOfAddressStaysDead(t *testing.T) {
-	now := newGossiperStore(t)
+	store := newGossiperStore(t)
 	former := testVM("caxias", 9, 0)
 	former = tier.NewVM("caxias-former", "caxias", former.Address(), tier.WithIncarnation(former.Incarnation()-1000))
 	for version := uint64(1); version < 4; version++ {
-		now.takeEntry(NewEntry(former.Name(), former.Incarnation(), version, keyVM, encodeVM(former, 1)))
-		for _, v := range now.Members() {
+		store.takeEntry(NewEntry(former.Name(), former.Incarnation(), version, keyVM, encodeVM(former, 1)))
+		for _, v := range store.Members() {
 			if v.Name() == former.Name() && v.State() != tier.VMDead {
 				t.Fatalf("version %d brought back the former VM: %v", version, v)
 			}
--- a/tier/gossiper/message.go
+++ b/tier/gossiper/message.go
@@ -24,7 +24,7 @@
 // Incarnation is the origin's incarnation.
 func (d Digest) Incarnation() tier.Incarnation { return d.incarnation }
 
-// Version is the highest version below which no write is missing.
+// Version is the highest version up to which no write is missing.
 func (d Digest) Version() uint64 { return d.version }
 
 // Entry is one value that its origin wrote. An entry without an origin is shared: the
--- a/tier/gossiper/network_test.go
+++ b/tier/gossiper/network_test.go
@@ -19,15 +19,15 @@
 
 type callQueue []scheduledCall
 
-func (p callQueue) Len() int { return len(p) }
-func (p callQueue) Less(i, j int) bool {
-	return p[i].at < p[j].at || p[i].at == p[j].at && p[i].sequence < p[j].sequence
-}
-func (p callQueue) Swap(i, j int) { p[i], p[j] = p[j], p[i] }
-func (p *callQueue) Push(x any)   { *p = append(*p, x.(scheduledCall)) }
-func (p *callQueue) Pop() any {
-	last := (*p)[len(*p)-1]
-	*p = (*p)[:len(*p)-1]
+func (q callQueue) Len() int { return len(q) }
+func (q callQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
+}
+func (q callQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *callQueue) Push(x any)   { *q = append(*q, x.(scheduledCall)) }
+func (q *callQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
@@ -84,9 +84,9 @@
 	end := w.now() + d
 	check := w.now()
 	for len(w.queue) > 0 && w.queue[0].at <= end {
-		p := heap.Pop(&w.queue).(scheduledCall)
-		w.clock.Advance(p.at - w.now())
-		p.run()
+		c := heap.Pop(&w.queue).(scheduledCall)
+		w.clock.Advance(c.at - w.now())
+		c.run()
 		if done == nil || w.now() < check {
 			continue
 		}
--- a/tier/gossiper/property_test.go
+++ b/tier/gossiper/property_test.go
@@ -19,16 +19,16 @@
 
 type gossiperStore struct{ *Gossiper }
 
-func (h gossiperStore) takeEntry(e Entry) {
-	h.Step(h.now+10, NewRequestReceived(NewMessage("caxias-1", 1, nil, []Entry{e})))
+func (s gossiperStore) takeEntry(e Entry) {
+	s.Step(s.now+10, NewRequestReceived(NewMessage("caxias-1", 1, nil, []Entry{e})))
 }
 
-func (h gossiperStore) heldVersion(origin, key string) (tier.Incarnation, uint64) {
+func (s gossiperStore) heldVersion(origin, key string) (tier.Incarnation, uint64) {
 	if origin == "" {
-		e := h.sharedEntries[key]
+		e := s.sharedEntries[key]
 		return e.incarnation, e.version
 	}
-	r, ok := h.records[origin]
+	r, ok := s.records[origin]
 	if !ok {
 		return 0, 0
 	}
@@ -38,19 +38,19 @@
 // lastWriteStore is a broken implementation: it keeps the entry that came last.
 type lastWriteStore map[entryKey]Entry
 
-func (h lastWriteStore) takeEntry(e Entry) { h[entryKey{e.origin, e.key}] = e }
+func (s lastWriteStore) takeEntry(e Entry) { s[entryKey{e.origin, e.key}] = e }
 
-func (h lastWriteStore) heldVersion(origin, key string) (tier.Incarnation, uint64) {
-	e := h[entryKey{origin, key}]
+func (s lastWriteStore) heldVersion(origin, key string) (tier.Incarnation, uint64) {
+	e := s[entryKey{origin, key}]
 	return e.incarnation, e.version
 }
 
 // checkMonotonic returns an error if an older entry replaced a newer one.
-func checkMonotonic(h entryStore, entries []Entry) error {
+func checkMonotonic(s entryStore, entries []Entry) error {
 	for _, e := range entries {
-		previousIncarnation, previousVersion := h.heldVersion(e.origin, e.key)
-		h.takeEntry(e)
-		incarnation, version := h.heldVersion(e.origin, e.key)
+		previousIncarnation, previousVersion := s.heldVersion(e.origin, e.key)
+		s.takeEntry(e)
+		incarnation, version := s.heldVersion(e.origin, e.key)
 		if incarnation < previousIncarnation || incarnation == previousIncarnation && version < previousVersion {
 			return fmt.Errorf("version %d.%d of origin %q, key %s, replaced %d.%d", incarnation, version, e.origin, e.key, previousIncarnation, previousVersion)
 		}
@@ -176,17 +176,17 @@
 	f.Add("caxias-9", uint64(1<<63), uint64(1<<63), statusDead, []byte{})
 	f.Add("", uint64(0), uint64(0), "", []byte(`["live","caxias","10.0.0.1:1","x"]`))
 	f.Fuzz(func(t *testing.T, origin string, incarnation, version uint64, key string, value []byte) {
-		h := newGossiperStore(t)
+		store := newGossiperStore(t)
 		e := NewEntry(origin, tier.Incarnation(incarnation), version, key, value)
 		d := NewDigest(origin, tier.Incarnation(incarnation), version)
 		m := NewMessage(origin, tier.Incarnation(incarnation), []Digest{d, d}, []Entry{e})
-		h.Step(0, NewRequestReceived(m))
-		for _, a := range h.Step(10, &Tick{}) {
+		store.Step(0, NewRequestReceived(m))
+		for _, a := range store.Step(10, &Tick{}) {
 			if s, ok := a.(*SendRequest); ok {
-				h.Step(20, NewReplyReceived(s.number, m))
+				store.Step(20, NewReplyReceived(s.number, m))
 			}
 		}
-		for _, v := range h.Members() {
+		for _, v := range store.Members() {
 			if !tier.ValidName(v.Name()) || v.Incarnation() > maxCounter+1 {
 				t.Fatalf("invalid member %v", v)
 			}
--- a/tier/gossiper/view.go
+++ b/tier/gossiper/view.go
@@ -57,7 +57,8 @@
 func (g *Gossiper) ReplacedBy() (tier.VM, bool) { return g.replacedBy, g.replaced }
 
 // Fresh reports whether this VM may act on its state: it has exchanged with a peer
-// since it started or was last paused, or there is no peer to exchange with.
+// since it started or was last paused, or there is no peer to exchange with. It is false
+// once another VM has replaced this one.
 func (g *Gossiper) Fresh(now tier.Millis) bool {
 	return g.started && !g.replaced && !g.stale && now-g.lastTickAt <= g.pauseThreshold
 }
--- a/tier/prober/prober.go
+++ b/tier/prober/prober.go
@@ -12,7 +12,8 @@
 	"cicadagrade.example/tier"
 )
 
-// Consecutive failures after which a server counts as lost.
+// Consecutive failures, and consecutive refused connections, after which a server counts
+// as lost.
 const (
 	maxFailures = 3
 	maxRefusals = 2
@@ -40,8 +41,8 @@
 // WithColdRamp sets the longest time that a server stays cold.
 func WithColdRamp(m tier.Millis) Option { return func(c *config) { c.coldRamp = m } }
 
-// WithLeavingHold sets how long no sign of leaving must come before a leaving server
-// that did not restart counts as staying.
+// WithLeavingHold sets how long a leaving server that did not restart must show no sign
+// of leaving before it gets work again.
 func WithLeavingHold(m tier.Millis) Option { return func(c *config) { c.leavingHoldTime = m } }
 
 // Defaults sets every field.
@@ -129,7 +130,7 @@
 	case *Health:
 		p.handleHealth(e)
 	case *ProbeFailed:
-		p.handleHealthFailed(e)
+		p.handleProbeFailed(e)
 	case *ReplyOK:
 		p.handleReplyOK(e.state)
 	case *ReplyShed:
--- a/tier/prober/signals.go
+++ b/tier/prober/signals.go
@@ -75,7 +75,7 @@
 	}
 }
 
-func (p *Prober) handleHealthFailed(e *ProbeFailed) {
+func (p *Prober) handleProbeFailed(e *ProbeFailed) {
 	p.probeFailures++
 	if e.refused {
 		p.recordRefusal()
