--- a/tier/admitter/admitter.go
+++ b/tier/admitter/admitter.go
@@ -62,9 +62,9 @@
 
 // fractionAt is the fraction of requests to admit at a time. Between FreshFor and MaxAge
 // it rises linearly from the published fraction to 1.
-func (p ReceivedThreshold) fractionAt(now tier.Millis, r tier.Rank) float64 {
-	f := p.threshold.fractions[r]
-	age := now - p.receivedAt
+func (t ReceivedThreshold) fractionAt(now tier.Millis, r tier.Rank) float64 {
+	f := t.threshold.fractions[r]
+	age := now - t.receivedAt
 	if age <= FreshFor {
 		return f
 	}
@@ -94,9 +94,9 @@
 // which to retry, which is lengthened by up to 50 % to spread retries.
 func (a *Admitter) Admit(now tier.Millis, r tier.Rank, owners ...ReceivedThreshold) (tier.Millis, bool) {
 	fraction, retryAfter := 1.0, tier.Millis(0)
-	for _, p := range owners {
-		if f := p.fractionAt(now, r); f < fraction {
-			fraction, retryAfter = f, p.threshold.retryAfter[r]
+	for _, t := range owners {
+		if f := t.fractionAt(now, r); f < fraction {
+			fraction, retryAfter = f, t.threshold.retryAfter[r]
 		}
 	}
 	if fraction >= 1 {
--- a/tier/admitter/admitter_test.go
+++ b/tier/admitter/admitter_test.go
@@ -33,9 +33,9 @@
 }
 
 func TestFractionRisesWithAge(t *testing.T) {
-	p := NewReceivedThreshold(NewThreshold([...]float64{1, 1, 0.2}, [3]tier.Millis{}), 0)
+	threshold := NewReceivedThreshold(NewThreshold([...]float64{1, 1, 0.2}, [3]tier.Millis{}), 0)
 	for now, want := range map[tier.Millis]int{FreshFor: 200, (FreshFor + MaxAge) / 2: 600, MaxAge: 1000} {
-		if got := countAdmitted(now, tier.Reports, p); got < want-1 || got > want+1 {
+		if got := countAdmitted(now, tier.Reports, threshold); got < want-1 || got > want+1 {
 			t.Errorf("at %d: %d of 1000 admitted, expected %d", now, got, want)
 		}
 	}
