--- a/cicadagraded/dialer/errors.go
+++ b/cicadagraded/backendclient/errors.go
@@ -1,4 +1,4 @@
-package dialer
+package backendclient
 
 import (
 	"net"
@@ -33,9 +33,9 @@
 // Reason says why.
 func (e *NotRunError) Reason() NotRunReason { return e.reason }
 
-// Refused reports whether the server's machine refused the connection, so
+// ConnectionRefused reports whether the server's machine refused the connection, so
 // that no process listens there.
-func (e *NotRunError) Refused() bool { return errors.Is(e.cause, syscall.ECONNREFUSED) }
+func (e *NotRunError) ConnectionRefused() bool { return errors.Is(e.cause, syscall.ECONNREFUSED) }
 
 // Unwrap is the cause.
 func (e *NotRunError) Unwrap() error { return e.cause }
@@ -43,14 +43,14 @@
 // Error names the reason and the cause.
 func (e *NotRunError) Error() string { return "not run: " + e.reason.String() + ": " + e.cause.Error() }
 
-// LostError says that the call may have run: its reply did not come.
-type LostError struct{ cause error }
+// NoReplyError says that the call may have run: its reply did not come.
+type NoReplyError struct{ cause error }
 
 // Unwrap is the cause.
-func (e *LostError) Unwrap() error { return e.cause }
+func (e *NoReplyError) Unwrap() error { return e.cause }
 
 // Error names the cause.
-func (e *LostError) Error() string { return "reply lost: " + e.cause.Error() }
+func (e *NoReplyError) Error() string { return "reply lost: " + e.cause.Error() }
 
 // classify tells what is known of a failed call. Only a code that the server
 // itself sent, or a connection that was never made, proves that it did not
@@ -60,7 +60,7 @@
 		return &NotRunError{reason: NotRunNoConnection, cause: err}
 	}
 	if !connect.IsWireError(err) {
-		return &LostError{cause: err}
+		return &NoReplyError{cause: err}
 	}
 	switch connect.CodeOf(err) {
 	case connect.CodeResourceExhausted:
@@ -70,7 +70,7 @@
 	case connect.CodeFailedPrecondition:
 		return &NotRunError{reason: NotRunWrongSnapshot, cause: err}
 	default:
-		return &LostError{cause: err}
+		return &NoReplyError{cause: err}
 	}
 }
 
--- a/cicadagraded/dialer/link.go
+++ b/cicadagraded/backendclient/link.go
@@ -1,6 +1,6 @@
-// Package dialer holds the links to backend servers: one bounded connection
+// Package backendclient holds the links to backend servers: one bounded connection
 // pool for each server, spoken to by the Connect protocol over HTTP/1.1.
-package dialer
+package backendclient
 
 import (
 	"context"
@@ -24,22 +24,22 @@
 	keepAliveInterval = 30 * time.Second
 )
 
-// Link is the connection pool of one VM to one backend server. It holds at
+// Client is the connection pool of one VM to one backend server. It holds at
 // most one connection for each call that the VM may have in flight there,
 // and one for probes.
-type Link struct {
+type Client struct {
 	server tier.Backend
 	calls  backendv1connect.LeafServiceClient
 	probes backendv1connect.LeafServiceClient
 	close  func()
 }
 
-// NewLink returns a link that holds at most connections connections for
+// New returns a link that holds at most connections connections for
 // calls. No connection is made yet.
-func NewLink(server tier.Backend, connections int) *Link {
+func New(server tier.Backend, connections int) *Client {
 	calls := newTransport(connections)
 	probes := newTransport(probeConnections)
-	return &Link{
+	return &Client{
 		server: server,
 		calls:  newClient(server.Address(), calls),
 		probes: newClient(server.Address(), probes),
@@ -70,14 +70,14 @@
 }
 
 // Server is the backend server at the other end.
-func (l *Link) Server() tier.Backend { return l.server }
+func (l *Client) Server() tier.Backend { return l.server }
 
 // Close drops the connections that no call uses.
-func (l *Link) Close() { l.close() }
+func (l *Client) Close() { l.close() }
 
 // Search makes one search call. Its error is a *NotRunError when the server
 // says that it did not run the call, or a *LostError when it may have run.
-func (l *Link) Search(ctx context.Context, r *backendv1.SearchRequest) (*backendv1.SearchReply, error) {
+func (l *Client) Search(ctx context.Context, r *backendv1.SearchRequest) (*backendv1.SearchReply, error) {
 	reply, err := l.calls.Search(ctx, connect.NewRequest(r))
 	if err != nil {
 		return nil, errors.Wrap(classify(err), "Link.Search")
@@ -87,7 +87,7 @@
 
 // Book runs a request that may not be repeated, once. Its errors are those
 // of Search.
-func (l *Link) Book(ctx context.Context, r *backendv1.BookRequest) (*backendv1.BookReply, error) {
+func (l *Client) Book(ctx context.Context, r *backendv1.BookRequest) (*backendv1.BookReply, error) {
 	reply, err := l.calls.Book(ctx, connect.NewRequest(r))
 	if err != nil {
 		return nil, errors.Wrap(classify(err), "Link.Book")
@@ -96,7 +96,7 @@
 }
 
 // Health asks for the server's state over the probe connection.
-func (l *Link) Health(ctx context.Context) (*backendv1.HealthReply, error) {
+func (l *Client) Health(ctx context.Context) (*backendv1.HealthReply, error) {
 	reply, err := l.probes.Health(ctx, connect.NewRequest(&backendv1.HealthRequest{}))
 	if err != nil {
 		return nil, errors.Wrap(classify(err), "Link.Health")
--- a/cicadagraded/booker/book.go
+++ b/cicadagraded/booker/book.go
@@ -8,7 +8,7 @@
 
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/claimer"
-	"cicadagrade.example/tier/ring"
+	"cicadagrade.example/tier/queue"
 )
 
 // Request is a booking under an idempotency key.
@@ -39,20 +39,20 @@
 	return r
 }
 
-// Send sends a booking on its way. It returns *tier.Booked, *tier.Refused
+// SendFunc sends a booking on its way. It returns *tier.Booked, *tier.Refused
 // only if the booking was not run and never will be by this sending, or
 // *tier.Unknown.
-type Send func(ctx context.Context) tier.Outcome
+type SendFunc func(ctx context.Context) tier.Outcome
 
 // Mint returns a key that this life of the VM alone can run. It is empty if
 // the duty has stopped or ctx ended.
 func (c *Booker) Mint(ctx context.Context) string {
-	minted := ring.New[claimer.Key](1)
+	minted := queue.New[claimer.Key](1)
 	if c.tell(ctx, message{minted: minted}) != nil {
 		return ""
 	}
 	select {
-	case k := <-minted.Out():
+	case k := <-minted.Chan():
 		return k.String()
 	case <-c.stopped:
 	case <-ctx.Done():
@@ -65,15 +65,15 @@
 // is a *claimer.KeyReusedError or a *tier.InvalidError. When ctx ends before
 // the send, nothing is sent; a send that has begun goes on to its deadline,
 // so that its outcome can be recorded.
-func (c *Booker) Book(ctx context.Context, r Request, send Send) (tier.Outcome, error) {
+func (c *Booker) Book(ctx context.Context, r Request, send SendFunc) (tier.Outcome, error) {
 	key, err := claimer.ParseKey(r.key)
 	if err != nil {
 		return nil, errors.Wrap(err, "Booker.Book")
 	}
 	ticket := c.tickets.Add(1)
-	mail := ring.New[claimer.Action](2)
+	mail := queue.New[claimer.Action](2)
 	fingerprint := claimer.Fingerprint(r.set, r.record, r.body)
-	submit := claimer.NewSubmit(ticket, key, r.set, fingerprint, r.first, r.deadline, c.clock.Wall())
+	submit := claimer.NewSubmit(ticket, key, r.set, fingerprint, r.first, r.deadline, c.clock.WallTime())
 	if c.tell(ctx, message{event: submit, ticket: ticket, mail: mail}) != nil {
 		return claimer.NotRunOutcome(r.first, tier.RefuseCallerGone), nil
 	}
@@ -82,11 +82,11 @@
 }
 
 // await follows a booking to its end.
-func (c *Booker) await(ctx context.Context, ticket uint64, mail *ring.Ring[claimer.Action], send Send) (tier.Outcome, error) {
+func (c *Booker) await(ctx context.Context, ticket uint64, mail *queue.Queue[claimer.Action], send SendFunc) (tier.Outcome, error) {
 	gone := ctx.Done()
 	for {
 		select {
-		case a := <-mail.Out():
+		case a := <-mail.Chan():
 			switch a := a.(type) {
 			case *claimer.Run:
 				o := c.sendOnce(ctx, a, send)
@@ -105,7 +105,7 @@
 
 // sendOnce sends unless the caller has gone or the deadline has passed, as
 // after a pause of the VM.
-func (c *Booker) sendOnce(ctx context.Context, a *claimer.Run, send Send) tier.Outcome {
+func (c *Booker) sendOnce(ctx context.Context, a *claimer.Run, send SendFunc) tier.Outcome {
 	if ctx.Err() != nil {
 		return tier.NewRefused(tier.RefuseCallerGone, 0)
 	}
@@ -142,12 +142,12 @@
 
 // Counters are the counts so far; false if the duty has stopped or ctx ended.
 func (c *Booker) Counters(ctx context.Context) (claimer.Counters, bool) {
-	counted := ring.New[claimer.Counters](1)
+	counted := queue.New[claimer.Counters](1)
 	if err := c.tell(ctx, message{counted: counted}); err != nil {
 		return claimer.Counters{}, false
 	}
 	select {
-	case n := <-counted.Out():
+	case n := <-counted.Chan():
 		return n, true
 	case <-c.stopped:
 	case <-ctx.Done():
@@ -171,7 +171,7 @@
 // Error says so.
 func (*StoppedError) Error() string { return "the booker has stopped" }
 
-// Today is the UTC date that a caller's own key of now starts with.
-func Today(clock *tier.Clock) string {
-	return time.UnixMilli(int64(clock.Wall())).UTC().Format(time.DateOnly)
+// KeyDate is the UTC date that a caller's own key of now starts with.
+func KeyDate(clock *tier.Clock) string {
+	return time.UnixMilli(int64(clock.WallTime())).UTC().Format(time.DateOnly)
 }
--- a/cicadagraded/booker/booker.go
+++ b/cicadagraded/booker/booker.go
@@ -14,7 +14,7 @@
 
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/claimer"
-	"cicadagrade.example/tier/ring"
+	"cicadagrade.example/tier/queue"
 	"cicadagrade.example/tier/storer"
 )
 
@@ -36,11 +36,11 @@
 	workers      int
 	options      []claimer.Option
 	tickets      atomic.Uint64
-	events       *ring.Ring[message]
-	calls        *ring.Ring[claimer.Action]
+	events       *queue.Queue[message]
+	calls        *queue.Queue[claimer.Action]
 	stopped      chan struct{}
 
-	waiting  map[uint64]*ring.Ring[claimer.Action]
+	waiting  map[uint64]*queue.Queue[claimer.Action]
 	flushers []chan struct{}
 }
 
@@ -66,10 +66,10 @@
 	c := &Booker{
 		store:   store,
 		clock:   clock,
-		events:  ring.New[message](eventRingSize),
-		calls:   ring.New[claimer.Action](callRingSize),
+		events:  queue.New[message](eventRingSize),
+		calls:   queue.New[claimer.Action](callRingSize),
 		stopped: make(chan struct{}),
-		waiting: map[uint64]*ring.Ring[claimer.Action]{},
+		waiting: map[uint64]*queue.Queue[claimer.Action]{},
 	}
 	c.Defaults()
 	for _, o := range opts {
@@ -93,12 +93,12 @@
 	event claimer.Event
 	// Set with a Submit: where its Run and Finish go.
 	ticket uint64
-	mail   *ring.Ring[claimer.Action]
+	mail   *queue.Queue[claimer.Action]
 	// Set to ask for a new key, to be told that all is recorded, or for the
 	// counts.
-	minted  *ring.Ring[claimer.Key]
+	minted  *queue.Queue[claimer.Key]
 	flushed chan struct{}
-	counted *ring.Ring[claimer.Counters]
+	counted *queue.Queue[claimer.Counters]
 }
 
 // Run drives the claimer until ctx ends. It is called once.
@@ -122,7 +122,7 @@
 	for {
 		timer.Reset(c.untilTick())
 		select {
-		case m := <-c.events.Out():
+		case m := <-c.events.Chan():
 			c.take(m)
 		case <-timer.C:
 			c.step(&claimer.Tick{})
--- a/cicadagraded/booker/booker_test.go
+++ b/cicadagraded/booker/booker_test.go
@@ -31,7 +31,7 @@
 }
 
 func keyOfToday(clock *tier.Clock, rest string) string {
-	return fmt.Sprint(booker.Today(clock), "-", rest)
+	return fmt.Sprint(booker.KeyDate(clock), "-", rest)
 }
 
 // TestOneRunOnTwoVMs sends one key to two VMs many times at once, while the
--- a/cicadagraded/bookings.go
+++ b/cicadagraded/bookings.go
@@ -5,8 +5,8 @@
 
 	"github.com/pkg/errors"
 
-	"cicadagrade.example/cicadagraded/asker"
 	"cicadagrade.example/cicadagraded/booker"
+	"cicadagrade.example/cicadagraded/coordinator"
 	"cicadagrade.example/cicadagraded/owner"
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/claimer"
@@ -19,16 +19,16 @@
 func (c *claims) Mint(ctx context.Context) string { return c.booker.Mint(ctx) }
 
 // Book calls send at most once for the booking's key.
-func (c *claims) Book(ctx context.Context, b asker.Booking, send func(context.Context) tier.Outcome) (tier.Outcome, error) {
+func (c *claims) Book(ctx context.Context, b coordinator.Booking, send func(context.Context) tier.Outcome) (tier.Outcome, error) {
 	var opts []booker.RequestOption
-	if b.First() {
+	if b.FirstSending() {
 		opts = append(opts, booker.WithFirstSending())
 	}
 	r := booker.NewRequest(b.IdempotencyKey(), b.Set(), b.RecordKey(), b.Body(), b.Deadline(), opts...)
 	o, err := c.booker.Book(ctx, r, send)
 	var reused *claimer.KeyReusedError
 	if errors.As(err, &reused) {
-		err = asker.NewKeyReusedError(reused.Key())
+		err = coordinator.NewKeyReusedError(reused.Key())
 	}
 	return o, errors.Wrap(err, "claims.Book")
 }
@@ -41,7 +41,7 @@
 
 // Book runs a booking on the owner of its set. A minted key was claimed by the
 // front that minted it, and no one else forwards it.
-func (f *forwarded) Book(ctx context.Context, b asker.Forwarded) (tier.Outcome, error) {
+func (f *forwarded) Book(ctx context.Context, b coordinator.ForwardedBooking) (tier.Outcome, error) {
 	send := func(ctx context.Context) tier.Outcome { return sendBooking(ctx, f.registry, b) }
 	if b.Minted() {
 		return send(ctx), nil
@@ -50,14 +50,14 @@
 }
 
 // sendBooking has the owner of a booking's set run it, once.
-func sendBooking(ctx context.Context, r *owner.Registry, b asker.Forwarded) tier.Outcome {
+func sendBooking(ctx context.Context, r *owner.Registry, b coordinator.ForwardedBooking) tier.Outcome {
 	q := owner.NewBooking(b.Profile(), b.Shard(), b.RecordKey(), b.Body(), b.Deadline())
 	switch e := r.Book(ctx, b.Set(), q).(type) {
 	case *owner.Done:
 		return doneBooking(e)
 	case *owner.NotRun:
 		return tier.NewRefused(e.Reason(), e.RetryAfter())
-	case *owner.Unsure:
+	case *owner.Unknown:
 		return tier.NewUnknown(e.Reason())
 	default:
 		return tier.NewUnknown(tier.UnknownLostReply)
@@ -69,7 +69,7 @@
 	if d.Receipt() != "" {
 		return tier.NewBooked(d.Receipt(), false)
 	}
-	if d.Calls() == 0 {
+	if d.LeafCalls() == 0 {
 		return tier.NewRefused(tier.RefuseNoReplica, 0)
 	}
 	return tier.NewUnknown(tier.UnknownLostReply)
--- a/cicadagraded/control.go
+++ b/cicadagraded/control.go
@@ -17,7 +17,7 @@
 	"cicadagrade.example/tier/admitter"
 	"cicadagrade.example/tier/gossiper"
 	"cicadagrade.example/tier/picker"
-	"cicadagrade.example/tier/ring"
+	"cicadagrade.example/tier/queue"
 )
 
 // Pace and sizes of the control duty.
@@ -38,14 +38,14 @@
 	self     tier.VM
 	logger   *log.Logger
 	gossip   *exchanger.Exchanger
-	changes  *ring.Ring[gossiper.Action]
+	changes  *queue.Queue[gossiper.Action]
 	config   *watcher.Watcher
 	locator  *locator.Locator
 	registry *owner.Registry
 	members  []tier.VM
 	sets     []*tier.ShardSet
 	dropped  uint64
-	replaced *ring.Ring[tier.VM]
+	replaced *queue.Queue[tier.VM]
 	joined   bool
 	began    tier.Millis
 	clock    *tier.Clock
@@ -60,7 +60,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case a := <-c.changes.Out():
+		case a := <-c.changes.Chan():
 			c.change(a)
 		case <-ticker.C:
 			if err := c.sync(ctx); err != nil {
@@ -84,7 +84,7 @@
 // entry takes a value that a VM published.
 func (c *control) entry(origin, key string, value []byte) {
 	if strings.HasPrefix(key, watcher.IndexKeyPrefix) {
-		if err := c.config.OnIndex(origin, key, value); err != nil {
+		if err := c.config.OnIndexEntry(origin, key, value); err != nil {
 			c.logger.Warn("index", "vm", origin, "error", err)
 		}
 		return
@@ -106,13 +106,13 @@
 	if err != nil {
 		c.logger.Warn("threshold", "vm", origin, "set", set, "error", err)
 	}
-	c.locator.Threshold(set, origin, t)
+	c.locator.UpdateThreshold(set, origin, t)
 }
 
 // report notes what an owner's servers hold.
 func (c *control) report(origin, set string, value []byte) {
 	if len(value) == 0 {
-		c.locator.Reported(set, origin, owner.Report{}, false)
+		c.locator.UpdateReport(set, origin, owner.Report{}, false)
 		return
 	}
 	r, err := owner.DecodeReport(value)
@@ -120,7 +120,7 @@
 		c.logger.Warn("report", "vm", origin, "set", set, "error", err)
 		return
 	}
-	c.locator.Reported(set, origin, r, true)
+	c.locator.UpdateReport(set, origin, r, true)
 }
 
 // sync passes on members and sets, and has the registry follow them.
@@ -156,7 +156,7 @@
 	if c.began == 0 {
 		c.began = c.clock.Now()
 	}
-	if !c.locator.Informed() && c.clock.Now()-c.began < joinLimit {
+	if !c.locator.HoldingsKnown() && c.clock.Now()-c.began < joinLimit {
 		return
 	}
 	c.joined = true
@@ -217,32 +217,32 @@
 	}
 }
 
-// Report tells this VM and the others what the servers of a set hold.
-func (c *control) Report(set string, r owner.Report, index int) {
-	c.locator.Reported(set, c.self.Name(), r, true)
+// PublishReport tells this VM and the others what the servers of a set hold.
+func (c *control) PublishReport(set string, r owner.Report, index int) {
+	c.locator.UpdateReport(set, c.self.Name(), r, true)
 	value, err := r.Encode()
 	c.publish(setPrefix+set, value, err)
-	if index >= 0 && r.Informed() {
+	if index >= 0 && r.HasHoldings() {
 		c.announce(set, r, index)
 	}
 }
 
-// Threshold tells this VM and the others a set's threshold of admission.
-func (c *control) Threshold(set string, t admitter.Threshold) {
-	c.locator.Threshold(set, c.self.Name(), t)
+// PublishThreshold tells this VM and the others a set's threshold of admission.
+func (c *control) PublishThreshold(set string, t admitter.Threshold) {
+	c.locator.UpdateThreshold(set, c.self.Name(), t)
 	value, err := owner.EncodeThreshold(t)
 	c.publish(admitPrefix+set, value, err)
 }
 
-// Withdraw takes back what an owner that ended published.
-func (c *control) Withdraw(set string) {
-	c.locator.Reported(set, c.self.Name(), owner.Report{}, false)
+// WithdrawReport takes back what an owner that ended published.
+func (c *control) WithdrawReport(set string) {
+	c.locator.UpdateReport(set, c.self.Name(), owner.Report{}, false)
 	c.publish(setPrefix+set, nil, nil)
-	c.Threshold(set, admitter.AdmitAll())
+	c.PublishThreshold(set, admitter.AdmitAll())
 }
 
-// Backend logs a change of a backend server's state.
-func (c *control) Backend(set, server string, s tier.BackendState, reason string) {
+// BackendChanged logs a change of a backend server's state.
+func (c *control) BackendChanged(set, server string, s tier.BackendState, reason string) {
 	c.logger.Info("backend", "set", set, "server", server, "state", s, "reason", reason)
 }
 
--- a/cicadagraded/asker/book.go
+++ b/cicadagraded/coordinator/book.go
@@ -1,4 +1,4 @@
-package asker
+package coordinator
 
 import (
 	"context"
@@ -11,14 +11,14 @@
 
 // Book runs a booking at most once. Its errors are *KeyReusedError and
 // *tier.InvalidError; nothing was run then.
-func (f *Front) Book(ctx context.Context, b Booking) (Receipt, error) {
+func (f *Coordinator) Book(ctx context.Context, b Booking) (BookingResult, error) {
 	set, ok := f.directory.Set(b.set)
 	if !ok {
 		return notRun(b, tier.RefuseNoConfig, 0), nil
 	}
 	minted, err := f.key(ctx, &b)
 	if err != nil {
-		return Receipt{}, errors.Wrap(err, "Front.Book")
+		return BookingResult{}, errors.Wrap(err, "Front.Book")
 	}
 	if b.idempotencyKey == "" {
 		return notRun(b, tier.RefuseLeaving, noOwnerRetryAfter), nil
@@ -29,14 +29,14 @@
 	shard := set.ShardOf(b.recordKey)
 	o, err := f.claimed(ctx, b, set, shard, minted)
 	if err != nil {
-		return Receipt{}, errors.Wrap(err, "Front.Book")
+		return BookingResult{}, errors.Wrap(err, "Front.Book")
 	}
-	return NewReceipt(o, b.idempotencyKey).at(set, shard), nil
+	return NewBookingResult(o, b.idempotencyKey).at(set, shard), nil
 }
 
 // key checks the booking's key, or mints one, and reports whether it is a
 // minted one.
-func (f *Front) key(ctx context.Context, b *Booking) (minted bool, err error) {
+func (f *Coordinator) key(ctx context.Context, b *Booking) (minted bool, err error) {
 	if b.idempotencyKey == "" {
 		b.idempotencyKey, b.first = f.claims.Mint(ctx), true
 		return true, nil
@@ -47,7 +47,7 @@
 
 // claimed runs a booking under its claim: a minted key is claimed here, where
 // it was minted; a caller's own key by the owner, in the store.
-func (f *Front) claimed(ctx context.Context, b Booking, set *tier.ShardSet, shard tier.Shard, minted bool) (tier.Outcome, error) {
+func (f *Coordinator) claimed(ctx context.Context, b Booking, set *tier.ShardSet, shard tier.Shard, minted bool) (tier.Outcome, error) {
 	if !minted {
 		o, err := f.forward(ctx, b, set, shard, false)
 		if o == nil && err == nil {
@@ -73,21 +73,21 @@
 
 // forward sends a booking to an owner, once: the next owner is tried only
 // when the booking did not reach the one before.
-func (f *Front) forward(ctx context.Context, b Booking, set *tier.ShardSet, shard tier.Shard, minted bool) (tier.Outcome, error) {
+func (f *Coordinator) forward(ctx context.Context, b Booking, set *tier.ShardSet, shard tier.Shard, minted bool) (tier.Outcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, (b.deadline - f.clock.Now()).Duration())
 	defer cancel()
 	b.deadline -= min(bookingReserve, (b.deadline-f.clock.Now())/4)
 	for _, vm := range f.bookingOwners(set, shard) {
-		o, err := f.messenger.Book(ctx, vm, NewForwarded(b, shard.ID(), minted))
+		o, err := f.messenger.Book(ctx, vm, NewForwardedBooking(b, shard.ID(), minted))
 		if err == nil {
-			f.directory.Answered(vm.Name())
+			f.directory.MarkAnswered(vm.Name())
 			return o, nil
 		}
 		var reused *KeyReusedError
 		if errors.As(err, &reused) {
 			return nil, errors.Wrap(err, "Front.forward")
 		}
-		f.directory.Failed(vm.Name())
+		f.directory.MarkFailed(vm.Name())
 		if !wasNotSent(err) {
 			return tier.NewUnknown(tier.UnknownLostReply), nil
 		}
@@ -103,7 +103,7 @@
 
 // bookingOwners lists the VMs that may run a booking on a shard: those of
 // the data centre of its first replica, then those of the others.
-func (f *Front) bookingOwners(set *tier.ShardSet, shard tier.Shard) []tier.VM {
+func (f *Coordinator) bookingOwners(set *tier.ShardSet, shard tier.Shard) []tier.VM {
 	var vms []tier.VM
 	seen := map[string]bool{}
 	for _, r := range shard.Replicas() {
@@ -120,10 +120,10 @@
 
 // notRun is the end of a booking that this VM did not send. Unless the caller
 // vouches for the first sending, an earlier one with its key may have run.
-func notRun(b Booking, r tier.RefuseReason, retryAfter tier.Millis) Receipt {
+func notRun(b Booking, r tier.RefuseReason, retryAfter tier.Millis) BookingResult {
 	refused := tier.NewRefused(r, retryAfter)
 	if b.first || b.idempotencyKey == "" {
-		return NewReceipt(refused, b.idempotencyKey)
+		return NewBookingResult(refused, b.idempotencyKey)
 	}
-	return NewReceipt(tier.NewUnknownEarlier(refused), b.idempotencyKey)
+	return NewBookingResult(tier.NewUnknownEarlier(refused), b.idempotencyKey)
 }
--- a/cicadagraded/asker/budgets.go
+++ b/cicadagraded/coordinator/budgets.go
@@ -1,4 +1,4 @@
-package asker
+package coordinator
 
 import (
 	"sync"
--- a/cicadagraded/asker/front.go
+++ b/cicadagraded/coordinator/front.go
@@ -1,4 +1,4 @@
-package asker
+package coordinator
 
 import (
 	"context"
@@ -15,9 +15,9 @@
 	// Owners lists the VMs that may run a set's parts in a data centre, the
 	// preferred one first. Turn spreads requests over several owners.
 	Owners(set, dataCentre string, turn uint64) []tier.VM
-	// Failed notes that a VM did not answer a request, Answered that it did.
-	Failed(vm string)
-	Answered(vm string)
+	// MarkFailed notes that a VM did not answer a request, Answered that it did.
+	MarkFailed(vm string)
+	MarkAnswered(vm string)
 	// Admit reports whether owners' published thresholds let a request of
 	// this rank in; otherwise when to come back.
 	Admit(set string, rank tier.Rank) (retryAfter tier.Millis, ok bool)
@@ -27,12 +27,12 @@
 // are *NotSentError when the part never reached the VM, or any other when it
 // may have.
 type Messenger interface {
-	Ask(ctx context.Context, vm tier.VM, set string, s owner.Search) (owner.End, error)
-	Book(ctx context.Context, vm tier.VM, b Forwarded) (tier.Outcome, error)
+	Ask(ctx context.Context, vm tier.VM, set string, s owner.Search) (owner.PartResult, error)
+	Book(ctx context.Context, vm tier.VM, b ForwardedBooking) (tier.Outcome, error)
 }
 
-// Claims lets bookings run at most once.
-type Claims interface {
+// Claimer lets bookings run at most once.
+type Claimer interface {
 	// Mint returns a key that only this life of this VM runs, or an empty one
 	// when the VM stops.
 	Mint(ctx context.Context) string
@@ -41,24 +41,24 @@
 	Book(ctx context.Context, b Booking, send func(context.Context) tier.Outcome) (tier.Outcome, error)
 }
 
-// Forwarded is a booking on its way to the owner of its shard.
-type Forwarded struct {
+// ForwardedBooking is a booking on its way to the owner of its shard.
+type ForwardedBooking struct {
 	Booking
 	shard  string
 	minted bool
 }
 
-// NewForwarded returns a booking for the owner of a shard; minted says that
+// NewForwardedBooking returns a booking for the owner of a shard; minted says that
 // the front minted its key.
-func NewForwarded(b Booking, shard string, minted bool) Forwarded {
-	return Forwarded{Booking: b, shard: shard, minted: minted}
+func NewForwardedBooking(b Booking, shard string, minted bool) ForwardedBooking {
+	return ForwardedBooking{Booking: b, shard: shard, minted: minted}
 }
 
 // Shard is the id of the shard that the booking runs on.
-func (f Forwarded) Shard() string { return f.shard }
+func (f ForwardedBooking) Shard() string { return f.shard }
 
 // Minted reports whether the front minted the idempotency key.
-func (f Forwarded) Minted() bool { return f.minted }
+func (f ForwardedBooking) Minted() bool { return f.minted }
 
 // NotSentError says that a part never reached the VM it was meant for.
 type NotSentError struct{ cause error }
@@ -72,25 +72,25 @@
 // Error names the cause.
 func (e *NotSentError) Error() string { return "not sent: " + e.cause.Error() }
 
-// Front asks the owners on behalf of callers.
-type Front struct {
+// Coordinator asks the owners on behalf of callers.
+type Coordinator struct {
 	dataCentre string
 	clock      *tier.Clock
 	directory  Directory
 	messenger  Messenger
-	claims     Claims
+	claims     Claimer
 	budgets    budgets
 	turn       atomic.Uint64
 }
 
 // New returns the front of a VM in a data centre.
-func New(dataCentre string, clock *tier.Clock, d Directory, m Messenger, c Claims) *Front {
-	return &Front{dataCentre: dataCentre, clock: clock, directory: d, messenger: m, claims: c}
+func New(dataCentre string, clock *tier.Clock, d Directory, m Messenger, c Claimer) *Coordinator {
+	return &Coordinator{dataCentre: dataCentre, clock: clock, directory: d, messenger: m, claims: c}
 }
 
 // The retry-after of requests that found nobody to run them.
 const noOwnerRetryAfter = 1 * tier.Second
 
-func refused(r tier.RefuseReason, retryAfter tier.Millis) Answer {
-	return Answer{outcome: tier.NewRefused(r, retryAfter)}
+func refused(r tier.RefuseReason, retryAfter tier.Millis) SearchResult {
+	return SearchResult{outcome: tier.NewRefused(r, retryAfter)}
 }
--- a/cicadagraded/asker/front_test.go
+++ b/cicadagraded/coordinator/front_test.go
@@ -1,4 +1,4 @@
-package asker_test
+package coordinator_test
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"math"
 	"testing"
 
-	"cicadagrade.example/cicadagraded/asker"
+	"cicadagrade.example/cicadagraded/coordinator"
 	"cicadagrade.example/cicadagraded/owner"
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/merger"
@@ -27,13 +27,13 @@
 	return []tier.VM{tier.NewVM("vm-1", dataCentre, "127.0.0.1:1")}
 }
 
-func (h *home) Failed(string) {}
+func (h *home) MarkFailed(string) {}
 
-func (h *home) Answered(string) {}
+func (h *home) MarkAnswered(string) {}
 
 func (h *home) Admit(string, tier.Rank) (tier.Millis, bool) { return 0, true }
 
-func (h *home) Ask(_ context.Context, _ tier.VM, _ string, s owner.Search) (owner.End, error) {
+func (h *home) Ask(_ context.Context, _ tier.VM, _ string, s owner.Search) (owner.PartResult, error) {
 	results := make([]merger.ShardResult, 0, len(s.Shards()))
 	for _, id := range s.Shards() {
 		results = append(results, merger.NewShardResult(id, []tier.Record{tier.NewRecord(id, "value")}))
@@ -41,7 +41,7 @@
 	return owner.NewDone(results, nil, len(results), 0), nil
 }
 
-func (h *home) Book(context.Context, tier.VM, asker.Forwarded) (tier.Outcome, error) {
+func (h *home) Book(context.Context, tier.VM, coordinator.ForwardedBooking) (tier.Outcome, error) {
 	return nil, nil
 }
 
@@ -72,14 +72,14 @@
 		b.Run(fmt.Sprintf("shards=%d", shards), func(b *testing.B) {
 			h := newHome(b, shards)
 			clock := tier.NewClock()
-			f := asker.New("here", clock, h, h, nil)
+			f := coordinator.New("here", clock, h, h, nil)
 			p, err := tier.NewProfile("gate", tier.WithRank(tier.Urgent))
 			if err != nil {
 				b.Fatal(err)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				a := f.Search(context.Background(), asker.NewSearch("r", p, "set", "term", clock.Now()+tier.Second))
+				a := f.Search(context.Background(), coordinator.NewSearch("r", p, "set", "term", clock.Now()+tier.Second))
 				if o, ok := a.Outcome().(*tier.Answered); !ok || len(o.Records()) != shards {
 					b.Fatalf("outcome %v", a.Outcome())
 				}
--- a/cicadagraded/asker/lost_test.go
+++ b/cicadagraded/coordinator/lost_test.go
@@ -1,4 +1,4 @@
-package asker_test
+package coordinator_test
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 
 	"github.com/pkg/errors"
 
-	"cicadagrade.example/cicadagraded/asker"
+	"cicadagrade.example/cicadagraded/coordinator"
 	"cicadagrade.example/cicadagraded/owner"
 	"cicadagrade.example/tier"
 )
@@ -15,14 +15,14 @@
 // have run, and the second does not run it.
 type lostOwner struct {
 	*home
-	second owner.End
+	second owner.PartResult
 }
 
 func (l *lostOwner) Owners(_, dataCentre string, _ uint64) []tier.VM {
 	return []tier.VM{tier.NewVM("lost", dataCentre, "127.0.0.1:1"), tier.NewVM("second", dataCentre, "127.0.0.1:2")}
 }
 
-func (l *lostOwner) Ask(_ context.Context, vm tier.VM, _ string, _ owner.Search) (owner.End, error) {
+func (l *lostOwner) Ask(_ context.Context, vm tier.VM, _ string, _ owner.Search) (owner.PartResult, error) {
 	if vm.Name() == "lost" {
 		return nil, errors.New("connection reset")
 	}
@@ -32,7 +32,7 @@
 // TestLostOwnerMayHaveRun: a search that a lost owner may have run is not
 // refused, whatever the next owner says.
 func TestLostOwnerMayHaveRun(t *testing.T) {
-	for name, second := range map[string]owner.End{
+	for name, second := range map[string]owner.PartResult{
 		"refuses":       owner.NewNotRun(tier.RefuseOverload, 0),
 		"has no server": owner.NewDone(nil, nil, 0, 0),
 	} {
@@ -42,7 +42,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		a := asker.New("here", clock, l, l, nil).Search(context.Background(), asker.NewSearch("r", p, "set", "term", clock.Now()+tier.Second))
+		a := coordinator.New("here", clock, l, l, nil).Search(context.Background(), coordinator.NewSearch("r", p, "set", "term", clock.Now()+tier.Second))
 		if _, ok := a.Outcome().(*tier.Unknown); !ok {
 			t.Errorf("the second owner %s: outcome %T", name, a.Outcome())
 		}
--- a/cicadagraded/asker/request.go
+++ b/cicadagraded/coordinator/request.go
@@ -1,6 +1,6 @@
-// Package asker is the front of a VM: it plans each caller's request, has the
+// Package coordinator is the front of a VM: it plans each caller's request, has the
 // owners of the shard set run it and puts the answer together.
-package asker
+package coordinator
 
 import "cicadagrade.example/tier"
 
@@ -18,21 +18,21 @@
 	return Search{id: id, profile: profile, set: set, term: term, deadline: deadline}
 }
 
-// Answer is the end of a search.
-type Answer struct {
+// SearchResult is the end of a search.
+type SearchResult struct {
 	outcome    tier.Outcome
 	leafCalls  int
 	extraCalls int
 }
 
 // Outcome says how it ended.
-func (a Answer) Outcome() tier.Outcome { return a.outcome }
+func (a SearchResult) Outcome() tier.Outcome { return a.outcome }
 
 // LeafCalls is how many calls to backend servers it took.
-func (a Answer) LeafCalls() int { return a.leafCalls }
+func (a SearchResult) LeafCalls() int { return a.leafCalls }
 
 // ExtraCalls is how many of them were hedges and retries.
-func (a Answer) ExtraCalls() int { return a.extraCalls }
+func (a SearchResult) ExtraCalls() int { return a.extraCalls }
 
 // Booking is a caller's request that may not be repeated.
 type Booking struct {
@@ -82,15 +82,15 @@
 // IdempotencyKey is the key that it may run under once.
 func (b Booking) IdempotencyKey() string { return b.idempotencyKey }
 
-// First reports whether the caller vouches never to have sent the key before.
-func (b Booking) First() bool { return b.first }
+// FirstSending reports whether the caller vouches never to have sent the key before.
+func (b Booking) FirstSending() bool { return b.first }
 
 // Deadline is absolute.
 func (b Booking) Deadline() tier.Millis { return b.deadline }
 
-// Receipt is the end of a booking: the outcome is *tier.Booked,
+// BookingResult is the end of a booking: the outcome is *tier.Booked,
 // *tier.Refused or *tier.Unknown.
-type Receipt struct {
+type BookingResult struct {
 	outcome        tier.Outcome
 	idempotencyKey string
 	ran            bool
@@ -98,23 +98,25 @@
 	shard          string
 }
 
-// NewReceipt returns the end of a booking under a key.
-func NewReceipt(o tier.Outcome, idempotencyKey string) Receipt {
-	return Receipt{outcome: o, idempotencyKey: idempotencyKey}
+// NewBookingResult returns the end of a booking under a key.
+func NewBookingResult(o tier.Outcome, idempotencyKey string) BookingResult {
+	return BookingResult{outcome: o, idempotencyKey: idempotencyKey}
 }
 
 // Outcome says how it ended.
-func (r Receipt) Outcome() tier.Outcome { return r.outcome }
+func (r BookingResult) Outcome() tier.Outcome { return r.outcome }
 
 // IdempotencyKey is the key it ran under.
-func (r Receipt) IdempotencyKey() string { return r.idempotencyKey }
+func (r BookingResult) IdempotencyKey() string { return r.idempotencyKey }
 
-// Where is the shard map and the shard of a booking that ran for this
+// ExecutedOn is the shard map and the shard of a booking that ran for this
 // request.
-func (r Receipt) Where() (e tier.Epoch, shard string, ok bool) { return r.epoch, r.shard, r.ran }
+func (r BookingResult) ExecutedOn() (e tier.Epoch, shard string, ok bool) {
+	return r.epoch, r.shard, r.ran
+}
 
 // at notes where a booking ran.
-func (r Receipt) at(set *tier.ShardSet, shard tier.Shard) Receipt {
+func (r BookingResult) at(set *tier.ShardSet, shard tier.Shard) BookingResult {
 	b, ok := r.outcome.(*tier.Booked)
 	r.ran = ok && !b.Repeated()
 	r.epoch = set.Epoch()
--- a/cicadagraded/asker/search.go
+++ b/cicadagraded/coordinator/search.go
@@ -1,4 +1,4 @@
-package asker
+package coordinator
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"cicadagrade.example/cicadagraded/owner"
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/planner"
-	"cicadagrade.example/tier/ring"
+	"cicadagrade.example/tier/queue"
 )
 
 // partEvents bounds the events of one search that wait for its plan.
@@ -18,21 +18,21 @@
 
 // run is one search while it runs.
 type run struct {
-	front   *Front
+	front   *Coordinator
 	search  Search
 	set     *tier.ShardSet
 	plan    *planner.Plan
-	events  *ring.Ring[planner.Event]
+	events  *queue.Queue[planner.Event]
 	group   *errgroup.Group
 	ctx     context.Context
 	cancels map[uint64]context.CancelFunc
-	answer  Answer
+	answer  SearchResult
 	calls   atomic.Int64
 	extra   atomic.Int64
 }
 
 // Search runs a search and returns its answer at once when it is settled.
-func (f *Front) Search(ctx context.Context, s Search) Answer {
+func (f *Coordinator) Search(ctx context.Context, s Search) SearchResult {
 	set, ok := f.directory.Set(s.set)
 	if !ok {
 		return refused(tier.RefuseNoConfig, 0)
@@ -47,7 +47,7 @@
 		front:   f,
 		search:  s,
 		set:     set,
-		events:  ring.New[planner.Event](partEvents),
+		events:  queue.New[planner.Event](partEvents),
 		group:   group,
 		ctx:     inner,
 		cancels: map[uint64]context.CancelFunc{},
@@ -70,7 +70,7 @@
 			timer.Reset(max(next-r.front.clock.Now(), 0).Duration())
 		}
 		select {
-		case e := <-r.events.Out():
+		case e := <-r.events.Chan():
 			r.step(e)
 		case <-timer.C:
 			r.step(&planner.Tick{})
@@ -129,11 +129,11 @@
 	for _, vm := range vms[:min(len(vms), maxOwnersTried)] {
 		end, err := r.front.messenger.Ask(ctx, vm, r.set.Name(), s)
 		if err == nil {
-			r.front.directory.Answered(vm.Name())
+			r.front.directory.MarkAnswered(vm.Name())
 			return r.ended(a, end, sent)
 		}
 		if r.ctx.Err() == nil {
-			r.front.directory.Failed(vm.Name())
+			r.front.directory.MarkFailed(vm.Name())
 		}
 		if ctx.Err() != nil {
 			return planner.NewPartFailed(a.Part(), tier.MissDeadline)
@@ -143,7 +143,7 @@
 	if !sent {
 		return planner.NewPartRefused(a.Part(), tier.RefuseUnreachable, 0)
 	}
-	return planner.NewPartFailed(a.Part(), tier.MissCutOff)
+	return planner.NewPartFailed(a.Part(), tier.MissUnreachable)
 }
 
 // maxOwnersTried bounds the owners that are tried for one part.
@@ -151,17 +151,17 @@
 
 // ended turns an owner's end of a part into the plan's event. Lost says that
 // an owner asked before was lost and may have made leaf calls.
-func (r *run) ended(a *planner.SendPart, e owner.End, lost bool) planner.Event {
+func (r *run) ended(a *planner.SendPart, e owner.PartResult, lost bool) planner.Event {
 	switch e := e.(type) {
 	case *owner.Done:
-		calls := e.Calls()
+		calls := e.LeafCalls()
 		if lost {
 			calls = max(calls, 1)
 		}
-		r.calls.Add(int64(e.Calls()))
+		r.calls.Add(int64(e.LeafCalls()))
 		r.extra.Add(int64(e.ExtraCalls()))
-		held := make([]planner.HeldVersions, 0, len(e.Held()))
-		for _, h := range e.Held() {
+		held := make([]planner.HeldVersions, 0, len(e.Holdings()))
+		for _, h := range e.Holdings() {
 			held = append(held, planner.NewHeldVersions(h.Shard(), h.Epoch(), h.Versions()))
 		}
 		return planner.NewPartReplied(a.Part(), a.Snapshot(), e.Results(), held, calls)
--- a/cicadagraded/handler/book.go
+++ b/cicadagraded/handler/book.go
@@ -4,7 +4,7 @@
 	"github.com/labstack/echo/v4"
 	"github.com/pkg/errors"
 
-	"cicadagrade.example/cicadagraded/asker"
+	"cicadagrade.example/cicadagraded/coordinator"
 	"cicadagrade.example/tier"
 )
 
@@ -17,7 +17,7 @@
 	}
 	c.Set(requestIDKey, q.RequestID)
 	c.Set(earlierKey, q.IdempotencyKey != "" && !q.FirstSending)
-	end, ok := h.admission.Enter("book " + q.RequestID)
+	end, ok := h.admission.Begin("book " + q.RequestID)
 	if !ok {
 		return errors.WithStack(&busyError{})
 	}
@@ -29,7 +29,7 @@
 	if err != nil {
 		return errors.Wrap(err, "Handler.book")
 	}
-	b := asker.NewBooking(q.RequestID, p, q.Set, q.RecordKey, q.Body, h.deadline(p, q.DeadlineMs), asker.WithIdempotencyKey(q.IdempotencyKey, q.FirstSending))
+	b := coordinator.NewBooking(q.RequestID, p, q.Set, q.RecordKey, q.Body, h.deadline(p, q.DeadlineMs), coordinator.WithIdempotencyKey(q.IdempotencyKey, q.FirstSending))
 	r, err := h.front.Book(c.Request().Context(), b)
 	if err != nil {
 		return errors.Wrap(err, "Handler.book")
@@ -43,7 +43,7 @@
 		w.Receipt = o.Receipt()
 		w.Repeated = o.Repeated()
 	}
-	if epoch, shard, ok := r.Where(); ok {
+	if epoch, shard, ok := r.ExecutedOn(); ok {
 		w.Snapshot = wireSnapshot(tier.NewSnapshot(epoch, 0))
 		w.Coverage = wireCoverage(tier.NewCoverage([]string{shard}, nil))
 	}
--- a/cicadagraded/handler/connection_test.go
+++ b/cicadagraded/handler/connection_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"cicadagrade.example/cicadagraded/asker"
+	"cicadagrade.example/cicadagraded/coordinator"
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/parser"
 )
@@ -22,18 +22,18 @@
 // caller was taken for gone meanwhile.
 type slowFront struct{ gone chan bool }
 
-func (f slowFront) Search(ctx context.Context, _ asker.Search) asker.Answer {
+func (f slowFront) Search(ctx context.Context, _ coordinator.Search) coordinator.SearchResult {
 	select {
 	case <-ctx.Done():
 		f.gone <- true
 	case <-time.After(3 * shortBodyTimeout.Duration()):
 		f.gone <- false
 	}
-	return asker.Answer{}
+	return coordinator.SearchResult{}
 }
 
-func (f slowFront) Book(context.Context, asker.Booking) (asker.Receipt, error) {
-	return asker.Receipt{}, nil
+func (f slowFront) Book(context.Context, coordinator.Booking) (coordinator.BookingResult, error) {
+	return coordinator.BookingResult{}, nil
 }
 
 func startSlow(t *testing.T) (*httptest.Server, slowFront) {
--- a/cicadagraded/handler/errors.go
+++ b/cicadagraded/handler/errors.go
@@ -7,7 +7,7 @@
 	"github.com/labstack/echo/v4"
 	"github.com/pkg/errors"
 
-	"cicadagrade.example/cicadagraded/asker"
+	"cicadagrade.example/cicadagraded/coordinator"
 	"cicadagrade.example/tier"
 )
 
@@ -60,7 +60,7 @@
 		malformed *malformedError
 		missing   *notFoundError
 		tooLarge  *http.MaxBytesError
-		reused    *asker.KeyReusedError
+		reused    *coordinator.KeyReusedError
 		noConfig  *noConfigurationError
 		busy      *busyError
 		routed    *echo.HTTPError
--- a/cicadagraded/handler/search.go
+++ b/cicadagraded/handler/search.go
@@ -6,7 +6,7 @@
 	"github.com/labstack/echo/v4"
 	"github.com/pkg/errors"
 
-	"cicadagrade.example/cicadagraded/asker"
+	"cicadagrade.example/cicadagraded/coordinator"
 	"cicadagrade.example/tier"
 )
 
@@ -18,7 +18,7 @@
 		return err
 	}
 	c.Set(requestIDKey, q.RequestID)
-	end, ok := h.admission.Enter("search " + q.RequestID)
+	end, ok := h.admission.Begin("search " + q.RequestID)
 	if !ok {
 		return errors.WithStack(&busyError{})
 	}
@@ -30,7 +30,7 @@
 	if err != nil {
 		return errors.Wrap(err, "Handler.search")
 	}
-	s := asker.NewSearch(q.RequestID, p, q.Set, q.Term, h.deadline(p, q.DeadlineMs))
+	s := coordinator.NewSearch(q.RequestID, p, q.Set, q.Term, h.deadline(p, q.DeadlineMs))
 	a := h.front.Search(c.Request().Context(), s)
 	w := searchResponse{
 		common:         common{RequestID: q.RequestID, Rank: p.Rank().String()},
--- a/cicadagraded/handler/session_test.go
+++ b/cicadagraded/handler/session_test.go
@@ -17,7 +17,7 @@
 	"github.com/pkg/errors"
 	"github.com/sebdah/goldie/v2"
 
-	"cicadagrade.example/cicadagraded/asker"
+	"cicadagrade.example/cicadagraded/coordinator"
 	"cicadagrade.example/cicadagraded/owner"
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/merger"
@@ -94,9 +94,9 @@
 	return []tier.VM{tier.NewVM(dataCentre+"-1", dataCentre, "127.0.0.1:1")}
 }
 
-func (w *world) Failed(string) {}
+func (w *world) MarkFailed(string) {}
 
-func (w *world) Answered(string) {}
+func (w *world) MarkAnswered(string) {}
 
 func (w *world) Admit(string, tier.Rank) (tier.Millis, bool) {
 	if w.step.Admit != nil {
@@ -105,9 +105,9 @@
 	return 0, true
 }
 
-func (w *world) Enter(string) (func(), bool) { return func() {}, !w.step.Busy }
+func (w *world) Begin(string) (func(), bool) { return func() {}, !w.step.Busy }
 
-func (w *world) Ask(_ context.Context, vm tier.VM, _ string, s owner.Search) (owner.End, error) {
+func (w *world) Ask(_ context.Context, vm tier.VM, _ string, s owner.Search) (owner.PartResult, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	o := w.step.Owners[vm.DataCentre()]
@@ -115,7 +115,7 @@
 	w.clock.Advance(o.Takes)
 	switch {
 	case o.Unreachable:
-		return nil, asker.NewNotSentError(errors.New("refused"))
+		return nil, coordinator.NewNotSentError(errors.New("refused"))
 	case o.Lost:
 		return nil, errors.New("connection reset")
 	case o.Refuse != "":
@@ -140,18 +140,18 @@
 	return merger.NewShardResult(shard, records)
 }
 
-func (w *world) Book(_ context.Context, vm tier.VM, b asker.Forwarded) (tier.Outcome, error) {
+func (w *world) Book(_ context.Context, vm tier.VM, b coordinator.ForwardedBooking) (tier.Outcome, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	o := w.step.Owners[vm.DataCentre()]
 	w.asked = append(w.asked, fmt.Sprintf("book %s on %s key %s minted %t", vm.Name(), b.Shard(), b.IdempotencyKey(), b.Minted()))
 	switch {
 	case o.Unreachable:
-		return nil, asker.NewNotSentError(errors.New("refused"))
+		return nil, coordinator.NewNotSentError(errors.New("refused"))
 	case o.Lost:
 		return nil, errors.New("connection reset")
 	case o.Reused:
-		return nil, asker.NewKeyReusedError(b.IdempotencyKey())
+		return nil, coordinator.NewKeyReusedError(b.IdempotencyKey())
 	case o.Refuse != "":
 		return tier.NewRefused(tier.RefuseReason(o.Refuse), o.RetryAfter), nil
 	case o.Unknown != "":
@@ -165,7 +165,7 @@
 
 func (minter) Mint(context.Context) string { return "minted/vm-1/5/1" }
 
-func (minter) Book(ctx context.Context, _ asker.Booking, send func(context.Context) tier.Outcome) (tier.Outcome, error) {
+func (minter) Book(ctx context.Context, _ coordinator.Booking, send func(context.Context) tier.Outcome) (tier.Outcome, error) {
 	return send(ctx), nil
 }
 
@@ -203,8 +203,8 @@
 		t.Fatal(err)
 	}
 	w.set = d.Set()
-	front := asker.New(w.s.Home, w.clock.Clock(), w, w, minter{})
-	routes := New("vm-1", w.clock.Clock(), w, front, w, nil, WithMaxBody(2048)).Routes()
+	front := coordinator.New(w.s.Home, w.clock.Clock(), w, w, minter{})
+	routes := New("vm-1", w.clock.Clock(), w, front, w, nil, WithMaxBodyBytes(2048)).Routes()
 	var out bytes.Buffer
 	for _, step := range w.s.Steps {
 		w.step, w.asked = step, nil
--- a/cicadagraded/handler/status.go
+++ b/cicadagraded/handler/status.go
@@ -124,12 +124,12 @@
 }
 
 func wireOwner(o owner.Status) ownerStatus {
-	core := o.Core()
+	core := o.Dispatcher()
 	n := core.Counters()
 	w := ownerStatus{
 		Set: o.Set(), Owned: o.Owned, Epoch: o.Epoch(), Parts: o.Parts(),
 		HedgeTokens: core.HedgeTokens(), LeafCalls: n.Calls(), ExtraLeafCalls: n.ExtraCalls(),
-		Rejected: o.Rejected(), Ranks: []rankStatus{}, Servers: []backendStatus{},
+		Rejected: o.RejectedReplies(), Ranks: []rankStatus{}, Servers: []backendStatus{},
 	}
 	for _, r := range tier.Ranks {
 		w.Ranks = append(w.Ranks, rankStatus{
--- a/cicadagraded/locator/bench_test.go
+++ b/cicadagraded/locator/bench_test.go
@@ -44,7 +44,7 @@
 	l.Update(list, members, everywhere)
 	for _, s := range list {
 		o := l.Owners(s.Name(), "here", 0)[0]
-		l.Reported(s.Name(), o.Name(), r, true)
+		l.UpdateReport(s.Name(), o.Name(), r, true)
 	}
 	return l, list, members, r
 }
@@ -58,7 +58,7 @@
 			l, list, _, r := fleet(b, sets)
 			vm := l.Owners(list[0].Name(), "here", 0)[0].Name()
 			for b.Loop() {
-				l.Reported(list[0].Name(), vm, r, true)
+				l.UpdateReport(list[0].Name(), vm, r, true)
 			}
 		})
 	}
--- a/cicadagraded/locator/candidates.go
+++ b/cicadagraded/locator/candidates.go
@@ -8,13 +8,13 @@
 	"cicadagrade.example/tier/picker"
 )
 
-// Announced notes who owns a set in another data centre, of which this VM may
+// UpdateRemoteOwner notes who owns a set in another data centre, of which this VM may
 // know only few members, and that owner's report.
-func (l *Locator) Announced(set string, index int, vm tier.VM, r owner.Report) {
+func (l *Locator) UpdateRemoteOwner(set string, index int, vm tier.VM, r owner.Report) {
 	l.mu.Lock()
 	l.announced[announcedKey{set, vm.DataCentre(), index}] = vm
 	l.mu.Unlock()
-	l.Reported(set, vm.Name(), r, true)
+	l.UpdateReport(set, vm.Name(), r, true)
 }
 
 // candidates lists the VMs that may run parts of a set in a data centre: the
@@ -32,7 +32,7 @@
 			add(vm)
 		}
 	}
-	for _, vm := range picker.Owners(s.Name(), dataCentre, l.members, max(maxCandidates, s.Owners())) {
+	for _, vm := range picker.Owners(s.Name(), dataCentre, l.members, max(maxCandidates, s.OwnerCount())) {
 		add(vm)
 	}
 	for _, vm := range l.members {
--- a/cicadagraded/locator/locator.go
+++ b/cicadagraded/locator/locator.go
@@ -123,8 +123,8 @@
 	l.rebuild()
 }
 
-// Reported notes an owner's report, or forgets it when ok is false.
-func (l *Locator) Reported(set, vm string, r owner.Report, ok bool) {
+// UpdateReport notes an owner's report, or forgets it when ok is false.
+func (l *Locator) UpdateReport(set, vm string, r owner.Report, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := reportKey{set: set, vm: vm}
@@ -198,7 +198,7 @@
 		}
 		if r, ok := h.under(s.Epoch()); ok {
 			p.merge(s, r)
-			p.reported[vm.Name()] = r.Informed()
+			p.reported[vm.Name()] = r.HasHoldings()
 		}
 	}
 	return p
--- a/cicadagraded/locator/locator_test.go
+++ b/cicadagraded/locator/locator_test.go
@@ -43,16 +43,16 @@
 		}
 	}
 	l.Update([]*tier.ShardSet{newSet(t, 1, "old")}, members, reachable)
-	l.Reported("portao", "caxias-1", report(t, 1, `{"versions":[7],"runs":[[0,1]]}`), true)
+	l.UpdateReport("portao", "caxias-1", report(t, 1, `{"versions":[7],"runs":[[0,1]]}`), true)
 	check("at first", "old", 1, 1)
 	l.Update([]*tier.ShardSet{newSet(t, 2, "new")}, members, reachable)
 	check("before the owner's report", "old", 1, 1)
 	if s, ok := l.Earlier("portao"); !ok || s.Epoch() != 1 {
 		t.Errorf("the former map is not kept: %v", s)
 	}
-	l.Reported("portao", "caxias-1", report(t, 2, ""), true)
+	l.UpdateReport("portao", "caxias-1", report(t, 2, ""), true)
 	check("before a server holds it", "old", 1, 1)
-	l.Reported("portao", "caxias-1", report(t, 2, `{"versions":[7],"runs":[[0,1]]}`), true)
+	l.UpdateReport("portao", "caxias-1", report(t, 2, `{"versions":[7],"runs":[[0,1]]}`), true)
 	check("once it is held", "new", 2, 1)
 }
 
@@ -65,7 +65,9 @@
 	vm := func(name string, s tier.VMState) tier.VM {
 		return tier.NewVM(name, "serra-caxias", "127.0.0.1:1", tier.WithVMState(s))
 	}
-	informed := func(name string) { l.Reported("portao", name, report(t, 1, `{"versions":[7],"runs":[[0,1]]}`), true) }
+	informed := func(name string) {
+		l.UpdateReport("portao", name, report(t, 1, `{"versions":[7],"runs":[[0,1]]}`), true)
+	}
 	first := func() string { return l.Owners("portao", "serra-caxias", 0)[0].Name() }
 	l.Update([]*tier.ShardSet{set}, []tier.VM{vm("old", tier.VMLeaving), vm("new", tier.VMLive)}, func(string) bool { return true })
 	informed("old")
@@ -76,20 +78,20 @@
 	if first() != "new" {
 		t.Errorf("asks %s, want the owner", first())
 	}
-	l.Failed("new")
+	l.MarkFailed("new")
 	if first() != "old" {
 		t.Errorf("asks %s, which did not answer", first())
 	}
-	clock.Advance(locator.SuspectFor)
+	clock.Advance(locator.InitialSuspicion)
 	if first() != "new" {
 		t.Errorf("asks %s, want the owner again", first())
 	}
-	l.Failed("new")
-	clock.Advance(locator.SuspectFor)
+	l.MarkFailed("new")
+	clock.Advance(locator.InitialSuspicion)
 	if first() != "old" {
 		t.Errorf("asks %s, which failed twice", first())
 	}
-	l.Answered("new")
+	l.MarkAnswered("new")
 	if first() != "new" {
 		t.Errorf("asks %s, want the owner that answers", first())
 	}
@@ -101,7 +103,7 @@
 	l := locator.New(tier.NewManualClock(0).Clock())
 	vm := tier.NewVM("caxias-1", "serra-caxias", "127.0.0.1:2", tier.WithVMState(tier.VMLive))
 	l.Update([]*tier.ShardSet{newSet(t, 1, "s0")}, []tier.VM{vm}, func(string) bool { return true })
-	l.Threshold("portao", "caxias-1", admitter.NewThreshold([3]float64{1, 1, 0}, [3]tier.Millis{0, 0, 700}))
+	l.UpdateThreshold("portao", "caxias-1", admitter.NewThreshold([3]float64{1, 1, 0}, [3]tier.Millis{0, 0, 700}))
 	if wait, ok := l.Admit("portao", tier.Urgent); !ok {
 		t.Errorf("urgent refused for %d ms", wait)
 	}
@@ -112,7 +114,7 @@
 	if wait < 700 || wait > 1051 {
 		t.Errorf("reports may come after %d ms, want 700 to 1051", wait)
 	}
-	l.Threshold("portao", "caxias-1", admitter.AdmitAll())
+	l.UpdateThreshold("portao", "caxias-1", admitter.AdmitAll())
 	if _, ok := l.Admit("portao", tier.Reports); !ok {
 		t.Error("reports refused though the owner lets everything in")
 	}
@@ -129,7 +131,7 @@
 	sets := []*tier.ShardSet{newSet(t, 1, "s0")}
 	reachable := func(string) bool { return true }
 	l.Update(sets, []tier.VM{vm("caxias-9", tier.VMLive)}, reachable)
-	l.Announced("portao", 0, vm("caxias-200", tier.VMLive), report(t, 1, `{"versions":[7],"runs":[[0,1]]}`))
+	l.UpdateRemoteOwner("portao", 0, vm("caxias-200", tier.VMLive), report(t, 1, `{"versions":[7],"runs":[[0,1]]}`))
 	if _, v := l.Versions("portao", "serra-caxias", "s0"); len(v) != 1 {
 		t.Errorf("versions %v", v)
 	}
@@ -142,8 +144,8 @@
 	}
 	replaced := vm("caxias-200", tier.VMLive).With(tier.WithIncarnation(9))
 	l.Update(sets, []tier.VM{vm("caxias-9", tier.VMLive), replaced}, reachable)
-	l.Reported("portao", "caxias-200", owner.Report{}, false)
-	l.Reported("portao", "caxias-9", report(t, 1, `{"versions":[7],"runs":[[0,1]]}`), true)
+	l.UpdateReport("portao", "caxias-200", owner.Report{}, false)
+	l.UpdateReport("portao", "caxias-9", report(t, 1, `{"versions":[7],"runs":[[0,1]]}`), true)
 	if got := l.Owners("portao", "serra-caxias", 0)[0].Name(); got != "caxias-9" {
 		t.Errorf("asks %s, which began another life and owns nothing yet", got)
 	}
--- a/cicadagraded/locator/read.go
+++ b/cicadagraded/locator/read.go
@@ -28,9 +28,9 @@
 	return p.epoch, p.versions[shard]
 }
 
-// Informed reports whether each set's holdings are known in every data centre
+// HoldingsKnown reports whether each set's holdings are known in every data centre
 // that is reachable and has live VMs.
-func (l *Locator) Informed() bool {
+func (l *Locator) HoldingsKnown() bool {
 	v := l.current.Load()
 	for k, p := range v.places {
 		if v.reachable[k.dataCentre] && len(p.candidates) > 0 && len(p.versions) == 0 {
@@ -63,8 +63,8 @@
 	return l.order(p, append(out, p.candidates[n:]...))
 }
 
-// Threshold notes the threshold that an owner gave with a reply or a report.
-func (l *Locator) Threshold(set, vm string, t admitter.Threshold) {
+// UpdateThreshold notes the threshold that an owner gave with a reply or a report.
+func (l *Locator) UpdateThreshold(set, vm string, t admitter.Threshold) {
 	l.admitMu.Lock()
 	defer l.admitMu.Unlock()
 	k := reportKey{set: set, vm: vm}
@@ -104,5 +104,5 @@
 // OwnerCount is how many VMs of a data centre split the slots of a set: as many
 // as its document says, if each server has a slot for each of them.
 func OwnerCount(s *tier.ShardSet, dataCentre string) int {
-	return min(s.Owners(), dispatcher.MaxOwners(s, dataCentre))
+	return min(s.OwnerCount(), dispatcher.MaxOwners(s, dataCentre))
 }
--- a/cicadagraded/locator/suspects.go
+++ b/cicadagraded/locator/suspects.go
@@ -9,8 +9,8 @@
 // Spans for which a VM that did not answer is asked last. The span doubles
 // with each further failure: gossip takes some seconds to tell that it is lost.
 const (
-	SuspectFor     = 2 * tier.Second
-	MaxSuspectSpan = 16 * tier.Second
+	InitialSuspicion = 2 * tier.Second
+	MaxSuspicion     = 16 * tier.Second
 )
 
 // suspicion is what is held against a VM that did not answer.
@@ -19,21 +19,21 @@
 	span  tier.Millis
 }
 
-// Failed notes that a VM did not answer a request.
-func (l *Locator) Failed(vm string) {
+// MarkFailed notes that a VM did not answer a request.
+func (l *Locator) MarkFailed(vm string) {
 	now := l.clock.Now()
-	next := suspicion{since: now, span: SuspectFor}
+	next := suspicion{since: now, span: InitialSuspicion}
 	if last, ok := l.suspected(vm); ok {
 		if now-last.since < last.span {
 			return
 		}
-		next.span = min(2*last.span, MaxSuspectSpan)
+		next.span = min(2*last.span, MaxSuspicion)
 	}
 	l.failed.Store(vm, next)
 }
 
-// Answered notes that a VM answered a request.
-func (l *Locator) Answered(vm string) {
+// MarkAnswered notes that a VM answered a request.
+func (l *Locator) MarkAnswered(vm string) {
 	if _, ok := l.failed.Load(vm); ok {
 		l.failed.Delete(vm)
 	}
--- a/cicadagraded/messenger/client.go
+++ b/cicadagraded/messenger/client.go
@@ -14,7 +14,7 @@
 
 	peerv1 "cicadagrade.example/api/peer/v1"
 	"cicadagrade.example/api/peer/v1/peerv1connect"
-	"cicadagrade.example/cicadagraded/asker"
+	"cicadagrade.example/cicadagraded/coordinator"
 	"cicadagrade.example/cicadagraded/owner"
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/admitter"
@@ -43,12 +43,12 @@
 // Option sets one part of a client.
 type Option func(*Client)
 
-// WithDialled sets the address that is dialled in place of a VM's own.
-func WithDialled(f func(address string) string) Option { return func(c *Client) { c.dialled = f } }
+// WithDialAddress sets the address that is dialled in place of a VM's own.
+func WithDialAddress(f func(address string) string) Option { return func(c *Client) { c.dialled = f } }
 
-// WithThresholds has heard told the threshold of admission that an owner gives
+// WithThresholdHandler has heard told the threshold of admission that an owner gives
 // with each reply.
-func WithThresholds(heard func(set, vm string, t admitter.Threshold)) Option {
+func WithThresholdHandler(heard func(set, vm string, t admitter.Threshold)) Option {
 	return func(c *Client) { c.heard = heard }
 }
 
@@ -95,7 +95,7 @@
 }
 
 // Ask has a VM run a part of a search.
-func (c *Client) Ask(ctx context.Context, vm tier.VM, set string, s owner.Search) (owner.End, error) {
+func (c *Client) Ask(ctx context.Context, vm tier.VM, set string, s owner.Search) (owner.PartResult, error) {
 	if vm.Name() == c.self.Name() {
 		end := c.local.search(ctx, set, s)
 		c.heard(set, vm.Name(), c.local.owners.Threshold(set))
@@ -107,13 +107,13 @@
 	}
 	c.heard(set, vm.Name(), fromAdmission(reply.Msg.GetAdmission()))
 	if got := fromPeerSnapshot(reply.Msg.GetSnapshot()); reply.Msg.GetRefusal() == nil && got != s.Snapshot() {
-		return nil, errors.Wrap(&CrossedError{want: s.Snapshot().String(), got: got.String()}, "Client.Ask")
+		return nil, errors.Wrap(&MismatchedReplyError{want: s.Snapshot().String(), got: got.String()}, "Client.Ask")
 	}
 	return fromAskReply(reply.Msg), nil
 }
 
 // Book has a VM run a booking. It is sent once.
-func (c *Client) Book(ctx context.Context, vm tier.VM, b asker.Forwarded) (tier.Outcome, error) {
+func (c *Client) Book(ctx context.Context, vm tier.VM, b coordinator.ForwardedBooking) (tier.Outcome, error) {
 	if vm.Name() == c.self.Name() {
 		return c.local.book(ctx, b)
 	}
@@ -122,7 +122,7 @@
 		return nil, errors.Wrap(bookError(err, b.IdempotencyKey()), "Client.Book")
 	}
 	if got := reply.Msg.GetIdempotencyKey(); got != b.IdempotencyKey() {
-		return nil, errors.Wrap(&CrossedError{want: b.IdempotencyKey(), got: got}, "Client.Book")
+		return nil, errors.Wrap(&MismatchedReplyError{want: b.IdempotencyKey(), got: got}, "Client.Book")
 	}
 	return fromBookReply(reply.Msg), nil
 }
@@ -140,7 +140,7 @@
 	}
 }
 
-func (c *Client) bookRequest(b asker.Forwarded) *peerv1.BookRequest {
+func (c *Client) bookRequest(b coordinator.ForwardedBooking) *peerv1.BookRequest {
 	return &peerv1.BookRequest{
 		Request:        b.ID(),
 		Front:          c.self.Name(),
@@ -149,7 +149,7 @@
 		Shard:          b.Shard(),
 		IdempotencyKey: b.IdempotencyKey(),
 		Minted:         b.Minted(),
-		First:          b.First(),
+		First:          b.FirstSending(),
 		RecordKey:      b.RecordKey(),
 		Body:           b.Body(),
 		Terms:          toTerms(b.Profile()),
--- a/cicadagraded/messenger/convert.go
+++ b/cicadagraded/messenger/convert.go
@@ -51,16 +51,16 @@
 	return records
 }
 
-func toAskReply(part uint64, s tier.Snapshot, e owner.End) *peerv1.AskReply {
+func toAskReply(part uint64, s tier.Snapshot, e owner.PartResult) *peerv1.AskReply {
 	w := &peerv1.AskReply{Part: part, Snapshot: toPeerSnapshot(s)}
 	switch e := e.(type) {
 	case *owner.Done:
-		w.LeafCalls = uint32(e.Calls())
+		w.LeafCalls = uint32(e.LeafCalls())
 		w.ExtraLeafCalls = uint32(e.ExtraCalls())
 		for _, r := range e.Results() {
 			w.Results = append(w.Results, toShardResult(r))
 		}
-		for _, h := range e.Held() {
+		for _, h := range e.Holdings() {
 			w.Held = append(w.Held, toHeld(h))
 		}
 	case *owner.NotRun:
@@ -103,7 +103,7 @@
 	}
 }
 
-func toHeld(h owner.Held) *peerv1.Held {
+func toHeld(h owner.HeldVersions) *peerv1.Held {
 	w := &peerv1.Held{Shard: h.Shard(), Epoch: uint64(h.Epoch())}
 	for _, v := range h.Versions() {
 		w.Versions = append(w.Versions, uint64(v))
@@ -111,7 +111,7 @@
 	return w
 }
 
-func fromAskReply(w *peerv1.AskReply) owner.End {
+func fromAskReply(w *peerv1.AskReply) owner.PartResult {
 	if r := w.GetRefusal(); r != nil {
 		return owner.NewNotRun(tier.RefuseReason(r.GetReason()), tier.Millis(r.GetRetryAfterMs()))
 	}
@@ -119,13 +119,13 @@
 	for _, r := range w.GetResults() {
 		results = append(results, fromShardResult(r))
 	}
-	held := make([]owner.Held, 0, len(w.GetHeld()))
+	held := make([]owner.HeldVersions, 0, len(w.GetHeld()))
 	for _, h := range w.GetHeld() {
 		versions := make([]tier.Version, 0, len(h.GetVersions()))
 		for _, v := range h.GetVersions() {
 			versions = append(versions, tier.Version(v))
 		}
-		held = append(held, owner.NewHeld(h.GetShard(), tier.Epoch(h.GetEpoch()), versions))
+		held = append(held, owner.NewHeldVersions(h.GetShard(), tier.Epoch(h.GetEpoch()), versions))
 	}
 	return owner.NewDone(results, held, int(w.GetLeafCalls()), int(w.GetExtraLeafCalls()))
 }
--- a/cicadagraded/messenger/errors.go
+++ b/cicadagraded/messenger/errors.go
@@ -7,15 +7,15 @@
 	"connectrpc.com/connect"
 	"github.com/pkg/errors"
 
-	"cicadagrade.example/cicadagraded/asker"
+	"cicadagrade.example/cicadagraded/coordinator"
 )
 
-// CrossedError says that a VM answered another request than the one it was
+// MismatchedReplyError says that a VM answered another request than the one it was
 // sent.
-type CrossedError struct{ want, got string }
+type MismatchedReplyError struct{ want, got string }
 
 // Error names what was wanted and what came.
-func (e *CrossedError) Error() string {
+func (e *MismatchedReplyError) Error() string {
 	return fmt.Sprintf("crossed reply: want %q, got %q", e.want, e.got)
 }
 
@@ -25,10 +25,10 @@
 func sentError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return asker.NewNotSentError(err)
+		return coordinator.NewNotSentError(err)
 	}
 	if connect.IsWireError(err) && connect.CodeOf(err) == connect.CodeUnavailable {
-		return asker.NewNotSentError(err)
+		return coordinator.NewNotSentError(err)
 	}
 	return err
 }
@@ -36,14 +36,14 @@
 // bookError is sentError, or the owner's word that the key is reused.
 func bookError(err error, key string) error {
 	if connect.IsWireError(err) && connect.CodeOf(err) == connect.CodeAlreadyExists {
-		return asker.NewKeyReusedError(key)
+		return coordinator.NewKeyReusedError(key)
 	}
 	return sentError(err)
 }
 
 // wireBookError is the inverse of bookError.
 func wireBookError(err error) error {
-	var reused *asker.KeyReusedError
+	var reused *coordinator.KeyReusedError
 	if errors.As(err, &reused) {
 		return connect.NewError(connect.CodeAlreadyExists, reused)
 	}
--- a/cicadagraded/messenger/server.go
+++ b/cicadagraded/messenger/server.go
@@ -9,7 +9,7 @@
 
 	peerv1 "cicadagrade.example/api/peer/v1"
 	"cicadagrade.example/api/peer/v1/peerv1connect"
-	"cicadagrade.example/cicadagraded/asker"
+	"cicadagrade.example/cicadagraded/coordinator"
 	"cicadagrade.example/cicadagraded/owner"
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/admitter"
@@ -17,14 +17,14 @@
 
 // Owners runs parts of searches on this VM.
 type Owners interface {
-	Search(ctx context.Context, set string, s owner.Search) owner.End
+	Search(ctx context.Context, set string, s owner.Search) owner.PartResult
 	// Threshold is the threshold of admission of a set's owner here.
 	Threshold(set string) admitter.Threshold
 }
 
 // Booker runs bookings on this VM, each at most once.
 type Booker interface {
-	Book(ctx context.Context, b asker.Forwarded) (tier.Outcome, error)
+	Book(ctx context.Context, b coordinator.ForwardedBooking) (tier.Outcome, error)
 }
 
 // Exchanger answers gossip.
@@ -71,7 +71,7 @@
 	snapshot := fromPeerSnapshot(r.Msg.GetSnapshot())
 	deadline := s.clock.Now() + tier.Millis(r.Msg.GetDeadlineMs())
 	end := s.search(ctx, r.Msg.GetSet(), owner.NewSearch(p, snapshot, r.Msg.GetShards(), r.Msg.GetTerm(), deadline))
-	if _, ok := end.(*owner.Unsure); ok {
+	if _, ok := end.(*owner.Unknown); ok {
 		return nil, connect.NewError(connect.CodeDeadlineExceeded, errors.New("the part was given up"))
 	}
 	reply := toAskReply(r.Msg.GetPart(), snapshot, end)
@@ -80,7 +80,7 @@
 	return connect.NewResponse(reply), nil
 }
 
-func (s *Server) search(ctx context.Context, set string, q owner.Search) owner.End {
+func (s *Server) search(ctx context.Context, set string, q owner.Search) owner.PartResult {
 	return s.owners.Search(ctx, set, q)
 }
 
@@ -93,9 +93,9 @@
 	}
 	m := r.Msg
 	deadline := s.clock.Now() + tier.Millis(m.GetDeadlineMs())
-	b := asker.NewBooking(m.GetRequest(), p, m.GetSet(), m.GetRecordKey(), m.GetBody(), deadline,
-		asker.WithIdempotencyKey(m.GetIdempotencyKey(), m.GetFirst()))
-	o, err := s.book(ctx, asker.NewForwarded(b, m.GetShard(), m.GetMinted()))
+	b := coordinator.NewBooking(m.GetRequest(), p, m.GetSet(), m.GetRecordKey(), m.GetBody(), deadline,
+		coordinator.WithIdempotencyKey(m.GetIdempotencyKey(), m.GetFirst()))
+	o, err := s.book(ctx, coordinator.NewForwardedBooking(b, m.GetShard(), m.GetMinted()))
 	if err != nil {
 		return nil, wireBookError(err)
 	}
@@ -105,6 +105,6 @@
 	return connect.NewResponse(reply), nil
 }
 
-func (s *Server) book(ctx context.Context, b asker.Forwarded) (tier.Outcome, error) {
+func (s *Server) book(ctx context.Context, b coordinator.ForwardedBooking) (tier.Outcome, error) {
 	return s.booker.Book(ctx, b)
 }
--- a/cicadagraded/observe.go
+++ b/cicadagraded/observe.go
@@ -120,16 +120,16 @@
 
 func ownedPoint(s owner.Status) int64    { return flag(s.Owned) }
 func partsPoint(s owner.Status) int64    { return int64(s.Parts()) }
-func tokensPoint(s owner.Status) int64   { return int64(s.Core().HedgeTokens() * permille) }
-func callsPoint(s owner.Status) int64    { return int64(s.Core().Counters().Calls()) }
-func extraPoint(s owner.Status) int64    { return int64(s.Core().Counters().ExtraCalls()) }
-func failedPoint(s owner.Status) int64   { return int64(s.Core().Counters().FailedCalls()) }
-func notRunPoint(s owner.Status) int64   { return int64(s.Core().Counters().NotRunCalls()) }
-func rejectedPoint(s owner.Status) int64 { return int64(s.Rejected()) }
+func tokensPoint(s owner.Status) int64   { return int64(s.Dispatcher().HedgeTokens() * permille) }
+func callsPoint(s owner.Status) int64    { return int64(s.Dispatcher().Counters().Calls()) }
+func extraPoint(s owner.Status) int64    { return int64(s.Dispatcher().Counters().ExtraCalls()) }
+func failedPoint(s owner.Status) int64   { return int64(s.Dispatcher().Counters().FailedCalls()) }
+func notRunPoint(s owner.Status) int64   { return int64(s.Dispatcher().Counters().NotRunCalls()) }
+func rejectedPoint(s owner.Status) int64 { return int64(s.RejectedReplies()) }
 
 func usedPoint(s owner.Status) int64 {
 	n := 0
-	for _, b := range s.Core().Servers() {
+	for _, b := range s.Dispatcher().Servers() {
 		n += b.UsedSlots()
 	}
 	return int64(n)
@@ -137,21 +137,21 @@
 
 func limitPoint(s owner.Status) int64 {
 	n := 0
-	for _, b := range s.Core().Servers() {
+	for _, b := range s.Dispatcher().Servers() {
 		n += b.SlotLimit()
 	}
 	return int64(n)
 }
 
-func queuePoint(s owner.Status, r tier.Rank) int64 { return int64(s.Core().Queued(r)) }
-func waitPoint(s owner.Status, r tier.Rank) int64  { return int64(s.Core().DrainTime(r)) }
+func queuePoint(s owner.Status, r tier.Rank) int64 { return int64(s.Dispatcher().Queued(r)) }
+func waitPoint(s owner.Status, r tier.Rank) int64  { return int64(s.Dispatcher().DrainTime(r)) }
 
 func admittedPoint(s owner.Status, r tier.Rank) int64 {
-	return int64(s.Core().Threshold().Fraction(r) * permille)
+	return int64(s.Dispatcher().Threshold().Fraction(r) * permille)
 }
 
 func refusedPoint(s owner.Status, r tier.Rank) int64 {
-	return int64(s.Core().Counters().Refused(r))
+	return int64(s.Dispatcher().Counters().Refused(r))
 }
 
 func flag(on bool) int64 {
@@ -191,7 +191,7 @@
 	var out []meter.Point
 	for _, s := range o.owners() {
 		counts := map[tier.BackendState]int64{}
-		for _, b := range s.Core().Servers() {
+		for _, b := range s.Dispatcher().Servers() {
 			counts[b.State()]++
 		}
 		for state, n := range counts {
@@ -238,7 +238,7 @@
 }
 
 func (o *observer) watcher() []meter.Point {
-	return []meter.Point{meter.NewPoint(flag(o.daemon.config.Status().Watcher()))}
+	return []meter.Point{meter.NewPoint(flag(o.daemon.config.Status().WatchesStore()))}
 }
 
 func (o *observer) configurationCalls() []meter.Point {
--- a/cicadagraded/owner/bench_test.go
+++ b/cicadagraded/owner/bench_test.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sync/errgroup"
 
 	backendv1 "cicadagrade.example/api/backend/v1"
-	"cicadagrade.example/cicadagraded/dialer"
+	"cicadagrade.example/cicadagraded/backendclient"
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/prober"
 )
@@ -41,16 +41,16 @@
 	for _, shards := range benchShards {
 		b.Run(fmt.Sprintf("shards=%d", shards), func(b *testing.B) {
 			set := leafSet(b, &leaf{}, shards, 2)
-			var links []*dialer.Link
+			var links []*backendclient.Client
 			for _, s := range set.Servers() {
-				links = append(links, dialer.NewLink(s, s.Slots()))
+				links = append(links, backendclient.New(s, s.Slots()))
 			}
 			perCall(b, shards, func() { bare(b, links) })
 		})
 	}
 }
 
-func bare(b *testing.B, links []*dialer.Link) {
+func bare(b *testing.B, links []*backendclient.Client) {
 	g, ctx := errgroup.WithContext(context.Background())
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -85,7 +85,7 @@
 // idleOwner is an owner whose loop does not run.
 func idleOwner(b *testing.B, n int) *Owner {
 	set := leafSet(b, &leaf{}, n, 2)
-	o := New(NewIdentity("vm-1", "here", 1), tier.NewClock(), set, nil, testOutlet(nil))
+	o := New(NewIdentity("vm-1", "here", 1), tier.NewClock(), set, nil, testPublisher(nil))
 	for _, s := range set.Servers() {
 		p, err := prober.New(s.Name())
 		if err != nil {
@@ -95,7 +95,7 @@
 		o.probers[s.Name()] = p
 	}
 	for _, h := range set.Shards() {
-		o.noteHolding(h.Replicas()[0], Held{shard: h.ID(), epoch: 1, versions: []tier.Version{1}})
+		o.noteHolding(h.Replicas()[0], HeldVersions{shard: h.ID(), epoch: 1, versions: []tier.Version{1}})
 	}
 	return o
 }
--- a/cicadagraded/owner/convert.go
+++ b/cicadagraded/owner/convert.go
@@ -5,26 +5,26 @@
 	"cicadagrade.example/tier"
 )
 
-// Held says which index versions of a shard are held under an epoch.
-type Held struct {
+// HeldVersions says which index versions of a shard are held under an epoch.
+type HeldVersions struct {
 	shard    string
 	epoch    tier.Epoch
 	versions []tier.Version
 }
 
-// NewHeld returns what is held of a shard.
-func NewHeld(shard string, e tier.Epoch, versions []tier.Version) Held {
-	return Held{shard: shard, epoch: e, versions: versions}
+// NewHeldVersions returns what is held of a shard.
+func NewHeldVersions(shard string, e tier.Epoch, versions []tier.Version) HeldVersions {
+	return HeldVersions{shard: shard, epoch: e, versions: versions}
 }
 
 // Shard is the id of the shard.
-func (h Held) Shard() string { return h.shard }
+func (h HeldVersions) Shard() string { return h.shard }
 
 // Epoch is the epoch of the shard map.
-func (h Held) Epoch() tier.Epoch { return h.epoch }
+func (h HeldVersions) Epoch() tier.Epoch { return h.epoch }
 
 // Versions are the index versions.
-func (h Held) Versions() []tier.Version { return h.versions }
+func (h HeldVersions) Versions() []tier.Version { return h.versions }
 
 func toRecords(l []*backendv1.Record) []tier.Record {
 	records := make([]tier.Record, 0, len(l))
@@ -38,7 +38,7 @@
 	return tier.NewSnapshot(tier.Epoch(s.GetEpoch()), tier.Version(s.GetVersion()))
 }
 
-func toHeld(h *backendv1.Holding) *Held {
+func toHeld(h *backendv1.Holding) *HeldVersions {
 	if h == nil {
 		return nil
 	}
@@ -46,7 +46,7 @@
 	for _, v := range h.GetVersions() {
 		versions = append(versions, tier.Version(v))
 	}
-	return &Held{shard: h.GetShard(), epoch: tier.Epoch(h.GetEpoch()), versions: versions}
+	return &HeldVersions{shard: h.GetShard(), epoch: tier.Epoch(h.GetEpoch()), versions: versions}
 }
 
 func toState(s backendv1.ServerState) tier.BackendState {
--- a/cicadagraded/owner/lane.go
+++ b/cicadagraded/owner/lane.go
@@ -6,11 +6,11 @@
 	"github.com/pkg/errors"
 
 	backendv1 "cicadagrade.example/api/backend/v1"
-	"cicadagrade.example/cicadagraded/dialer"
+	"cicadagrade.example/cicadagraded/backendclient"
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/correlator"
 	"cicadagrade.example/tier/dispatcher"
-	"cicadagrade.example/tier/ring"
+	"cicadagrade.example/tier/queue"
 )
 
 // call is a leaf call while it runs.
@@ -40,9 +40,9 @@
 // lane is the link to one backend server with a worker for each of its
 // slots, joined to the loop by a ring.
 type lane struct {
-	link   *dialer.Link
-	ring   *ring.Ring[*call]
-	probes *ring.Ring[uint64]
+	link   *backendclient.Client
+	ring   *queue.Queue[*call]
+	probes *queue.Queue[uint64]
 	ctx    context.Context
 	cancel context.CancelFunc
 	open   int
@@ -53,9 +53,9 @@
 func (o *Owner) startLane(server tier.Backend) *lane {
 	ctx, cancel := context.WithCancel(o.ctx)
 	l := &lane{
-		link:   dialer.NewLink(server, server.Slots()),
-		ring:   ring.New[*call](server.Slots()),
-		probes: ring.New[uint64](1),
+		link:   backendclient.New(server, server.Slots()),
+		ring:   queue.New[*call](server.Slots()),
+		probes: queue.New[uint64](1),
 		ctx:    ctx,
 		cancel: cancel,
 	}
@@ -157,22 +157,22 @@
 // failed turns the error of a leaf call into what the dispatcher needs.
 func failed(c *call, err error) *repliedMessage {
 	m := &repliedMessage{attempt: c.attempt, result: &dispatcher.ReplyFailed{}, cancelled: errors.Is(c.ctx.Err(), context.Canceled)}
-	var notRun *dialer.NotRunError
+	var notRun *backendclient.NotRunError
 	if !errors.As(err, &notRun) {
 		return m
 	}
 	switch notRun.Reason() {
-	case dialer.NotRunShed:
+	case backendclient.NotRunShed:
 		m.state = tier.BackendShedding
 		m.result = dispatcher.NewReplyNotRun(dispatcher.NotRunShed)
-	case dialer.NotRunLeaving:
+	case backendclient.NotRunLeaving:
 		m.state = tier.BackendLeaving
 		m.result = dispatcher.NewReplyNotRun(dispatcher.NotRunLeaving)
-	case dialer.NotRunWrongSnapshot:
+	case backendclient.NotRunWrongSnapshot:
 		m.result = dispatcher.NewReplyNotRun(dispatcher.NotRunWrongSnapshot)
-	case dialer.NotRunNoConnection:
+	case backendclient.NotRunNoConnection:
 		m.state = tier.BackendLost
-		m.refused = notRun.Refused()
+		m.refused = notRun.ConnectionRefused()
 		m.result = dispatcher.NewReplyNotRun(dispatcher.NotRunShed)
 	}
 	return m
--- a/cicadagraded/owner/loop.go
+++ b/cicadagraded/owner/loop.go
@@ -32,7 +32,7 @@
 		select {
 		case <-o.ctx.Done():
 			return nil
-		case m := <-o.inbox.Out():
+		case m := <-o.inbox.Chan():
 			o.handle(m)
 		case <-timer.C:
 			o.tick()
@@ -162,7 +162,7 @@
 	o.step(dispatcher.NewSubmit(p.number, s.profile, s.deadline, s.shards, dispatcher.WithSnapshot(s.snapshot)))
 }
 
-func (o *Owner) cancelPart(end chan End) {
+func (o *Owner) cancelPart(end chan PartResult) {
 	if n, ok := o.byEnd[end]; ok {
 		o.step(dispatcher.NewCancelled(n))
 		return
@@ -202,7 +202,7 @@
 }
 
 // noteHolding passes on what a server holds, if it is news.
-func (o *Owner) noteHolding(server string, h Held) {
+func (o *Owner) noteHolding(server string, h HeldVersions) {
 	k := holdingKey{server: server, shard: h.shard, epoch: h.epoch}
 	if slices.Equal(o.holdings[k], h.versions) {
 		return
@@ -229,7 +229,7 @@
 	case *dispatcher.PartRefused:
 		o.finish(a.Part(), &NotRun{reason: a.Reason(), retryAfter: a.RetryAfter()})
 	case *dispatcher.PartUnknown:
-		o.finish(a.Part(), &Unsure{reason: a.Reason()})
+		o.finish(a.Part(), &Unknown{reason: a.Reason()})
 	}
 }
 
@@ -289,7 +289,7 @@
 }
 
 // finish ends a part and forgets the calls that are over.
-func (o *Owner) finish(number uint64, e End) {
+func (o *Owner) finish(number uint64, e PartResult) {
 	p, ok := o.parts[number]
 	if !ok {
 		return
--- a/cicadagraded/owner/message.go
+++ b/cicadagraded/owner/message.go
@@ -12,11 +12,11 @@
 type submitMessage struct {
 	search  *Search
 	booking *Booking
-	end     chan End
+	end     chan PartResult
 }
 
 // cancelMessage says that nobody waits for a part any more.
-type cancelMessage struct{ end chan End }
+type cancelMessage struct{ end chan PartResult }
 
 // repliedMessage ends a leaf call.
 type repliedMessage struct {
@@ -25,7 +25,7 @@
 	records  []tier.Record
 	receipt  string
 	state    tier.BackendState
-	holding  *Held
+	holding  *HeldVersions
 	rejected bool
 	// refused says that no connection could be made, cancelled that the
 	// owner gave the call up itself.
@@ -41,7 +41,7 @@
 	// refused says that no process listens at the server's address.
 	refused bool
 	state   tier.BackendState
-	held    []Held
+	held    []HeldVersions
 }
 
 // setMessage replaces the set's description.
--- a/cicadagraded/owner/owner.go
+++ b/cicadagraded/owner/owner.go
@@ -15,7 +15,7 @@
 	"cicadagrade.example/tier/dispatcher"
 	"cicadagrade.example/tier/merger"
 	"cicadagrade.example/tier/prober"
-	"cicadagrade.example/tier/ring"
+	"cicadagrade.example/tier/queue"
 )
 
 // Sizes of an owner's rings and the pace of its reports.
@@ -44,7 +44,7 @@
 	id    Identity
 	name  string
 	clock *tier.Clock
-	inbox *ring.Ring[message]
+	inbox *queue.Queue[message]
 	// threshold is the present threshold of admission.
 	threshold atomic.Pointer[admitter.Threshold]
 
@@ -52,7 +52,7 @@
 	set       *tier.ShardSet
 	core      *dispatcher.Dispatcher
 	parts     map[uint64]*part
-	byEnd     map[chan End]uint64
+	byEnd     map[chan PartResult]uint64
 	calls     map[uint64]*call
 	lanes     map[string]*lane
 	probers   map[string]*prober.Prober
@@ -68,7 +68,7 @@
 	group     *errgroup.Group
 	ctx       context.Context
 	stopped   chan struct{} // closed when the loop has ended
-	outlet    Outlet
+	outlet    Publisher
 	index     int // among those that split the slots; negative: stands by
 	published Report
 	pressed   bool        // a threshold that holds back was given out last
@@ -90,35 +90,35 @@
 	term     string
 	booking  *Booking
 	calls    []uint64
-	end      chan End
+	end      chan PartResult
 }
 
-// Outlet is told what owners find out. Its methods are called from owners'
+// Publisher is told what owners find out. Its methods are called from owners'
 // loops and do not wait.
-type Outlet interface {
-	// Report takes what the servers of a set hold. The owner is the index-th of
+type Publisher interface {
+	// PublishReport takes what the servers of a set hold. The owner is the index-th of
 	// those that split its slots, or negative if it only stands by.
-	Report(set string, r Report, index int)
-	// Threshold takes a set's threshold of admission.
-	Threshold(set string, t admitter.Threshold)
-	// Withdraw says that the owner of a set ended.
-	Withdraw(set string)
-	// Backend takes a change of a backend server's state, with its sign.
-	Backend(set, server string, s tier.BackendState, reason string)
+	PublishReport(set string, r Report, index int)
+	// PublishThreshold takes a set's threshold of admission.
+	PublishThreshold(set string, t admitter.Threshold)
+	// WithdrawReport says that the owner of a set ended.
+	WithdrawReport(set string)
+	// BackendChanged takes a change of a backend server's state, with its sign.
+	BackendChanged(set, server string, s tier.BackendState, reason string)
 }
 
 // New returns an owner of a set, which stands by at first. attempt returns a
 // fresh id for each leaf call.
-func New(id Identity, clock *tier.Clock, set *tier.ShardSet, attempt func() tier.AttemptID, outlet Outlet) *Owner {
+func New(id Identity, clock *tier.Clock, set *tier.ShardSet, attempt func() tier.AttemptID, outlet Publisher) *Owner {
 	return &Owner{
 		id:       id,
 		name:     set.Name(),
 		clock:    clock,
-		inbox:    ring.New[message](inboxSize),
+		inbox:    queue.New[message](inboxSize),
 		set:      set,
 		core:     dispatcher.New(set, id.dataCentre, dispatcher.WithSeed(uint64(id.incarnation))),
 		parts:    map[uint64]*part{},
-		byEnd:    map[chan End]uint64{},
+		byEnd:    map[chan PartResult]uint64{},
 		attempt:  attempt,
 		stopped:  make(chan struct{}),
 		calls:    map[uint64]*call{},
@@ -183,13 +183,13 @@
 	return Booking{profile: p, shard: shard, recordKey: recordKey, body: body, deadline: deadline}
 }
 
-// End is the end of a part: *Done, *NotRun or *Unsure.
-type End interface{ end() }
+// PartResult is the end of a part: *Done, *NotRun or *Unsure.
+type PartResult interface{ end() }
 
 // Done is a part that ran.
 type Done struct {
 	results    []merger.ShardResult
-	held       []Held
+	held       []HeldVersions
 	receipt    string
 	calls      int
 	extraCalls int
@@ -198,20 +198,20 @@
 // Results are those of the part's shards.
 func (d *Done) Results() []merger.ShardResult { return d.results }
 
-// Held is what the owner's servers hold now of the part's shards.
-func (d *Done) Held() []Held { return d.held }
+// Holdings is what the owner's servers hold now of the part's shards.
+func (d *Done) Holdings() []HeldVersions { return d.held }
 
 // Receipt is that of a booking.
 func (d *Done) Receipt() string { return d.receipt }
 
-// Calls is how many leaf calls the part made.
-func (d *Done) Calls() int { return d.calls }
+// LeafCalls is how many leaf calls the part made.
+func (d *Done) LeafCalls() int { return d.calls }
 
 // ExtraCalls is how many of them were hedges or retries.
 func (d *Done) ExtraCalls() int { return d.extraCalls }
 
 // NewDone returns a part that ran.
-func NewDone(results []merger.ShardResult, held []Held, calls, extraCalls int) *Done {
+func NewDone(results []merger.ShardResult, held []HeldVersions, calls, extraCalls int) *Done {
 	return &Done{results: results, held: held, calls: calls, extraCalls: extraCalls}
 }
 
@@ -232,20 +232,20 @@
 // RetryAfter is when a new try may succeed, or 0.
 func (n *NotRun) RetryAfter() tier.Millis { return n.retryAfter }
 
-// Unsure is a booking that may have run.
-type Unsure struct{ reason tier.UnknownReason }
+// Unknown is a booking that may have run.
+type Unknown struct{ reason tier.UnknownReason }
 
 // Reason says why it can't be told.
-func (u *Unsure) Reason() tier.UnknownReason { return u.reason }
+func (u *Unknown) Reason() tier.UnknownReason { return u.reason }
 
-func (*Done) end()   {}
-func (*NotRun) end() {}
-func (*Unsure) end() {}
+func (*Done) end()    {}
+func (*NotRun) end()  {}
+func (*Unknown) end() {}
 
 // Search runs a part of a search and returns its end. When ctx ends first
 // the part is cancelled.
-func (o *Owner) Search(ctx context.Context, s Search) End {
-	m := &submitMessage{search: &s, end: make(chan End, 1)}
+func (o *Owner) Search(ctx context.Context, s Search) PartResult {
+	m := &submitMessage{search: &s, end: make(chan PartResult, 1)}
 	if err := o.inbox.Push(ctx, m); err != nil {
 		return &NotRun{reason: tier.RefuseOverload}
 	}
@@ -256,14 +256,14 @@
 		o.inbox.TryPush(&cancelMessage{end: m.end})
 	case <-o.stopped:
 	}
-	return &Unsure{reason: tier.UnknownDeadline}
+	return &Unknown{reason: tier.UnknownDeadline}
 }
 
 // Book runs a booking, at most once, and returns its end. When ctx ends, a
 // booking that was not sent yet is not sent any more; one that was sent ends
 // with its reply or at its deadline.
-func (o *Owner) Book(ctx context.Context, b Booking) End {
-	m := &submitMessage{booking: &b, end: make(chan End, 1)}
+func (o *Owner) Book(ctx context.Context, b Booking) PartResult {
+	m := &submitMessage{booking: &b, end: make(chan PartResult, 1)}
 	if err := o.inbox.Push(ctx, m); err != nil {
 		return &NotRun{reason: tier.RefuseOverload}
 	}
@@ -278,7 +278,7 @@
 	case e := <-m.end:
 		return e
 	case <-o.stopped:
-		return &Unsure{reason: tier.UnknownLostReply}
+		return &Unknown{reason: tier.UnknownLostReply}
 	}
 }
 
--- a/cicadagraded/owner/owner_test.go
+++ b/cicadagraded/owner/owner_test.go
@@ -83,16 +83,16 @@
 	return set
 }
 
-// testOutlet passes reports on.
-type testOutlet chan Report
+// testPublisher passes reports on.
+type testPublisher chan Report
 
-func (c testOutlet) Report(_ string, r Report, _ int) { c <- r }
+func (c testPublisher) PublishReport(_ string, r Report, _ int) { c <- r }
 
-func (testOutlet) Threshold(string, admitter.Threshold) {}
+func (testPublisher) PublishThreshold(string, admitter.Threshold) {}
 
-func (testOutlet) Withdraw(string) {}
+func (testPublisher) WithdrawReport(string) {}
 
-func (testOutlet) Backend(string, string, tier.BackendState, string) {}
+func (testPublisher) BackendChanged(string, string, tier.BackendState, string) {}
 
 // startOwner runs an owner until the test ends, and waits until it knows what
 // its servers hold.
@@ -105,7 +105,7 @@
 		n++
 		return tier.NewAttemptID("vm-1", 1, n)
 	}
-	o := New(NewIdentity("vm-1", "here", 1), clock, set, attempt, testOutlet(reports))
+	o := New(NewIdentity("vm-1", "here", 1), clock, set, attempt, testPublisher(reports))
 	ctx, cancel := context.WithCancel(context.Background())
 	var g errgroup.Group
 	g.Go(func() error { return o.Run(ctx) })
@@ -167,11 +167,11 @@
 	shed := func() error { return connect.NewError(connect.CodeResourceExhausted, fmt.Errorf("busy")) }
 	cases := map[string]struct {
 		book func() error
-		want func(End) bool
+		want func(PartResult) bool
 	}{
-		"answered": {func() error { return nil }, func(e End) bool { d, ok := e.(*Done); return ok && d.Receipt() == "receipt" }},
-		"lost":     {lost, func(e End) bool { _, ok := e.(*Unsure); return ok }},
-		"shed":     {shed, func(e End) bool { _, ok := e.(*NotRun); return ok }},
+		"answered": {func() error { return nil }, func(e PartResult) bool { d, ok := e.(*Done); return ok && d.Receipt() == "receipt" }},
+		"lost":     {lost, func(e PartResult) bool { _, ok := e.(*Unknown); return ok }},
+		"shed":     {shed, func(e PartResult) bool { _, ok := e.(*NotRun); return ok }},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/cicadagraded/owner/probing.go
+++ b/cicadagraded/owner/probing.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 
 	backendv1 "cicadagrade.example/api/backend/v1"
-	"cicadagrade.example/cicadagraded/dialer"
+	"cicadagrade.example/cicadagraded/backendclient"
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/dispatcher"
 	"cicadagrade.example/tier/prober"
@@ -90,7 +90,7 @@
 }
 
 func (o *Owner) stateChanged(a *prober.StateChanged) {
-	o.outlet.Backend(o.name, a.Server(), a.State(), a.Reason())
+	o.outlet.BackendChanged(o.name, a.Server(), a.State(), a.Reason())
 	o.step(dispatcher.NewBackendChanged(a.Server(), a.State()))
 	o.reportAt = 0
 }
@@ -138,7 +138,7 @@
 // takesWork reports whether a server is believed to take new calls.
 func (o *Owner) takesWork(server string) bool {
 	p, ok := o.probers[server]
-	return ok && p.State().TakesWork()
+	return ok && p.State().AcceptsCalls()
 }
 
 // probe reads a server's health whenever the loop asks.
@@ -161,9 +161,9 @@
 	m := &healthMessage{server: l.link.Server().Name(), number: number}
 	reply, err := l.link.Health(ctx)
 	if err != nil {
-		var notRun *dialer.NotRunError
+		var notRun *backendclient.NotRunError
 		m.failed = true
-		m.refused = errors.As(err, &notRun) && notRun.Refused()
+		m.refused = errors.As(err, &notRun) && notRun.ConnectionRefused()
 		return m
 	}
 	m.state = toState(reply.GetState())
@@ -172,8 +172,8 @@
 }
 
 // heldByServer converts what a server holds of the set.
-func (o *Owner) heldByServer(l []*backendv1.Holding) []Held {
-	held := make([]Held, 0, len(l))
+func (o *Owner) heldByServer(l []*backendv1.Holding) []HeldVersions {
+	held := make([]HeldVersions, 0, len(l))
 	for _, h := range l {
 		if h.GetSet() == o.name {
 			held = append(held, *toHeld(h))
--- a/cicadagraded/owner/registry.go
+++ b/cicadagraded/owner/registry.go
@@ -21,7 +21,7 @@
 	id     Identity
 	clock  *tier.Clock
 	sets   func(name string) (*tier.ShardSet, bool)
-	outlet Outlet
+	outlet Publisher
 	mu     sync.Mutex
 	owners map[string]*held
 	group  *errgroup.Group
@@ -42,7 +42,7 @@
 
 // NewRegistry returns a registry without owners. sets finds the sets in
 // force.
-func NewRegistry(ctx context.Context, id Identity, clock *tier.Clock, sets func(string) (*tier.ShardSet, bool), outlet Outlet) *Registry {
+func NewRegistry(ctx context.Context, id Identity, clock *tier.Clock, sets func(string) (*tier.ShardSet, bool), outlet Publisher) *Registry {
 	group, inner := errgroup.WithContext(ctx)
 	return &Registry{
 		id: id, clock: clock, sets: sets, outlet: outlet,
@@ -53,7 +53,7 @@
 // Search runs a part of a search on the owner of its set. A VM that does not
 // think itself the owner runs it all the same: two VMs may disagree for a
 // while, and the dispatcher of a new owner starts with a small share.
-func (r *Registry) Search(ctx context.Context, set string, s Search) End {
+func (r *Registry) Search(ctx context.Context, set string, s Search) PartResult {
 	o, ok := r.get(set)
 	if !ok {
 		return &NotRun{reason: tier.RefuseNoConfig}
@@ -72,7 +72,7 @@
 }
 
 // Book runs a booking on the owner of its set.
-func (r *Registry) Book(ctx context.Context, set string, b Booking) End {
+func (r *Registry) Book(ctx context.Context, set string, b Booking) PartResult {
 	o, ok := r.get(set)
 	if !ok {
 		return &NotRun{reason: tier.RefuseNoConfig}
@@ -173,7 +173,7 @@
 	if r.clock.Now()-h.usedAt > idleLimit {
 		h.stop()
 		delete(r.owners, name)
-		r.outlet.Withdraw(name)
+		r.outlet.WithdrawReport(name)
 	}
 }
 
--- a/cicadagraded/owner/report.go
+++ b/cicadagraded/owner/report.go
@@ -30,8 +30,8 @@
 // epoch's map.
 func (r Report) Versions(i int) []tier.Version { return r.versions[i] }
 
-// Informed reports whether the owner knows what any server holds.
-func (r Report) Informed() bool { return len(r.versions) > 0 }
+// HasHoldings reports whether the owner knows what any server holds.
+func (r Report) HasHoldings() bool { return len(r.versions) > 0 }
 
 // holdingWire lists shards that hold the same versions, in runs of the map's
 // order: the first one and how many.
@@ -185,7 +185,7 @@
 	r := Report{epoch: o.set.Epoch(), versions: o.versions()}
 	if !r.holdsSame(o.published) {
 		o.published = r
-		o.outlet.Report(o.name, r, o.index)
+		o.outlet.PublishReport(o.name, r, o.index)
 	}
 }
 
@@ -197,7 +197,7 @@
 	}
 	o.pressedAt = now
 	o.pressed = !t.AdmitsAll()
-	o.outlet.Threshold(o.name, t)
+	o.outlet.PublishThreshold(o.name, t)
 }
 
 // versions lists, for each shard of the map, the index versions that some
@@ -224,11 +224,11 @@
 }
 
 // heldOf lists what the owner's servers hold of missed shards.
-func (o *Owner) heldOf(missed map[string]bool) []Held {
-	var held []Held
+func (o *Owner) heldOf(missed map[string]bool) []HeldVersions {
+	var held []HeldVersions
 	for _, h := range o.set.Shards() {
 		if missed[h.ID()] {
-			held = append(held, Held{shard: h.ID(), epoch: o.set.Epoch(), versions: o.versionsOf(h)})
+			held = append(held, HeldVersions{shard: h.ID(), epoch: o.set.Epoch(), versions: o.versionsOf(h)})
 		}
 	}
 	return held
--- a/cicadagraded/owner/status.go
+++ b/cicadagraded/owner/status.go
@@ -25,11 +25,11 @@
 // Epoch is the epoch of its shard map.
 func (s Status) Epoch() tier.Epoch { return s.epoch }
 
-// Core is the dispatcher's status.
-func (s Status) Core() dispatcher.Status { return s.core }
+// Dispatcher is the dispatcher's status.
+func (s Status) Dispatcher() dispatcher.Status { return s.core }
 
-// Rejected is how many replies did not match their call.
-func (s Status) Rejected() uint64 { return s.rejected }
+// RejectedReplies is how many replies did not match their call.
+func (s Status) RejectedReplies() uint64 { return s.rejected }
 
 // Parts is how many parts are queued or run.
 func (s Status) Parts() int { return s.parts }
--- a/standin/fault.go
+++ b/standin/fault.go
@@ -21,7 +21,7 @@
 			if err != nil {
 				return err
 			}
-			n, err := leafserver.NewClient(control).Order(c.Context(), order)
+			n, err := leafserver.NewClient(control).SetFaults(c.Context(), order)
 			if err != nil {
 				return err
 			}
@@ -43,7 +43,7 @@
 		return []byte(args[0]), nil
 	}
 	b, err := os.ReadFile(learn)
-	return leafserver.LearnOrder(b), errors.Wrap(err, "fault")
+	return leafserver.LearnRequest(b), errors.Wrap(err, "fault")
 }
 
 func bookedCommand() *cobra.Command {
@@ -53,7 +53,7 @@
 		Short: "List the bookings that took effect on the backend servers",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			list, err := leafserver.NewClient(control).Booked(c.Context(), 0)
+			list, err := leafserver.NewClient(control).AppliedBookings(c.Context(), 0)
 			if err != nil {
 				return err
 			}
@@ -66,7 +66,7 @@
 	return c
 }
 
-func printBooked(c *cobra.Command, list []leafserver.Booked, count string) {
+func printBooked(c *cobra.Command, list []leafserver.AppliedBooking, count string) {
 	n := 0
 	for _, b := range list {
 		if count == "" {
--- a/standin/leafserver/client.go
+++ b/standin/leafserver/client.go
@@ -22,20 +22,20 @@
 	return &Client{address: address, client: &http.Client{}}
 }
 
-// LearnOrder is the order by which the servers of a set learn a shard map,
+// LearnRequest is the order by which the servers of a set learn a shard map,
 // given as the set's document.
-func LearnOrder(set []byte) []byte { return fmt.Appendf(nil, `{"learn":%s}`, set) }
+func LearnRequest(set []byte) []byte { return fmt.Appendf(nil, `{"learn":%s}`, set) }
 
-// Order posts a fault order, a JSON object, and returns how many servers it
+// SetFaults posts a fault order, a JSON object, and returns how many servers it
 // changed.
-func (c *Client) Order(ctx context.Context, order []byte) (int, error) {
+func (c *Client) SetFaults(ctx context.Context, order []byte) (int, error) {
 	var reply faultReply
 	err := c.post(ctx, "/faults", order, &reply)
 	return reply.Changed, errors.Wrap(err, "Client.Order")
 }
 
-// Started picks out the tags of which a search began to run.
-func (c *Client) Started(ctx context.Context, tags []string) ([]string, error) {
+// StartedTags picks out the tags of which a search began to run.
+func (c *Client) StartedTags(ctx context.Context, tags []string) ([]string, error) {
 	b, err := json.Marshal(startedQuery{Tags: tags})
 	if err != nil {
 		return nil, errors.Wrap(err, "Client.Started")
@@ -57,9 +57,9 @@
 	return reply.Servers, errors.Wrap(err, "Client.Counters")
 }
 
-// Booked lists the bookings that took effect, from the given entry on. It
+// AppliedBookings lists the bookings that took effect, from the given entry on. It
 // fails when some found no room in the journal.
-func (c *Client) Booked(ctx context.Context, from int) ([]Booked, error) {
+func (c *Client) AppliedBookings(ctx context.Context, from int) ([]AppliedBooking, error) {
 	var reply bookedReply
 	if err := c.get(ctx, fmt.Sprintf("/booked?from=%d", from), &reply); err != nil {
 		return nil, errors.Wrap(err, "Client.Booked")
--- a/standin/leafserver/control.go
+++ b/standin/leafserver/control.go
@@ -45,13 +45,13 @@
 }
 
 type bookedReply struct {
-	Booked  []Booked `json:"booked"`
-	Skipped int      `json:"skipped"`
+	Booked  []AppliedBooking `json:"booked"`
+	Skipped int              `json:"skipped"`
 }
 
 type servedReply struct {
-	Served  []Served `json:"served"`
-	Skipped int      `json:"skipped"`
+	Served  []ServedSearch `json:"served"`
+	Skipped int            `json:"skipped"`
 }
 
 // startedQuery asks which of the tags of searches began to run.
@@ -119,16 +119,16 @@
 	return out
 }
 
-// Control is the handler of the control port: POST /faults, GET /served,
+// ControlHandler is the handler of the control port: POST /faults, GET /served,
 // /booked (both ?from=N, the first entry wanted) and /counters, POST /started.
-func (f *Fleet) Control() http.Handler {
+func (f *Fleet) ControlHandler() http.Handler {
 	e := echo.New()
 	e.POST("/faults", f.postFaults)
 	e.GET("/served", func(c echo.Context) error {
-		return c.JSON(http.StatusOK, servedReply{Served: f.journal.Served(from(c)), Skipped: f.journal.skips().served})
+		return c.JSON(http.StatusOK, servedReply{Served: f.journal.ServedSearches(from(c)), Skipped: f.journal.skips().served})
 	})
 	e.GET("/booked", func(c echo.Context) error {
-		return c.JSON(http.StatusOK, bookedReply{Booked: f.journal.Booked(from(c)), Skipped: f.journal.skips().booked})
+		return c.JSON(http.StatusOK, bookedReply{Booked: f.journal.AppliedBookings(from(c)), Skipped: f.journal.skips().booked})
 	})
 	e.GET("/counters", f.getCounters)
 	e.POST("/started", f.postStarted)
@@ -148,7 +148,7 @@
 	if err := json.NewDecoder(c.Request().Body).Decode(&q); err != nil {
 		return c.JSON(http.StatusBadRequest, errorReply{Error: err.Error()})
 	}
-	return c.JSON(http.StatusOK, startedReply{Started: f.journal.Started(q.Tags), Skipped: f.journal.skips().started})
+	return c.JSON(http.StatusOK, startedReply{Started: f.journal.StartedTags(q.Tags), Skipped: f.journal.skips().started})
 }
 
 func (f *Fleet) postFaults(c echo.Context) error {
--- a/standin/leafserver/faults.go
+++ b/standin/leafserver/faults.go
@@ -11,11 +11,11 @@
 
 // The reply faults.
 const (
-	ReplyWhole     ReplyFault = ""
+	ReplyIntact    ReplyFault = ""
 	ReplyTruncated ReplyFault = "truncated" // half of the records are cut off, count and digest stay
 	ReplyCorrupted ReplyFault = "corrupted" // one value is changed, the digest stays
 	ReplyRepeated  ReplyFault = "repeated"  // each record twice, count and digest fit
-	ReplyCrossed   ReplyFault = "crossed"   // the reply of an earlier call
+	ReplyPrevious  ReplyFault = "crossed"   // the reply of an earlier call
 )
 
 // CallFault says how a server breaks calls.
@@ -23,7 +23,7 @@
 
 // The call faults.
 const (
-	CallServed     CallFault = ""
+	CallNormal     CallFault = ""
 	CallHang       CallFault = "hang"        // holds its slot until the caller gives up
 	CallDropBefore CallFault = "drop-before" // closes the connection, not run
 	CallDropAfter  CallFault = "drop-after"  // runs, then closes the connection
--- a/standin/leafserver/journal.go
+++ b/standin/leafserver/journal.go
@@ -10,8 +10,8 @@
 // only.
 const maxJournal = 1 << 20
 
-// Served is a search call that ran to its end.
-type Served struct {
+// ServedSearch is a search call that ran to its end.
+type ServedSearch struct {
 	At      tier.Millis  `json:"at-ms"`
 	Server  string       `json:"server"`
 	Attempt string       `json:"attempt"`
@@ -22,8 +22,8 @@
 	Version tier.Version `json:"version"`
 }
 
-// Booked is a booking that took effect.
-type Booked struct {
+// AppliedBooking is a booking that took effect.
+type AppliedBooking struct {
 	At        tier.Millis `json:"at-ms"`
 	Server    string      `json:"server"`
 	Attempt   string      `json:"attempt"`
@@ -37,8 +37,8 @@
 // Journal records what servers really ran. It is safe for concurrent use.
 type Journal struct {
 	mu      sync.Mutex
-	served  []Served
-	booked  []Booked
+	served  []ServedSearch
+	booked  []AppliedBooking
 	started map[string]int
 	skipped skips
 }
@@ -49,15 +49,15 @@
 // NewJournal returns an empty journal.
 func NewJournal() *Journal { return &Journal{started: map[string]int{}} }
 
-// Served lists the searches that ran, from the given entry on.
-func (j *Journal) Served(from int) []Served {
+// ServedSearches lists the searches that ran, from the given entry on.
+func (j *Journal) ServedSearches(from int) []ServedSearch {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return tail(j.served, from)
 }
 
-// Booked lists the bookings that took effect, from the given entry on.
-func (j *Journal) Booked(from int) []Booked {
+// AppliedBookings lists the bookings that took effect, from the given entry on.
+func (j *Journal) AppliedBookings(from int) []AppliedBooking {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return tail(j.booked, from)
@@ -69,7 +69,7 @@
 	return j.skipped
 }
 
-func (j *Journal) addServed(s Served) {
+func (j *Journal) addServed(s ServedSearch) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if len(j.served) >= maxJournal {
@@ -79,7 +79,7 @@
 	j.served = append(j.served, s)
 }
 
-func (j *Journal) addBooked(b Booked) {
+func (j *Journal) addBooked(b AppliedBooking) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if len(j.booked) >= maxJournal {
@@ -103,8 +103,8 @@
 	j.started[tag]++
 }
 
-// Started picks out the tags of which a search began to run.
-func (j *Journal) Started(tags []string) []string {
+// StartedTags picks out the tags of which a search began to run.
+func (j *Journal) StartedTags(tags []string) []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	out := []string{}
--- a/standin/leafserver/server.go
+++ b/standin/leafserver/server.go
@@ -19,20 +19,20 @@
 
 	backendv1 "cicadagrade.example/api/backend/v1"
 	"cicadagrade.example/api/backend/v1/backendv1connect"
-	"cicadagrade.example/standin/recorder"
+	"cicadagrade.example/standin/recordgenerator"
 	"cicadagrade.example/tier"
 )
 
 // Defaults of a server.
 const (
-	DefaultMedian   = 3 * time.Millisecond
-	DefaultSpread   = 0.4
-	DefaultTail     = 0.01
-	DefaultPatience = 20 * time.Millisecond
-	tailFactor      = 8
-	coldSpan        = 10 * tier.Second
-	coldFactor      = 5
-	shedFraction    = 0.5 // of the calls to a shedding server
+	DefaultMedian       = 3 * time.Millisecond
+	DefaultSpread       = 0.4
+	DefaultTail         = 0.01
+	DefaultQueueTimeout = 20 * time.Millisecond
+	tailFactor          = 8
+	coldSpan            = 10 * tier.Second
+	coldFactor          = 5
+	shedFraction        = 0.5 // of the calls to a shedding server
 )
 
 var errShed = errors.New("no slot free")
@@ -47,7 +47,7 @@
 	tail     float64
 	patience time.Duration
 	clock    *tier.Clock
-	records  *recorder.Recorder
+	records  *recordgenerator.Generator
 	journal  *Journal
 
 	gate     *gate
@@ -88,14 +88,14 @@
 	return func(s *Server) { s.median, s.spread, s.tail = median, spread, tail }
 }
 
-// WithPatience sets how long a call waits for a slot before it is shed.
-func WithPatience(d time.Duration) Option { return func(s *Server) { s.patience = d } }
+// WithQueueTimeout sets how long a call waits for a slot before it is shed.
+func WithQueueTimeout(d time.Duration) Option { return func(s *Server) { s.patience = d } }
 
 // WithClock sets the clock.
 func WithClock(c *tier.Clock) Option { return func(s *Server) { s.clock = c } }
 
 // New returns a live server that holds version 1 of its shards of the set.
-func New(b tier.Backend, set *tier.ShardSet, records *recorder.Recorder, j *Journal, opts ...Option) *Server {
+func New(b tier.Backend, set *tier.ShardSet, records *recordgenerator.Generator, j *Journal, opts ...Option) *Server {
 	s := &Server{backend: b, set: set.Name(), records: records, journal: j}
 	s.Defaults()
 	for _, o := range opts {
@@ -116,7 +116,7 @@
 	s.median = DefaultMedian
 	s.spread = DefaultSpread
 	s.tail = DefaultTail
-	s.patience = DefaultPatience
+	s.patience = DefaultQueueTimeout
 	s.clock = tier.NewClock()
 }
 
--- a/standin/leafserver/server_test.go
+++ b/standin/leafserver/server_test.go
@@ -16,7 +16,7 @@
 
 	backendv1 "cicadagrade.example/api/backend/v1"
 	"cicadagrade.example/api/backend/v1/backendv1connect"
-	"cicadagrade.example/standin/recorder"
+	"cicadagrade.example/standin/recordgenerator"
 	"cicadagrade.example/tier"
 )
 
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	clock := tier.NewManualClock(0)
-	f := NewFleet([]*tier.ShardSet{set}, recorder.New(7), WithClock(clock.Clock()), WithServiceTime(time.Millisecond, 0, 0))
+	f := NewFleet([]*tier.ShardSet{set}, recordgenerator.New(7), WithClock(clock.Clock()), WithServiceTime(time.Millisecond, 0, 0))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -120,8 +120,8 @@
 		t.Errorf("after cancellation: %v", code)
 	}
 	c := b.server.Counters()
-	if c.InUseMax != testSlots || c.Shed != 1 || c.Overbooked != 1 || c.Cancelled != testSlots || len(b.fleet.Journal().Served(0)) != 1 {
-		t.Errorf("counters %+v, served %v", c, b.fleet.Journal().Served(0))
+	if c.InUseMax != testSlots || c.Shed != 1 || c.Overbooked != 1 || c.Cancelled != testSlots || len(b.fleet.Journal().ServedSearches(0)) != 1 {
+		t.Errorf("counters %+v, served %v", c, b.fleet.Journal().ServedSearches(0))
 	}
 }
 
@@ -181,7 +181,7 @@
 			t.Fatalf("version %d: %v %v", v, code, r)
 		}
 		for _, x := range r.GetRecords() {
-			if got, ok := recorder.VersionOf(x.GetValue()); !ok || uint64(got) != v {
+			if got, ok := recordgenerator.ParseVersion(x.GetValue()); !ok || uint64(got) != v {
 				t.Errorf("version %d has %s", v, x.GetValue())
 			}
 		}
@@ -206,7 +206,7 @@
 	b.until("the call hangs", func() bool { return b.server.gate.inUse() == 1 })
 	b.order(faultOrder{Down: ptr(true)})
 	_ = g.Wait()
-	b.order(faultOrder{Call: ptr(CallServed)})
+	b.order(faultOrder{Call: ptr(CallNormal)})
 	if _, err := net.Dial("tcp", b.addr); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("a server that is down: %v", err)
 	}
--- a/standin/leafserver/service.go
+++ b/standin/leafserver/service.go
@@ -12,7 +12,7 @@
 	"google.golang.org/protobuf/proto"
 
 	backendv1 "cicadagrade.example/api/backend/v1"
-	"cicadagrade.example/standin/recorder"
+	"cicadagrade.example/standin/recordgenerator"
 	"cicadagrade.example/tier"
 )
 
@@ -31,7 +31,7 @@
 	if err != nil {
 		return nil, err
 	}
-	_, tag := recorder.SplitTerm(q.Msg.GetTerm())
+	_, tag := recordgenerator.SplitTerm(q.Msg.GetTerm())
 	v.s.journal.addStarted(tag)
 	if err := v.s.work(ctx, v.s.serviceTime()); err != nil {
 		return nil, err
@@ -127,8 +127,8 @@
 
 func (s *Server) callFault() CallFault {
 	f := s.faults.get()
-	if f.call == CallServed || !s.strikes(f.callFraction) {
-		return CallServed
+	if f.call == CallNormal || !s.strikes(f.callFraction) {
+		return CallNormal
 	}
 	return f.call
 }
@@ -188,9 +188,9 @@
 	if f.disguise {
 		named = asked
 	}
-	records := s.records.Shard(s.set, served, q.GetTerm(), h.shard.From(), h.shard.To())
-	s.journal.addServed(Served{
-		At:      s.clock.Wall(),
+	records := s.records.ShardRecords(s.set, served, q.GetTerm(), h.shard.From(), h.shard.To())
+	s.journal.addServed(ServedSearch{
+		At:      s.clock.WallTime(),
 		Server:  s.Name(),
 		Attempt: q.GetAttempt(),
 		Set:     s.set,
@@ -215,8 +215,8 @@
 func (s *Server) book(q *backendv1.BookRequest) *backendv1.BookReply {
 	receipt := fmt.Sprintf("%s-%d", s.Name(), s.counters.receipts.Add(1))
 	s.counters.booked.Add(1)
-	s.journal.addBooked(Booked{
-		At:        s.clock.Wall(),
+	s.journal.addBooked(AppliedBooking{
+		At:        s.clock.WallTime(),
 		Server:    s.Name(),
 		Attempt:   q.GetAttempt(),
 		Set:       s.set,
@@ -241,7 +241,7 @@
 	earlier := s.previous
 	s.previous = proto.Clone(r).(*backendv1.SearchReply)
 	s.mu.Unlock()
-	if f.reply == ReplyWhole || !s.strikes(f.replyFraction) {
+	if f.reply == ReplyIntact || !s.strikes(f.replyFraction) {
 		return r
 	}
 	switch f.reply {
@@ -253,7 +253,7 @@
 		}
 	case ReplyRepeated:
 		fill(r, append(wireRecords(r.Records), wireRecords(r.Records)...))
-	case ReplyCrossed:
+	case ReplyPrevious:
 		if earlier != nil {
 			return earlier
 		}
--- a/standin/link.go
+++ b/standin/link.go
@@ -30,7 +30,7 @@
 				return errors.Wrap(err, "link")
 			}
 			fmt.Fprintf(c.OutOrStdout(), "event=links links=%d control=%s\n", len(r.Links()), r.ControlAddress())
-			return serveWithControl(c.Context(), r.Serve, r.ControlAddress(), r.Control())
+			return serveWithControl(c.Context(), r.Serve, r.ControlAddress(), r.ControlHandler())
 		},
 	}
 	c.Flags().StringVar(&config, "config", "", "file of the links (required)")
--- a/standin/relay/link.go
+++ b/standin/relay/link.go
@@ -71,8 +71,8 @@
 // Addresses are where the link listens and where it leads.
 func (l *Link) Addresses() (listen, target string) { return l.listen, l.target }
 
-// Set changes how the link behaves from now on.
-func (l *Link) Set(c Condition) {
+// SetCondition changes how the link behaves from now on.
+func (l *Link) SetCondition(c Condition) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.condition = c
--- a/standin/relay/pump.go
+++ b/standin/relay/pump.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"cicadagrade.example/tier/ring"
+	"cicadagrade.example/tier/queue"
 )
 
 // Sizes of the buffers of one direction of a connection.
@@ -29,12 +29,12 @@
 	from    *net.TCPConn
 	to      *net.TCPConn
 	answers bool
-	chunks  *ring.Ring[chunk]
+	chunks  *queue.Queue[chunk]
 	spoilt  atomic.Bool
 }
 
 func newPump(l *Link, from, to *net.TCPConn, answers bool) *pump {
-	return &pump{l: l, from: from, to: to, answers: answers, chunks: ring.New[chunk](chunkCount)}
+	return &pump{l: l, from: from, to: to, answers: answers, chunks: queue.New[chunk](chunkCount)}
 }
 
 func (p *pump) read(ctx context.Context) error {
--- a/standin/relay/relay.go
+++ b/standin/relay/relay.go
@@ -121,8 +121,8 @@
 	return g.Wait()
 }
 
-// Control is the handler of the control port: GET and POST /links.
-func (r *Relay) Control() http.Handler {
+// ControlHandler is the handler of the control port: GET and POST /links.
+func (r *Relay) ControlHandler() http.Handler {
 	e := echo.New()
 	e.GET("/links", func(c echo.Context) error { return c.JSON(http.StatusOK, r.status()) })
 	e.POST("/links", r.postLinks)
@@ -173,7 +173,7 @@
 			continue
 		}
 		changed++
-		l.Set(o.change(l.Condition()))
+		l.SetCondition(o.change(l.Condition()))
 	}
 	return changed
 }
--- a/standin/relay/relay_test.go
+++ b/standin/relay/relay_test.go
@@ -105,12 +105,12 @@
 		t.Fatalf("got %q", got)
 	}
 	<-served
-	l.Set(NewCondition(CutStall, 0, false))
+	l.SetCondition(NewCondition(CutStall, 0, false))
 	c.send("during")
 	if got := c.receive(brief); got != "" || len(served) != 0 {
 		t.Errorf("%q crossed the cut, %d served", got, len(served))
 	}
-	l.Set(NewCondition(CutNone, 0, false))
+	l.SetCondition(NewCondition(CutNone, 0, false))
 	if got := c.receive(ample); got != "during" {
 		t.Errorf("after joining got %q", got)
 	}
@@ -123,7 +123,7 @@
 	old.send("before")
 	old.receive(ample)
 	<-served
-	l.Set(NewCondition(CutReset, 0, false))
+	l.SetCondition(NewCondition(CutReset, 0, false))
 	if got := old.receive(ample); got != "" {
 		t.Errorf("got %q", got)
 	}
@@ -138,7 +138,7 @@
 // answer does not, neither then nor later.
 func TestLostAnswersHadTheirEffect(t *testing.T) {
 	l, addr, served := newEcho(t)
-	l.Set(NewCondition(CutNone, 0, true))
+	l.SetCondition(NewCondition(CutNone, 0, true))
 	c := dial(t, addr)
 	c.send("booking")
 	if got := <-served; got != "booking" {
@@ -147,7 +147,7 @@
 	for l.lost.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	l.Set(NewCondition(CutNone, 0, false))
+	l.SetCondition(NewCondition(CutNone, 0, false))
 	if got := c.receive(ample); got != "" {
 		t.Errorf("the lost answer came: %q", got)
 	}
--- a/standin/soaker/caller.go
+++ b/standin/soaker/caller.go
@@ -118,7 +118,7 @@
 	q.vm = c.vm.name
 	c.count++
 	head := http.Header{}
-	responder.Address(head, attempt, callerPatience)
+	responder.SetCallerHeaders(head, attempt, callerPatience)
 	q.sent = time.Now()
 	s.ledger.sending(q)
 	text := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\n", q.method, q.path, host)
--- a/standin/soaker/checks.go
+++ b/standin/soaker/checks.go
@@ -124,8 +124,8 @@
 
 func wholeAnswer(l *ledger, q *request) string {
 	var services []string
-	for _, p := range responder.Proofs(q.header) {
-		s, ok := responder.ServiceOf(p, q.attempt)
+	for _, p := range responder.Signatures(q.header) {
+		s, ok := responder.VerifySignature(p, q.attempt)
 		if !ok || slices.Contains(services, s) {
 			return "the proof " + p + " is not for this request, or comes twice"
 		}
@@ -140,7 +140,7 @@
 		}
 		return ""
 	}
-	missing, err := responder.Missing(q.header)
+	missing, err := responder.MissingParts(q.header)
 	if err != nil {
 		return err.Error()
 	}
@@ -151,7 +151,7 @@
 	if !whole {
 		return fmt.Sprintf("%d parts and %d missing are no configuration's", len(services), missing)
 	}
-	if !bytes.Equal(q.body, responder.Greatest(topRecords, q.path, services...)) {
+	if !bytes.Equal(q.body, responder.TopRecords(topRecords, q.path, services...)) {
 		return "the records are not the greatest"
 	}
 	return ""
@@ -161,9 +161,9 @@
 func askedRuns(l *ledger) []string {
 	var bad []string
 	for _, r := range l.runs {
-		q := l.requests[r.Attempt]
+		q := l.requests[r.AttemptID]
 		if q == nil || q.method != r.Method || q.path != r.Path {
-			bad = append(bad, fmt.Sprintf("%s ran %s %s %q", r.Leaf, r.Method, r.Path, r.Attempt))
+			bad = append(bad, fmt.Sprintf("%s ran %s %s %q", r.Leaf, r.Method, r.Path, r.AttemptID))
 		}
 	}
 	return bad
@@ -183,7 +183,7 @@
 func (l *ledger) countRuns() map[string]int {
 	n := map[string]int{}
 	for _, r := range l.runs {
-		n[r.Attempt]++
+		n[r.AttemptID]++
 	}
 	return n
 }
@@ -205,13 +205,13 @@
 func keptRoutes(l *ledger) []string {
 	var bad []string
 	for _, r := range l.runs {
-		q := l.requests[r.Attempt]
+		q := l.requests[r.AttemptID]
 		if q == nil {
 			continue
 		}
 		ok := slices.ContainsFunc(l.allowed(q.route), func(set []string) bool { return slices.Contains(set, r.Service) })
 		if !ok {
-			bad = append(bad, fmt.Sprintf("%s of route %s ran at %s", r.Attempt, q.route, r.Service))
+			bad = append(bad, fmt.Sprintf("%s of route %s ran at %s", r.AttemptID, q.route, r.Service))
 		}
 	}
 	return bad
@@ -222,7 +222,7 @@
 	type place struct{ attempt, service string }
 	leafs := map[place]map[string]bool{}
 	for _, r := range l.runs {
-		p := place{r.Attempt, r.Service}
+		p := place{r.AttemptID, r.Service}
 		if leafs[p] == nil {
 			leafs[p] = map[string]bool{}
 		}
@@ -247,9 +247,9 @@
 	seen := map[key]bool{}
 	extra := map[string][]time.Time{}
 	for _, a := range l.arrivals {
-		k := key{a.Attempt, a.Service}
+		k := key{a.AttemptID, a.Service}
 		if seen[k] {
-			extra[a.Service] = append(extra[a.Service], a.At)
+			extra[a.Service] = append(extra[a.Service], a.ReceivedAt)
 		}
 		seen[k] = true
 	}
@@ -305,12 +305,12 @@
 func timeLeft(l *ledger) []string {
 	var over []string
 	for _, r := range l.runs {
-		q := l.requests[r.Attempt]
-		if q == nil || !l.inTouch(q.vm, q.sent, r.At) {
+		q := l.requests[r.AttemptID]
+		if q == nil || !l.inTouch(q.vm, q.sent, r.ReceivedAt) {
 			continue
 		}
-		if given, has := r.At.Add(r.TimeLeft.Duration()), q.sent.Add(q.limit.Duration()); given.Sub(has) > leaveBound.Duration() || r.TimeLeft == 0 {
-			over = append(over, fmt.Sprintf("%s was told %d ms", r.Attempt, r.TimeLeft))
+		if given, has := r.ReceivedAt.Add(r.TimeRemaining.Duration()), q.sent.Add(q.limit.Duration()); given.Sub(has) > leaveBound.Duration() || r.TimeRemaining == 0 {
+			over = append(over, fmt.Sprintf("%s was told %d ms", r.AttemptID, r.TimeRemaining))
 		}
 	}
 	if len(over) <= max(manyHanded, len(l.runs)/5) {
@@ -323,12 +323,12 @@
 func leftAlone(l *ledger) []string {
 	var late []string
 	for _, a := range l.arrivals {
-		q := l.requests[a.Attempt]
-		if q == nil || q.left.IsZero() || !l.inTouch(q.vm, q.left, a.At) {
+		q := l.requests[a.AttemptID]
+		if q == nil || q.left.IsZero() || !l.inTouch(q.vm, q.left, a.ReceivedAt) {
 			continue
 		}
-		if a.At.Sub(q.left) > leaveBound.Duration() {
-			late = append(late, fmt.Sprintf("%s reached %s %v after its caller had left", a.Attempt, a.Leaf, a.At.Sub(q.left)))
+		if a.ReceivedAt.Sub(q.left) > leaveBound.Duration() {
+			late = append(late, fmt.Sprintf("%s reached %s %v after its caller had left", a.AttemptID, a.Leaf, a.ReceivedAt.Sub(q.left)))
 		}
 	}
 	if len(late) <= few {
@@ -376,9 +376,9 @@
 	var bad []string
 	for _, d := range l.drains {
 		for _, a := range l.arrivals {
-			q := l.requests[a.Attempt]
-			if a.Leaf == d.leaf && a.At.Sub(d.at) > drainBound.Duration() && q != nil && l.inTouch(q.vm, d.at, a.At) {
-				bad = append(bad, fmt.Sprintf("%s got %s %v after it was draining", d.leaf, a.Attempt, a.At.Sub(d.at)))
+			q := l.requests[a.AttemptID]
+			if a.Leaf == d.leaf && a.ReceivedAt.Sub(d.at) > drainBound.Duration() && q != nil && l.inTouch(q.vm, d.at, a.ReceivedAt) {
+				bad = append(bad, fmt.Sprintf("%s got %s %v after it was draining", d.leaf, a.AttemptID, a.ReceivedAt.Sub(d.at)))
 			}
 		}
 	}
@@ -390,7 +390,7 @@
 	var bad []string
 	passed := map[string]bool{}
 	for _, a := range l.arrivals {
-		passed[a.Attempt] = true
+		passed[a.AttemptID] = true
 	}
 	for _, s := range l.stops {
 		if s.to.IsZero() || l.disturbed(s.vm, s.from.Add(-stableWindow.Duration()), s.to, false) {
--- a/standin/soaker/checks_test.go
+++ b/standin/soaker/checks_test.go
@@ -39,20 +39,20 @@
 		}
 		proofs := ""
 		for _, s := range services {
-			w := responder.NewWorker("w-"+s, s, 0, l.arrived, l.ran)
-			run := responder.Run{
-				Leaf: w.ID(), Service: s, Attempt: q.attempt, Method: q.method, Path: q.path,
-				At: after(20_010), TimeLeft: callerPatience - 20,
+			w := responder.NewSimulatedLeaf("w-"+s, s, 0, l.arrived, l.ran)
+			run := responder.Request{
+				Leaf: w.ID(), Service: s, AttemptID: q.attempt, Method: q.method, Path: q.path,
+				ReceivedAt: after(20_010), TimeRemaining: callerPatience - 20,
 			}
 			l.arrived(run)
 			l.ran(run)
-			proofs += w.Proof(q.attempt) + ","
+			proofs += w.Signature(q.attempt) + ","
 		}
 		q.header.Set("Part-Signatures", proofs)
 		q.header.Set("Missing-Parts", "0")
 		q.body = responder.Records(services[0], q.path)
 		if route == sweep {
-			q.body = responder.Greatest(topRecords, q.path, services...)
+			q.body = responder.TopRecords(topRecords, q.path, services...)
 		}
 		l.sending(q)
 	}
@@ -62,9 +62,9 @@
 // again repeats the first arrival and run of a request at some other leaf.
 func (l *ledger) again(request, times int, leaf string, at tier.Millis) {
 	for _, r := range l.runs {
-		if r.Attempt == l.order[request].attempt {
+		if r.AttemptID == l.order[request].attempt {
 			for i := range times {
-				r.Leaf, r.At = fmt.Sprint(leaf, i), after(at)
+				r.Leaf, r.ReceivedAt = fmt.Sprint(leaf, i), after(at)
 				l.arrived(r)
 				l.ran(r)
 			}
@@ -122,7 +122,7 @@
 		l.sending(&q)
 		for k := range 1 + more {
 			r := l.runs[0]
-			r.Attempt, r.Leaf = q.attempt, fmt.Sprint("x", k)
+			r.AttemptID, r.Leaf = q.attempt, fmt.Sprint("x", k)
 			l.ran(r)
 		}
 	}
@@ -130,7 +130,7 @@
 
 func (l *ledger) handMore() {
 	for i := range l.runs {
-		l.runs[i].TimeLeft = 2 * callerPatience
+		l.runs[i].TimeRemaining = 2 * callerPatience
 	}
 }
 
--- a/standin/soaker/inflict.go
+++ b/standin/soaker/inflict.go
@@ -97,9 +97,9 @@
 // holds, and the first to end ends them all.
 func (s *Soak) bend(ctx context.Context, vm, what string, l *relay.Link, c relay.Condition, lasts tier.Millis) {
 	defer s.ledger.begin(span{vm: vm, what: what})()
-	l.Set(c)
+	l.SetCondition(c)
 	sleep(ctx, lasts)
-	l.Set(relay.NewCondition(relay.CutNone, 0, false))
+	l.SetCondition(relay.NewCondition(relay.CutNone, 0, false))
 }
 
 // spoil puts leafs into a mood for a time.
@@ -111,9 +111,9 @@
 			continue
 		}
 		group.Go(func() {
-			w.SetMood(f.mood)
+			w.SetFaultMode(f.mood)
 			sleep(ctx, lasts)
-			w.SetMood(responder.Sound)
+			w.SetFaultMode(responder.Healthy)
 		})
 	}
 	group.Wait()
@@ -134,12 +134,12 @@
 				s.down.Delay = f.delay
 			}
 		case storeLosing:
-			s.down.LoseAnswers = 0
+			s.down.LoseReplies = 0
 			if on {
-				s.down.LoseAnswers = allAnswers
+				s.down.LoseReplies = allAnswers
 			}
 		case storeForgets:
-			s.server.Forget()
+			s.server.DropHistory()
 			return
 		}
 		s.server.SetFaults(s.down)
--- a/standin/soaker/ledger.go
+++ b/standin/soaker/ledger.go
@@ -63,8 +63,8 @@
 	mu       sync.Mutex
 	requests map[string]*request
 	order    []*request
-	arrivals []responder.Run
-	runs     []responder.Run
+	arrivals []responder.Request
+	runs     []responder.Request
 	versions []version
 	spans    []span
 	drains   []drained
@@ -92,9 +92,11 @@
 	change()
 }
 
-func (l *ledger) arrived(r responder.Run) { l.update(func() { l.arrivals = append(l.arrivals, r) }) }
+func (l *ledger) arrived(r responder.Request) {
+	l.update(func() { l.arrivals = append(l.arrivals, r) })
+}
 
-func (l *ledger) ran(r responder.Run) { l.update(func() { l.runs = append(l.runs, r) }) }
+func (l *ledger) ran(r responder.Request) { l.update(func() { l.runs = append(l.runs, r) }) }
 
 // begin notes the start of a disturbance, and returns its end.
 func (l *ledger) begin(s span) func() {
--- a/standin/soaker/plan.go
+++ b/standin/soaker/plan.go
@@ -44,7 +44,7 @@
 	storeForgets struct{}                    // watches can not go on from what they had
 	moods        struct {
 		leafs []int
-		mood  responder.Mood
+		mood  responder.FaultMode
 	} // leafs behave badly
 	drainLeaf struct{ leaf int }     // a leaf leaves, and another takes its place
 	reuse     struct{ leaf, by int } // a leaf ends, another service takes its address
@@ -163,7 +163,7 @@
 	case 14:
 		return []fault{storeLosing{}, storeForgets{}}[r.IntN(2)]
 	case 15, 16:
-		return moods{some(r, leafs), responder.Mood(1 + r.IntN(responder.Moods-1))}
+		return moods{some(r, leafs), responder.FaultMode(1 + r.IntN(responder.FaultModeCount-1))}
 	case 17:
 		return drainLeaf{leaf}
 	case 18:
--- a/standin/soaker/world.go
+++ b/standin/soaker/world.go
@@ -51,19 +51,19 @@
 	listen string      // the link's address
 
 	mu       sync.Mutex
-	worker   *responder.Worker // nil while nobody is there
+	worker   *responder.SimulatedLeaf // nil while nobody is there
 	draining bool
 	sequence int64
 }
 
-func (f *leaf) get() (*responder.Worker, bool, int64) {
+func (f *leaf) get() (*responder.SimulatedLeaf, bool, int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.sequence++
 	return f.worker, f.draining, f.sequence
 }
 
-func (f *leaf) put(w *responder.Worker) {
+func (f *leaf) put(w *responder.SimulatedLeaf) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.worker, f.draining = w, false
@@ -81,9 +81,9 @@
 }
 
 // newWorker puts a new worker behind a leaf's address.
-func (s *Soak) newWorker(service string) *responder.Worker {
+func (s *Soak) newWorker(service string) *responder.SimulatedLeaf {
 	n := s.workers.Add(1)
-	return responder.NewWorker(fmt.Sprintf("w%d", n), service, leafWork, s.ledger.arrived, s.ledger.ran)
+	return responder.NewSimulatedLeaf(fmt.Sprintf("w%d", n), service, leafWork, s.ledger.arrived, s.ledger.ran)
 }
 
 // register keeps a leaf's registration up to date, as leafs do for themselves.
@@ -99,7 +99,7 @@
 	return nil
 }
 
-func (s *Soak) beat(ctx context.Context, f *leaf, w *responder.Worker, draining bool, sequence int64) error {
+func (s *Soak) beat(ctx context.Context, f *leaf, w *responder.SimulatedLeaf, draining bool, sequence int64) error {
 	raw, err := w.Registration(f.listen, f.zone, draining, sequence)
 	if err != nil {
 		return err
--- a/standin/storeserver/faults.go
+++ b/standin/storeserver/faults.go
@@ -13,20 +13,20 @@
 	Down bool `json:"down"`
 	// Delay is how long each call waits before it is carried out.
 	Delay tier.Millis `json:"delay-ms"`
-	// LoseAnswers is how many of the next writes take effect without an
+	// LoseReplies is how many of the next writes take effect without an
 	// answer; -1 stands for all.
-	LoseAnswers int `json:"lose-answers"`
-	// Stale has reads answer from the state at the time it was set, and
+	LoseReplies int `json:"lose-answers"`
+	// StaleReads has reads answer from the state at the time it was set, and
 	// holds back what watches would see.
-	Stale bool `json:"stale"`
+	StaleReads bool `json:"stale"`
 }
 
-// Calls counts the calls that the store took, by kind.
-type Calls struct {
-	Kinds         map[string]int64 `json:"kinds"`
+// CallCounts counts the calls that the store took, by kind.
+type CallCounts struct {
+	ByKind        map[string]int64 `json:"kinds"`
 	Total         int64            `json:"total"`
 	OpenWatches   int64            `json:"open-watches"`
-	MostInASecond int64            `json:"most-in-a-second"`
+	PeakPerSecond int64            `json:"most-in-a-second"`
 }
 
 // faulty holds the faults that are set and counts calls.
@@ -36,21 +36,21 @@
 	mu       sync.Mutex
 	faults   Faults
 	stale    state
-	calls    Calls
+	calls    CallCounts
 	second   tier.Millis
 	inSecond int64
 	broken   chan struct{} // closed and replaced when watches must end
 }
 
 func newFaulty(clock *tier.Clock) *faulty {
-	return &faulty{clock: clock, calls: Calls{Kinds: map[string]int64{}}, broken: make(chan struct{})}
+	return &faulty{clock: clock, calls: CallCounts{ByKind: map[string]int64{}}, broken: make(chan struct{})}
 }
 
 // set takes new faults; now is the state that stale reads show from here on.
 func (f *faulty) set(faults Faults, now state) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if faults.Stale && !f.faults.Stale {
+	if faults.StaleReads && !f.faults.StaleReads {
 		f.stale = now
 	}
 	f.faults = faults
@@ -74,7 +74,7 @@
 func (f *faulty) view(now state) state {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.faults.Stale {
+	if f.faults.StaleReads {
 		return f.stale
 	}
 	return now
@@ -90,14 +90,14 @@
 func (f *faulty) count(kind string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.calls.Kinds[kind]++
+	f.calls.ByKind[kind]++
 	f.calls.Total++
 	second := f.clock.Now() / tier.Second
 	if second != f.second {
 		f.second, f.inSecond = second, 0
 	}
 	f.inSecond++
-	f.calls.MostInASecond = max(f.calls.MostInASecond, f.inSecond)
+	f.calls.PeakPerSecond = max(f.calls.PeakPerSecond, f.inSecond)
 }
 
 func (f *faulty) watching(n int64) {
@@ -106,13 +106,13 @@
 	f.calls.OpenWatches += n
 }
 
-func (f *faulty) counted() Calls {
+func (f *faulty) counted() CallCounts {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := f.calls
-	out.Kinds = make(map[string]int64, len(f.calls.Kinds))
-	for k, n := range f.calls.Kinds {
-		out.Kinds[k] = n
+	out.ByKind = make(map[string]int64, len(f.calls.ByKind))
+	for k, n := range f.calls.ByKind {
+		out.ByKind[k] = n
 	}
 	return out
 }
@@ -120,7 +120,7 @@
 func (f *faulty) resetCalls() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.calls = Calls{Kinds: map[string]int64{}, OpenWatches: f.calls.OpenWatches}
+	f.calls = CallCounts{ByKind: map[string]int64{}, OpenWatches: f.calls.OpenWatches}
 	f.inSecond = 0
 }
 
@@ -145,11 +145,11 @@
 func (f *faulty) loses() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.faults.LoseAnswers == 0 {
+	if f.faults.LoseReplies == 0 {
 		return false
 	}
-	if f.faults.LoseAnswers > 0 {
-		f.faults.LoseAnswers--
+	if f.faults.LoseReplies > 0 {
+		f.faults.LoseReplies--
 	}
 	return true
 }
--- a/standin/storeserver/server.go
+++ b/standin/storeserver/server.go
@@ -51,11 +51,11 @@
 // SetFaults replaces the faults.
 func (s *Server) SetFaults(f Faults) { s.faults.set(f, s.store.save()) }
 
-// Calls counts the calls so far.
-func (s *Server) Calls() Calls { return s.faults.counted() }
+// CallCounts counts the calls so far.
+func (s *Server) CallCounts() CallCounts { return s.faults.counted() }
 
-// ResetCalls starts the count again.
-func (s *Server) ResetCalls() { s.faults.resetCalls() }
+// ResetCallCounts starts the count again.
+func (s *Server) ResetCallCounts() { s.faults.resetCalls() }
 
 // Save keeps a copy of all keys under a name.
 func (s *Server) Save(name string) {
@@ -158,8 +158,8 @@
 
 func after(m tier.Millis) <-chan time.Time { return time.After(m.Duration()) }
 
-// Forget drops the history: watches from an earlier revision end with 410.
-func (s *Server) Forget() {
+// DropHistory drops the history: watches from an earlier revision end with 410.
+func (s *Server) DropHistory() {
 	s.store.mu.Lock()
 	defer s.store.mu.Unlock()
 	s.store.history, s.store.floor = nil, s.store.now.revision
--- a/standin/storeserver/store_test.go
+++ b/standin/storeserver/store_test.go
@@ -215,11 +215,11 @@
 	s.step([]string{"swap", "a", "one", "0"})
 	s.step([]string{"seen"})
 	s.step([]string{"get", "a"})
-	calls := s.server.Calls()
-	for calls.Kinds["watch"] < 2 {
-		calls = s.server.Calls()
+	calls := s.server.CallCounts()
+	for calls.ByKind["watch"] < 2 {
+		calls = s.server.CallCounts()
 	}
-	if calls.Kinds["watch"] != 2 || calls.Kinds["txn"] != 1 || calls.Kinds["key"] != 1 || calls.Total != 4 || calls.OpenWatches > 1 {
+	if calls.ByKind["watch"] != 2 || calls.ByKind["txn"] != 1 || calls.ByKind["key"] != 1 || calls.Total != 4 || calls.OpenWatches > 1 {
 		t.Errorf("calls %+v", calls)
 	}
 }
--- a/standin/storeserver/watch.go
+++ b/standin/storeserver/watch.go
@@ -59,7 +59,7 @@
 
 // changes reads what is new, or nothing while the store is stale.
 func (s *Server) changes(prefix string, from int64) ([]change, int64, <-chan struct{}, bool) {
-	if s.faults.get().Stale {
+	if s.faults.get().StaleReads {
 		return nil, from, nil, true
 	}
 	return s.store.since(prefix, from)
