--- a/cicadagraded/backendclient/client.go
+++ b/cicadagraded/backendclient/client.go
@@ -24,9 +24,9 @@
 	keepAliveInterval   = 30 * time.Second
 )
 
-// Client is the client of one backend server. It holds at most one connection for each call
-// that this VM may have in flight on the server, and one more for health probes, which
-// therefore never wait for a call. It is safe for concurrent use.
+// Client is the client of one backend server. It holds at most one connection for each
+// call that this VM may have in flight on the server, and one more for health probes,
+// which therefore never wait for a call. It is safe for concurrent use.
 type Client struct {
 	server      tier.Backend
 	callClient  backendv1connect.LeafServiceClient
--- a/cicadagraded/backendclient/errors.go
+++ b/cicadagraded/backendclient/errors.go
@@ -33,8 +33,8 @@
 // Reason is the reason why the call was not run.
 func (e *NotRunError) Reason() NotRunReason { return e.reason }
 
-// ConnectionRefused reports whether the server's machine refused the connection, which shows that
-// no process listens there.
+// ConnectionRefused reports whether the server's machine refused the connection, which
+// shows that no process listens there.
 func (e *NotRunError) ConnectionRefused() bool { return errors.Is(e.cause, syscall.ECONNREFUSED) }
 
 // Unwrap is the cause.
--- a/cicadagraded/booker/book.go
+++ b/cicadagraded/booker/book.go
@@ -39,8 +39,8 @@
 	return r
 }
 
-// SendFunc sends a booking to be run. It returns *tier.Refused only if the booking was not
-// run and will not be run because of this call, and *tier.Booked or *tier.Unknown
+// SendFunc sends a booking to be run. It returns *tier.Refused only if the booking was
+// not run and will not be run because of this call, and *tier.Booked or *tier.Unknown
 // otherwise.
 type SendFunc func(ctx context.Context) tier.Outcome
 
--- a/cicadagraded/booker/booker.go
+++ b/cicadagraded/booker/booker.go
@@ -22,8 +22,8 @@
 const (
 	DefaultStoreTimeout = 2 * tier.Second
 	DefaultWorkers      = 16
-	messageRingSize     = 4096 // queued messages
-	storeCallRingSize   = 1024 // queued store calls
+	messageQueueSize    = 4096 // queued messages
+	storeCallQueueSize  = 1024 // queued store calls
 )
 
 // Booker drives a claimer in an event loop and runs its store calls on a pool of workers.
@@ -68,8 +68,8 @@
 	b := &Booker{
 		store:       store,
 		clock:       clock,
-		messages:    ring.New[message](messageRingSize),
-		storeCalls:  ring.New[claimer.Action](storeCallRingSize),
+		messages:    ring.New[message](messageQueueSize),
+		storeCalls:  ring.New[claimer.Action](storeCallQueueSize),
 		stopped:     make(chan struct{}),
 		submissions: map[uint64]*ring.Ring[claimer.Action]{},
 	}
@@ -93,7 +93,7 @@
 // message is an input of the event loop.
 type message struct {
 	event claimer.Event // or nil
-	// Set together with a claimer.Submit: its id, and the ring for its actions.
+	// Set together with a claimer.Submit: its id, and the queue for its actions.
 	submissionID uint64
 	actions      *ring.Ring[claimer.Action]
 	// Set to request a new key, a signal when all outcomes are recorded, or the counters.
--- a/cicadagraded/coordinator/coordinator.go
+++ b/cicadagraded/coordinator/coordinator.go
@@ -52,7 +52,7 @@
 	minted bool
 }
 
-// NewForwardedBooking returns a booking for the owner of a shard. Minted reports whether the
+// NewForwardedBooking returns a booking for the owner of a shard. Minted says whether the
 // entry VM minted its idempotency key.
 func NewForwardedBooking(b Booking, shard string, minted bool) ForwardedBooking {
 	return ForwardedBooking{Booking: b, shard: shard, minted: minted}
@@ -76,8 +76,8 @@
 // Error gives the cause.
 func (e *NotSentError) Error() string { return "not sent: " + e.cause.Error() }
 
-// Coordinator runs callers' searches and bookings on the owners of the shard sets. It is safe
-// for concurrent use.
+// Coordinator runs callers' searches and bookings on the owners of the shard sets. It is
+// safe for concurrent use.
 type Coordinator struct {
 	dataCentre   string
 	clock        *tier.Clock
--- a/cicadagraded/coordinator/request.go
+++ b/cicadagraded/coordinator/request.go
@@ -1,6 +1,6 @@
-// Package coordinator coordinates callers' requests on their entry VM: it plans each search,
-// has the owners of the shard set run its parts and merges the results, and it forwards
-// each booking to the owner of its shard.
+// Package coordinator coordinates callers' requests on their entry VM: it plans each
+// search, has the owners of the shard set run its parts and merges the results, and it
+// forwards each booking to the owner of its shard.
 package coordinator
 
 import "cicadagrade.example/tier"
@@ -110,8 +110,9 @@
 // IdempotencyKey is the caller's idempotency key or the one that was minted.
 func (r BookingResult) IdempotencyKey() string { return r.idempotencyKey }
 
-// ExecutedOn returns the epoch of the shard map and the id of the shard on which the booking
-// ran. Ok is false if it did not run, or ran for an earlier request with the same key.
+// ExecutedOn returns the epoch of the shard map and the id of the shard on which the
+// booking ran. Ok is false if it did not run, or ran for an earlier request with the same
+// key.
 func (r BookingResult) ExecutedOn() (e tier.Epoch, shard string, ok bool) {
 	return r.epoch, r.shard, r.executed
 }
--- a/cicadagraded/locator/bench_test.go
+++ b/cicadagraded/locator/bench_test.go
@@ -52,9 +52,9 @@
 
 func allReachable(string) bool { return true }
 
-// BenchmarkReported measures the cost of recording one owner's report, by the number of
+// BenchmarkUpdateReport measures the cost of recording one owner's report, by the number of
 // sets.
-func BenchmarkReported(b *testing.B) {
+func BenchmarkUpdateReport(b *testing.B) {
 	for _, setCount := range []int{4, 12, 120, 360} {
 		b.Run(fmt.Sprintf("sets=%d", setCount), func(b *testing.B) {
 			l, sets, _, r := newLocator(b, setCount)
--- a/cicadagraded/locator/candidates.go
+++ b/cicadagraded/locator/candidates.go
@@ -8,8 +8,9 @@
 	"cicadagrade.example/tier/picker"
 )
 
-// UpdateRemoteOwner records the VM that owns a set in another data centre, as one of its owners
-// by index, and its report. This VM may know only a few members of that data centre.
+// UpdateRemoteOwner records the VM that owns a set in another data centre, as one of its
+// owners by index, and its report. This VM may know only a few members of that data
+// centre.
 func (l *Locator) UpdateRemoteOwner(set string, index int, vm tier.VM, r owner.Report) {
 	l.mu.Lock()
 	l.remoteOwners[remoteOwnerKey{set, vm.DataCentre(), index}] = vm
--- a/cicadagraded/locator/locator.go
+++ b/cicadagraded/locator/locator.go
@@ -77,13 +77,13 @@
 type placement struct {
 	ownerCount  int // how many of the candidates, from the first, share the slots
 	candidates  []tier.VM
-	informedVMs map[string]bool // the VMs whose report lists any versions
+	hasHoldings map[string]bool // by VM: whether its report lists any versions
 	epoch       tier.Epoch
 	versions    map[string][]tier.Version
 }
 
-// maxCandidates is the number of members that are candidates for a set in a data centre,
-// if the set has not more owners.
+// maxCandidates bounds the members that are candidates for a set in a data centre, unless
+// the set has more owners.
 const maxCandidates = 4
 
 // New returns a locator without sets and members.
@@ -192,7 +192,7 @@
 	p := &placement{
 		ownerCount:  owners,
 		candidates:  l.candidates(s, dataCentre, owners),
-		informedVMs: map[string]bool{},
+		hasHoldings: map[string]bool{},
 		epoch:       s.Epoch(),
 		versions:    map[string][]tier.Version{},
 	}
@@ -203,7 +203,7 @@
 		}
 		if r, ok := reports.atEpoch(s.Epoch()); ok {
 			p.addReport(s, r)
-			p.informedVMs[vm.Name()] = r.HasHoldings()
+			p.hasHoldings[vm.Name()] = r.HasHoldings()
 		}
 	}
 	return p
--- a/cicadagraded/locator/queries.go
+++ b/cicadagraded/locator/queries.go
@@ -28,8 +28,8 @@
 	return p.epoch, p.versions[shard]
 }
 
-// HoldingsKnown reports whether the holdings of each set are known for every data centre that
-// is reachable and has candidates for the set.
+// HoldingsKnown reports whether the holdings of each set are known for every data centre
+// that is reachable and has candidates for the set.
 func (l *Locator) HoldingsKnown() bool {
 	v := l.view.Load()
 	for k, p := range v.placements {
@@ -63,7 +63,8 @@
 	return l.sortByPenalty(p, append(out, p.candidates[n:]...))
 }
 
-// UpdateThreshold records the admission threshold that an owner sent with a reply or published.
+// UpdateThreshold records the admission threshold that an owner sent with a reply or
+// published.
 func (l *Locator) UpdateThreshold(set, vm string, t admitter.Threshold) {
 	l.admissionMu.Lock()
 	defer l.admissionMu.Unlock()
@@ -103,7 +104,8 @@
 }
 
 // OwnerCount is the number of VMs in a data centre that share the slots of a set: the
-// number in the set's configuration, or less if a server has not that many slots.
+// number in the set's configuration, but no more than any server there has slots, so that
+// each VM gets a slot on each server.
 func OwnerCount(s *tier.ShardSet, dataCentre string) int {
 	return min(s.Owners(), dispatcher.MaxOwners(s, dataCentre))
 }
--- a/cicadagraded/locator/suspicion.go
+++ b/cicadagraded/locator/suspicion.go
@@ -20,8 +20,8 @@
 	duration tier.Millis
 }
 
-// MarkFailed records that a VM did not answer a request. Further failures during a suspicion
-// do not count.
+// MarkFailed records that a VM did not answer a request. Further failures during a
+// suspicion do not count.
 func (l *Locator) MarkFailed(vm string) {
 	now := l.clock.Now()
 	next := suspicion{since: now, duration: InitialSuspicion}
@@ -65,7 +65,7 @@
 	switch {
 	case failed && now-last.since < last.duration:
 		return 2
-	case !p.informedVMs[vm]:
+	case !p.hasHoldings[vm]:
 		return 1
 	default:
 		return 0
--- a/cicadagraded/owner/convert.go
+++ b/cicadagraded/owner/convert.go
@@ -5,8 +5,8 @@
 	"cicadagrade.example/tier"
 )
 
-// HeldVersions lists the index versions of a shard that backend servers hold, and the epoch of
-// the shard map under which they hold them.
+// HeldVersions lists the index versions of a shard that backend servers hold, and the
+// epoch of the shard map under which they hold them.
 type HeldVersions struct {
 	shard    string
 	epoch    tier.Epoch
--- a/cicadagraded/owner/loop.go
+++ b/cicadagraded/owner/loop.go
@@ -165,15 +165,15 @@
 	o.stepDispatcher(dispatcher.NewSubmit(p.number, s.profile, s.deadline, s.shards, dispatcher.WithSnapshot(s.snapshot)))
 }
 
-func (o *Owner) cancelPart(end chan PartResult) {
-	if n, ok := o.partByResult[end]; ok {
+func (o *Owner) cancelPart(result chan PartResult) {
+	if n, ok := o.partByResult[result]; ok {
 		o.stepDispatcher(dispatcher.NewCancelled(n))
 		return
 	}
 	for i, m := range o.waitingParts {
-		if m.result == end {
+		if m.result == result {
 			o.waitingParts = slices.Delete(o.waitingParts, i, i+1)
-			end <- &NotRun{reason: tier.RefuseCallerGone}
+			result <- &NotRun{reason: tier.RefuseCallerGone}
 			return
 		}
 	}
@@ -295,14 +295,14 @@
 
 // finishPart returns the result of a part and forgets its ended calls. Calls that still
 // run are forgotten when they end.
-func (o *Owner) finishPart(number uint64, e PartResult) {
+func (o *Owner) finishPart(number uint64, r PartResult) {
 	p, ok := o.parts[number]
 	if !ok {
 		return
 	}
 	delete(o.parts, number)
 	delete(o.partByResult, p.result)
-	p.result <- e
+	p.result <- r
 	for _, n := range p.calls {
 		if c, ok := o.calls[n]; ok && c.ended {
 			delete(o.calls, n)
--- a/cicadagraded/owner/message.go
+++ b/cicadagraded/owner/message.go
@@ -28,7 +28,7 @@
 	heldVersions *HeldVersions
 	rejected     bool
 	// connectionRefused reports that the backend server's machine refused the
-	// connection.
+	// connection, which shows that no process listens there.
 	connectionRefused bool
 	// cancelled reports that the owner itself cancelled the call.
 	cancelled bool
@@ -41,7 +41,7 @@
 	number uint64
 	failed bool
 	// connectionRefused reports that the backend server's machine refused the
-	// connection.
+	// connection, which shows that no process listens there.
 	connectionRefused bool
 	state             tier.BackendState
 	holdings          []HeldVersions
--- a/cicadagraded/owner/owner.go
+++ b/cicadagraded/owner/owner.go
@@ -40,7 +40,7 @@
 }
 
 // Owner runs searches and bookings on the backend servers of one shard set in one data
-// centre.
+// centre. It is on standby while its VM is not among the owners of the set.
 type Owner struct {
 	id    Identity
 	name  string
@@ -95,19 +95,20 @@
 	result   chan PartResult
 }
 
-// Publisher publishes what owners learn about their shard sets. Its methods are called from
-// the owners' event loops and must not block.
+// Publisher publishes what owners learn about their shard sets. Its methods are called
+// from the owners' event loops and must not block.
 type Publisher interface {
-	// PublishReport publishes which index versions the backend servers of a set hold. Index is
-	// that of the owner among the VMs that share the slots of the set, or negative if
-	// the owner is on standby.
+	// PublishReport publishes which index versions the backend servers of a set hold.
+	// Index is that of the owner among the VMs that share the slots of the set, or
+	// negative if the owner is on standby.
 	PublishReport(set string, r Report, index int)
 	// PublishThreshold publishes the admission threshold of a set.
 	PublishThreshold(set string, t admitter.Threshold)
-	// WithdrawReport withdraws the report and the threshold of a set whose owner has ended.
+	// WithdrawReport withdraws the report and the threshold of a set whose owner has
+	// ended.
 	WithdrawReport(set string)
-	// BackendChanged reports a new state of a backend server. Reason names the observation
-	// behind the change.
+	// BackendChanged reports a new state of a backend server. Reason names the
+	// observation that led to it.
 	BackendChanged(set, server string, s tier.BackendState, reason string)
 }
 
@@ -209,7 +210,7 @@
 // Receipt is the receipt of a booking.
 func (d *Done) Receipt() string { return d.receipt }
 
-// LeafCalls is the number of leaf calls that were made.
+// LeafCalls is the number of leaf calls (calls to backend servers) that were made.
 func (d *Done) LeafCalls() int { return d.leafCalls }
 
 // ExtraCalls is the number of leaf calls that were hedges or retries.
@@ -292,8 +293,8 @@
 	return errors.Wrap(o.inbox.Push(ctx, &setMessage{set: s}), "Owner.SetChanged")
 }
 
-// ShareChanged makes the owner use its share of the slots of the backend servers, as the
-// VM with that index among owners VMs.
+// ShareChanged tells the owner that the slots of the backend servers are divided among
+// this many owners, and which index it has among them.
 func (o *Owner) ShareChanged(ctx context.Context, owners, index int) error {
 	return errors.Wrap(o.inbox.Push(ctx, &slotShareMessage{owners: owners, index: index}), "Owner.ShareChanged")
 }
--- a/cicadagraded/owner/pool.go
+++ b/cicadagraded/owner/pool.go
@@ -13,7 +13,7 @@
 	"cicadagrade.example/tier/ring"
 )
 
-// call is a leaf call that was started.
+// call is a leaf call, a call to a backend server, that was started.
 type call struct {
 	attempt   uint64 // the dispatcher's number of the call
 	attemptID tier.AttemptID
--- a/cicadagraded/owner/probing.go
+++ b/cicadagraded/owner/probing.go
@@ -137,8 +137,8 @@
 	o.stepProber(m.server, prober.NewHealth(m.number, m.state))
 }
 
-// takesWork reports whether a backend server is assumed to accept new calls.
-func (o *Owner) takesWork(server string) bool {
+// acceptsCalls reports whether a backend server is assumed to accept new calls.
+func (o *Owner) acceptsCalls(server string) bool {
 	p, ok := o.probers[server]
 	return ok && p.State().TakesWork()
 }
--- a/cicadagraded/owner/registry.go
+++ b/cicadagraded/owner/registry.go
@@ -53,8 +53,8 @@
 
 // Search runs a part of a search on this VM's owner of the set, and starts that owner if
 // there is none. The part runs even if this VM is not an owner of the set in its own
-// view: the views of two VMs may differ for a while, and an owner on standby uses only
-// one slot of each backend server.
+// view: the views of two VMs may differ for a while, and an owner that starts on standby
+// uses at most one slot of each backend server.
 func (r *Registry) Search(ctx context.Context, set string, s Search) PartResult {
 	o, ok := r.get(set)
 	if !ok {
--- a/cicadagraded/owner/report.go
+++ b/cicadagraded/owner/report.go
@@ -220,7 +220,7 @@
 func (o *Owner) versionsOfShard(s tier.Shard) []tier.Version {
 	var versions []tier.Version
 	for _, server := range s.Replicas() {
-		if o.takesWork(server) {
+		if o.acceptsCalls(server) {
 			versions = append(versions, o.holdings[holdingKey{server, s.ID(), o.set.Epoch()}]...)
 		}
 	}
--- a/tier/claimer/booking.go
+++ b/tier/claimer/booking.go
@@ -19,19 +19,19 @@
 // booking is the work of this VM on one idempotency key. Several submissions of the same
 // key share it.
 type booking struct {
-	key             Key
-	fingerprint     string
-	owner           uint64 // submission that is sent to the back end, at first the earliest one
-	deadline        tier.Millis
-	phase           phase
-	page            *page // nil for a minted key
-	claimID         tier.AttemptID
-	claimGeneration uint64
-	claimMayStand   bool // a write that carries the claim may have taken effect
-	readSinceSubmit bool // the page was read after the booking was submitted
-	abandoned       bool // no submission waits for it any more
-	outcome         tier.Outcome
-	waiters         []*waiter
+	key              Key
+	fingerprint      string
+	submissionToRun  uint64 // submission that is sent to the back end, at first the earliest one
+	deadline         tier.Millis
+	phase            phase
+	page             *page // nil for a minted key
+	claimID          tier.AttemptID
+	claimGeneration  uint64
+	claimMayBeStored bool // a write that carries the claim may have taken effect
+	readSinceSubmit  bool // the page was read after the booking was submitted
+	abandoned        bool // no submission waits for it any more
+	outcome          tier.Outcome
+	waiters          []*waiter
 }
 
 // waiter is one submission that waits for the outcome of its booking.
@@ -42,9 +42,9 @@
 	booking      *booking
 }
 
-// NotRunOutcome returns the outcome of a submission that is known not to run. Unless the caller
-// states that it is the first one of its key, the outcome is Unknown, because an earlier
-// submission may have run.
+// NotRunOutcome returns the outcome of a submission that is known not to run. Unless the
+// caller states that it is the first one of its key, the outcome is Unknown, because an
+// earlier submission may have run.
 func NotRunOutcome(first bool, reason tier.RefuseReason) tier.Outcome {
 	r := tier.NewRefused(reason, 0)
 	if reason == tier.RefuseNoStore {
@@ -84,7 +84,7 @@
 		return
 	}
 	if !ok {
-		b = &booking{key: e.key, fingerprint: e.fingerprint, owner: e.submissionID, deadline: e.deadline, page: p}
+		b = &booking{key: e.key, fingerprint: e.fingerprint, submissionToRun: e.submissionID, deadline: e.deadline, page: p}
 		p.bookings[e.key.text] = b
 		c.busyPages[p.key] = p
 		c.lastClaim++
@@ -116,9 +116,9 @@
 		return
 	}
 	b.phase = phaseRunning
-	c.running[b.owner] = b
+	c.running[b.submissionToRun] = b
 	c.counters.runs++
-	c.emit(&Run{submissionID: b.owner, key: b.key, deadline: b.deadline})
+	c.emit(&Run{submissionID: b.submissionToRun, key: b.key, deadline: b.deadline})
 }
 
 // handleRan records how a booking ended.
@@ -178,7 +178,7 @@
 		delete(b.page.bookings, b.key.text)
 	}
 	for _, w := range b.waiters {
-		if booked, ok := o.(*tier.Booked); ok && w.submissionID != b.owner {
+		if booked, ok := o.(*tier.Booked); ok && w.submissionID != b.submissionToRun {
 			c.finish(w, tier.NewBooked(booked.Receipt(), true))
 			continue
 		}
@@ -191,7 +191,7 @@
 // its claim still takes effect, resolveClaims releases the claim.
 func (c *Claimer) abandon(b *booking, reason tier.RefuseReason) {
 	b.abandoned = true
-	if b.claimMayStand {
+	if b.claimMayBeStored {
 		b.page.abandoned = append(b.page.abandoned, b)
 	}
 	waiters := b.waiters
@@ -238,7 +238,7 @@
 		c.abandon(b, tier.RefuseCallerGone)
 	case b.phase == phaseWaiting:
 		c.finish(w, tier.NewUnknown(tier.UnknownInProgress))
-		b.owner, b.deadline = b.waiters[0].submissionID, b.waiters[0].deadline
+		b.submissionToRun, b.deadline = b.waiters[0].submissionID, b.waiters[0].deadline
 	case b.phase == phaseStoringRefusal:
 		c.finish(w, b.outcome)
 	default:
--- a/tier/claimer/cachedpage.go
+++ b/tier/claimer/cachedpage.go
@@ -26,12 +26,12 @@
 	retryAt         tier.Millis
 	backoff         tier.Millis
 	failing         bool        // no call has succeeded since the first failure
-	since           tier.Millis // first failure of the present series
+	failingSince    tier.Millis // first failure of the present series
 }
 
 // storeDown reports whether the store has failed for so long that bookings are refused at
 // once instead of waiting for it.
-func (p *page) storeDown(now tier.Millis) bool { return p.failing && now-p.since >= outageAfter }
+func (p *page) storeDown(now tier.Millis) bool { return p.failing && now-p.failingSince >= outageAfter }
 
 // callSucceeded resets the backoff after a successful store call.
 func (p *page) callSucceeded() { p.backoff, p.retryAt, p.failing = 0, 0, false }
@@ -197,14 +197,14 @@
 	reason := tier.UnknownInProgress
 	switch {
 	case e.state == stateAnswered:
-		b.owner = 0
+		b.submissionToRun = 0
 		c.endBooking(b, tier.NewBooked(e.receipt, true))
 		return
 	case e.state == stateUnknown:
 		reason = e.reason
 	case e.claimID.VM() == c.vm || !c.live(e.claimID.VM(), e.claimID.Incarnation()):
-		// A claim of this VM without a booking here was made by an earlier incarnation,
-		// which is gone.
+		// No booking here works on this claim of this VM, so it has no holder: an earlier
+		// incarnation made it, or its booking was given up.
 		reason = tier.UnknownHolderGone
 	}
 	c.endBooking(b, tier.NewUnknown(reason))
--- a/tier/claimer/calls.go
+++ b/tier/claimer/calls.go
@@ -40,8 +40,8 @@
 	p.writtenEntries, p.writtenClaims = next, claims
 	p.writtenOutcomes = append([]*unstoredOutcome(nil), p.unstored...)
 	for _, b := range claims {
-		if !b.claimMayStand {
-			b.claimMayStand = true
+		if !b.claimMayBeStored {
+			b.claimMayBeStored = true
 			p.newClaims = append(p.newClaims, b)
 		}
 	}
@@ -142,10 +142,10 @@
 		}
 	}
 	for _, b := range append(claims, p.waitingBookings()...) {
-		if b.phase != phaseWaiting || b.abandoned || !b.claimMayStand {
+		if b.phase != phaseWaiting || b.abandoned || !b.claimMayBeStored {
 			continue
 		}
-		b.claimMayStand = false
+		b.claimMayBeStored = false
 		if p.holdsClaim(b) {
 			c.startRun(now, b)
 		}
@@ -169,7 +169,7 @@
 	c.endCall(p)
 	c.backOff(now, p)
 	if !p.failing {
-		p.failing, p.since = true, now
+		p.failing, p.failingSince = true, now
 	}
 	if !p.storeDown(now) {
 		return
@@ -182,9 +182,9 @@
 // markNeverWritten notes that the only write that carried these claims had no effect.
 func (p *page) markNeverWritten(list []*booking) {
 	for _, b := range list {
-		b.claimMayStand = false
+		b.claimMayBeStored = false
 	}
-	p.abandoned = slices.DeleteFunc(p.abandoned, func(b *booking) bool { return !b.claimMayStand })
+	p.abandoned = slices.DeleteFunc(p.abandoned, func(b *booking) bool { return !b.claimMayBeStored })
 }
 
 // backOff postpones the next call for a page after a failure, with exponential backoff
--- a/tier/claimer/minter.go
+++ b/tier/claimer/minter.go
@@ -64,7 +64,7 @@
 	case now >= e.deadline:
 		c.finish(w, tier.NewRefused(tier.RefuseDeadline, 0))
 	default:
-		b.owner, b.deadline = e.submissionID, e.deadline
+		b.submissionToRun, b.deadline = e.submissionID, e.deadline
 		c.addWaiter(b, w, e.fingerprint)
 		c.startRun(now, b)
 	}
--- a/tier/committer/committer.go
+++ b/tier/committer/committer.go
@@ -53,15 +53,15 @@
 // Option sets one option of a change.
 type Option func(*Change)
 
-// WithExpectedRevision makes the change rejected unless the document is at this revision; 0 means
-// that the document must not exist yet.
+// WithExpectedRevision has the change rejected unless the document is at this revision; 0
+// means that the document must not exist yet.
 func WithExpectedRevision(revision int64) Option {
 	return func(c *Change) { c.expectedRevision = revision }
 }
 
-// WithHighestServed sets the highest version of the document that any VM serves. If the store
-// holds an older one, the change is rejected, because the store has to be reconciled
-// first.
+// WithHighestServed sets the highest version of the document that any VM serves. If the
+// store holds an older one, the change is rejected, because the store has to be
+// reconciled first.
 func WithHighestServed(r replicator.Ref) Option { return func(c *Change) { c.highestServed = r } }
 
 // WithTimeout sets the time after which the change is no longer retried.
--- a/tier/committer/read.go
+++ b/tier/committer/read.go
@@ -219,7 +219,7 @@
 	case !c.swapUnsure:
 		return finish(&Rejected{reason: ReasonConflict, current: current})
 	case current == nil || r.NewerThan(current.Ref()):
-		return finish(&Unknown{cause: fmt.Errorf("the store shows the document %s, below this change", describe(current))})
+		return finish(&Unknown{cause: fmt.Errorf("the store shows the document %s, not this change or a later one", describe(current))})
 	case current.TailCovers(r.Epoch(), r.Revision()):
 		return finish(&Rejected{reason: ReasonConflict, current: current})
 	default:
--- a/tier/committer/run.go
+++ b/tier/committer/run.go
@@ -46,14 +46,14 @@
 	case *Put:
 		_, err := store.CompareAndSwap(ctx, a.key, a.data, a.expectedRevision, 0)
 		var conflict *storer.ConflictError
-		var unsure *storer.IndeterminateError
+		var indeterminate *storer.IndeterminateError
 		switch {
 		case err == nil:
 			return &Written{}
 		case errors.As(err, &conflict):
 			return NewConflicted(conflict.Current())
 		default:
-			return NewFailed(a, errors.As(err, &unsure), err)
+			return NewFailed(a, errors.As(err, &indeterminate), err)
 		}
 	}
 	return &Tick{}
--- a/tier/replicator/entry.go
+++ b/tier/replicator/entry.go
@@ -57,8 +57,8 @@
 // Changes lists the differences, unless they are detached.
 func (e Entry) Changes() []parser.Change { return e.changes }
 
-// ChangesDetached reports that the list of changes is too long for the audit tail and is stored
-// under its own key, ChangesKey.
+// ChangesDetached reports that the list of changes is too long for the audit tail and is
+// stored under its own key, ChangesKey.
 func (e Entry) ChangesDetached() bool { return e.changesDetached }
 
 // WithChanges returns the entry with the list of changes read from ChangesKey.
@@ -157,8 +157,8 @@
 // ArchivePrefix is the prefix of the store keys of a document's archived entries.
 func ArchivePrefix(key string) string { return auditPrefix + documentPath(key) + "/" }
 
-// MergeEntries combines entries of the archive and of the tail, without duplicates and in the
-// order of epoch and revision.
+// MergeEntries combines entries of the archive and of the tail, without duplicates and in
+// the order of epoch and revision.
 func MergeEntries(lists ...[]Entry) []Entry {
 	seen := map[string]bool{}
 	var out []Entry
--- a/tier/replicator/fetch.go
+++ b/tier/replicator/fetch.go
@@ -121,8 +121,9 @@
 	rp.retryPeerAt[vm] = now + rp.jitter(fetchRetryDelay)
 }
 
-// UpdatesFor returns the updates for a peer that lists the versions it holds; a revision of 0
-// requests the whole document. With all, the documents that it does not list are added.
+// UpdatesFor returns the updates for a peer that lists the versions it holds; a revision
+// of 0 requests the whole document. With all, the documents that it does not list are
+// added.
 func (rp *Replicator) UpdatesFor(have []Ref, all bool) []Update {
 	var out []Update
 	asked := map[string]bool{}
@@ -143,9 +144,9 @@
 	return out
 }
 
-// RefsToAnnounce lists the versions that this VM announces. Watchers announce all documents they
-// hold. The other VMs announce only those of which no live VM has announced the same or a
-// later version, so that a change causes few announcements in a data centre.
+// RefsToAnnounce lists the versions that this VM announces. Watchers announce all
+// documents they hold. The other VMs announce only those of which no live VM has announced
+// the same or a later version, so that a change causes few announcements in a data centre.
 func (rp *Replicator) RefsToAnnounce() []Ref {
 	var out []Ref
 	for _, s := range rp.Documents() {
--- a/tier/replicator/load_test.go
+++ b/tier/replicator/load_test.go
@@ -177,9 +177,9 @@
 	}
 }
 
-// BenchmarkTakeDelta measures the time that a VM needs to adopt a delta with one changed
+// BenchmarkAdoptDelta measures the time that a VM needs to adopt a delta with one changed
 // server of a shard set.
-func BenchmarkTakeDelta(b *testing.B) {
+func BenchmarkAdoptDelta(b *testing.B) {
 	for _, servers := range []int{20, 2600} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			state, _ := replicator.NextState(nil, bigSet(b, servers, 1), replicator.NewAuthor("ana", "change-0", "new set", 0))
--- a/tier/replicator/ref.go
+++ b/tier/replicator/ref.go
@@ -64,8 +64,8 @@
 // Digest is the checksum of the document's canonical encoding.
 func (r Ref) Digest() string { return r.digest }
 
-// NewerThan reports whether r is a later version than o: a higher epoch, or the same epoch
-// and a higher revision.
+// NewerThan reports whether r is a later version than o: a higher epoch, or the same
+// epoch and a higher revision.
 func (r Ref) NewerThan(o Ref) bool {
 	if r.epoch != o.epoch {
 		return r.epoch > o.epoch
--- a/tier/replicator/replicator.go
+++ b/tier/replicator/replicator.go
@@ -59,7 +59,7 @@
 	localMembers []string                  // live VMs of this data centre
 	knownVMs     int                       // highest number of live VMs seen at once
 	seeds        int                       // other VMs that the settings name
-	localVMs     map[string]bool           // the same as a set
+	localVMs     map[string]bool           // localMembers as a set
 	liveVMs      map[string]bool           // nil before the first Members event
 	announced    map[string]map[string]Ref // by VM and key
 
--- a/tier/replicator/state.go
+++ b/tier/replicator/state.go
@@ -50,15 +50,16 @@
 	return Entry{}, false
 }
 
-// TailCovers reports whether the tail reaches back to an epoch and revision: if it does, it
-// contains the change that made that version, provided that this state descends from it.
+// TailCovers reports whether the tail reaches back to an epoch and revision: if it does,
+// it contains the change that made that version, provided that this state descends from
+// it.
 func (s *State) TailCovers(epoch, revision uint64) bool {
 	first := s.tail[0]
 	return first.revision == 1 || !(Entry{epoch: epoch, revision: revision}).olderThan(first)
 }
 
-// DescendsFrom reports whether s descends from o: the change that made o is in the tail of s.
-// It also reports true if the tail no longer reaches back that far.
+// DescendsFrom reports whether s descends from o: the change that made o is in the tail of
+// s. It also reports true if the tail no longer reaches back that far.
 func (s *State) DescendsFrom(o *State) bool {
 	if !s.TailCovers(o.ref.epoch, o.ref.revision) {
 		return true
@@ -67,8 +68,8 @@
 	return ok
 }
 
-// NextState returns the state after a change of s, which is nil if the document does not exist
-// yet, and the list of changes.
+// NextState returns the state after a change of s, which is nil if the document does not
+// exist yet, and the list of changes.
 func NextState(s *State, d parser.Document, a Author) (*State, []parser.Change) {
 	var before parser.Document
 	ref := Ref{key: KeyOf(d), epoch: 1, revision: 1, digest: parser.Digest(d)}
--- a/tier/replicator/update.go
+++ b/tier/replicator/update.go
@@ -133,14 +133,14 @@
 		if err == nil && s.ref != u.ref {
 			err = &CorruptError{key: u.ref.key, cause: "it is not the announced version"}
 		}
-		return s, errors.Wrap(err, "resolve")
+		return s, errors.Wrap(err, "resolveUpdate")
 	}
 	if sd == nil || sd.state == nil || sd.state.ref.revision != u.base {
 		return nil, errors.WithStack(&CorruptError{key: u.ref.key, cause: "the base revision of the delta is not served here"})
 	}
 	var body deltaBody
 	if err := json.Unmarshal(u.delta, &body); err != nil {
-		return nil, errors.Wrap(&CorruptError{key: u.ref.key, cause: err.Error()}, "resolve")
+		return nil, errors.Wrap(&CorruptError{key: u.ref.key, cause: err.Error()}, "resolveUpdate")
 	}
 	if body.Base != sd.state.LastEntry().changeID {
 		return nil, errors.WithStack(&CorruptError{key: u.ref.key, cause: "the base of the delta is another change"})
@@ -149,7 +149,7 @@
 	for _, patch := range body.Patches {
 		next, err := parser.Apply(d, patch)
 		if err != nil {
-			return nil, errors.Wrap(&CorruptError{key: u.ref.key, cause: err.Error()}, "resolve")
+			return nil, errors.Wrap(&CorruptError{key: u.ref.key, cause: err.Error()}, "resolveUpdate")
 		}
 		d = next
 	}
@@ -157,5 +157,5 @@
 	if len(body.Patches) == 1 {
 		s.patch = body.Patches[0]
 	}
-	return s, errors.Wrap(s.check(), "resolve")
+	return s, errors.Wrap(s.check(), "resolveUpdate")
 }
--- a/tier/storer/storer.go
+++ b/tier/storer/storer.go
@@ -44,8 +44,8 @@
 	Get(ctx context.Context, key string) (Value, error)
 	// List reads the keys that start with prefix, at most limit of them (0: all).
 	List(ctx context.Context, prefix string, limit int) ([]Value, error)
-	// CompareAndSwap writes data if the key's revision is expect, and returns the new revision.
-	// Expect 0 means that the key must be absent. Lease 0 attaches no lease.
+	// CompareAndSwap writes data if the key's revision is expect, and returns the new
+	// revision. Expect 0 means that the key must be absent. Lease 0 attaches no lease.
 	CompareAndSwap(ctx context.Context, key string, data []byte, expect int64, lease LeaseID) (int64, error)
 	// Delete removes the key if its revision is expect.
 	Delete(ctx context.Context, key string, expect int64) error
@@ -96,8 +96,8 @@
 	return fmt.Sprintf("the store did not take %s: %v", e.call, e.cause)
 }
 
-// IndeterminateError says that the reply to a write was lost, so it is not known whether the
-// write took effect. The caller can read the key to find out.
+// IndeterminateError says that the reply to a write was lost, so it is not known whether
+// the write took effect. The caller can read the key to find out.
 type IndeterminateError struct {
 	call  string
 	cause error
