--- a/cicadagraded/entry/view.go
+++ b/cicadagraded/entry/view.go
@@ -301,7 +301,7 @@
 		previous = old.Version()
 	}
 	e.log.Info("configuration-in-force", "version", t.Version(), "previous", previous,
-		"routes", t.Routes(), "revision", c.Revision())
+		"routes", t.RouteCount(), "revision", c.Revision())
 }
 
 func (e *Entry) decodeLeaf(c storer.Value) lister.Entry {
--- a/cicadagraded/locator/queries.go
+++ b/cicadagraded/locator/queries.go
@@ -107,5 +107,5 @@
 // number in the set's configuration, but no more than any server there has slots, so that
 // each VM gets a slot on each server.
 func OwnerCount(s *tier.ShardSet, dataCentre string) int {
-	return min(s.Owners(), dispatcher.MaxOwners(s, dataCentre))
+	return min(s.OwnerCount(), dispatcher.MaxOwners(s, dataCentre))
 }
