--- a/cicadagraded/eventlog/eventlog_test.go
+++ b/cicadagraded/eventlog/eventlog_test.go
@@ -12,8 +12,8 @@
 // blockingWriter blocks each write until release is closed.
 type blockingWriter struct{ release chan struct{} }
 
-func (s *blockingWriter) Write(b []byte) (int, error) {
-	<-s.release
+func (w *blockingWriter) Write(b []byte) (int, error) {
+	<-w.release
 	return len(b), nil
 }
 
--- a/cicadagraded/exchanger/exchanger.go
+++ b/cicadagraded/exchanger/exchanger.go
@@ -1,6 +1,7 @@
 // Package exchanger runs the gossip protocol of a VM over the network: it drives the state
-// machine of package gossiper, sends exchanges to peers and serves theirs. The rest of the
-// daemon reads the members and their published values from it, and publishes through it.
+// machine of package gossiper, and starts exchanges (a request and its reply) with peers and
+// serves theirs. The rest of the daemon reads the members and their published values from
+// it, and publishes through it.
 package exchanger
 
 import (
@@ -100,8 +101,8 @@
 
 // WithChanges sets the queue that receives each gossiper.MemberChanged and EntryChanged.
 // Changes that find the queue full are dropped, and counted by DroppedChanges.
-func WithChanges(r *ring.Ring[gossiper.Action]) Option {
-	return func(x *Exchanger) { x.changes = r }
+func WithChanges(changes *ring.Ring[gossiper.Action]) Option {
+	return func(x *Exchanger) { x.changes = changes }
 }
 
 // WithGossip passes options to the gossiper.
--- a/cicadagraded/exchanger/view.go
+++ b/cicadagraded/exchanger/view.go
@@ -86,7 +86,8 @@
 }
 
 // Fresh reports whether this VM's data is recent enough to act on. After a start or a pause
-// of the process it is false until an exchange with a peer succeeds or no peer is left.
+// of the process it is false until an exchange with a peer succeeds or no peer is left. It
+// is also false once a later incarnation has replaced this VM.
 func (x *Exchanger) Fresh() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/cicadagraded/leafclient/client.go
+++ b/cicadagraded/leafclient/client.go
@@ -43,7 +43,7 @@
 	// maxRepliesPerCall bounds the replies that are read for one request, including
 	// interim replies and late replies to earlier requests.
 	maxRepliesPerCall = 4
-	bufferSize        = 4 << 10
+	readBufferBytes   = 4 << 10
 )
 
 // NotSentError reports that no byte of the request was written.
@@ -72,7 +72,7 @@
 	cause    error
 }
 
-// ConnectionRejected reports whether the server closed or reset a new connection instead of
+// ConnectionRejected reports whether the server closed or reset a new connection without
 // replying, as servers do that have reached their limit of connections.
 func (e *NoReplyError) ConnectionRejected() bool { return e.rejected }
 
@@ -228,15 +228,16 @@
 	return nil, false, errors.New("Client.readReply: too many interim replies or replies to other requests")
 }
 
-// acquire returns an idle connection that is still open, or a new one.
-func (c *Client) acquire(ctx context.Context, address string, maxIdleTime tier.Millis) (*conn, error) {
+// acquire returns an idle connection that is still open and, if maxIdle is not 0, was idle
+// for no longer than that, or a new connection.
+func (c *Client) acquire(ctx context.Context, address string, maxIdle tier.Millis) (*conn, error) {
 	for {
 		cn := c.popIdle(address)
 		if cn == nil {
 			break
 		}
 		age := time.Since(cn.idleSince)
-		stale := age > cn.idleTimeout || maxIdleTime > 0 && age > maxIdleTime.Duration()
+		stale := age > cn.idleTimeout || maxIdle > 0 && age > maxIdle.Duration()
 		if !stale && c.isAlive(cn) {
 			return cn, nil
 		}
@@ -247,7 +248,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "Client.acquire")
 	}
-	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, bufferSize), idleTimeout: maxIdleTime.Duration()}, nil
+	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferBytes), idleTimeout: maxIdleTime.Duration()}, nil
 }
 
 // popIdle removes and returns the most recently used idle connection to an address, or nil.
--- a/cicadagraded/leafclient/client_test.go
+++ b/cicadagraded/leafclient/client_test.go
@@ -82,9 +82,9 @@
 }
 
 func newCall(id string) Call {
-	m := NewTemplate(http.MethodGet, "/x", "h", http.Header{"Id": {id}}, nil)
+	template := NewTemplate(http.MethodGet, "/x", "h", http.Header{"Id": {id}}, nil)
 	return Call{
-		Method: http.MethodGet, Request: m.Render(),
+		Method: http.MethodGet, Request: template.Render(),
 		IsReply: func(h http.Header) bool { return h.Get("Id") == id },
 	}
 }
--- a/cicadagraded/leafclient/template.go
+++ b/cicadagraded/leafclient/template.go
@@ -11,8 +11,8 @@
 	"github.com/pkg/errors"
 )
 
-// Template is a template of a request that goes to several servers with a few different
-// headers. The common part is encoded once.
+// Template is a request that goes to several servers with a few different headers. Its
+// common part is encoded once.
 type Template struct {
 	method string
 	head   []byte
@@ -39,28 +39,28 @@
 	return &Template{method: method, head: b.Bytes(), body: body}
 }
 
-// RestoreTemplate returns the template with another VM's Method, Head and Body.
+// RestoreTemplate rebuilds a template from its Method, Head and Body as sent by another VM.
 func RestoreTemplate(method string, head, body []byte) *Template {
 	return &Template{method: method, head: head, body: body}
 }
 
 // Head is the encoded request line and common headers, without the final empty line.
-func (m *Template) Head() []byte { return m.head }
+func (t *Template) Head() []byte { return t.head }
 
 // Body is the request's body.
-func (m *Template) Body() []byte { return m.body }
+func (t *Template) Body() []byte { return t.body }
 
 // Method is the request's method.
-func (m *Template) Method() string { return m.method }
+func (t *Template) Method() string { return t.method }
 
 // Render returns the complete request, with the given headers added.
-func (m *Template) Render(headers ...[2]string) []byte {
-	n := len(m.head) + len(m.body) + 2
+func (t *Template) Render(headers ...[2]string) []byte {
+	n := len(t.head) + len(t.body) + 2
 	for _, h := range headers {
 		n += len(h[0]) + len(h[1]) + 4
 	}
 	b := make([]byte, 0, n)
-	b = append(b, m.head...)
+	b = append(b, t.head...)
 	for _, h := range headers {
 		b = append(b, h[0]...)
 		b = append(b, ": "...)
@@ -68,7 +68,7 @@
 		b = append(b, "\r\n"...)
 	}
 	b = append(b, "\r\n"...)
-	return append(b, m.body...)
+	return append(b, t.body...)
 }
 
 // readBody reads the complete body of a response to a method. A body without a length ends
@@ -79,7 +79,7 @@
 		return nil, nil
 	}
 	if response.ContentLength > maxReplyBytes {
-		return nil, errors.Errorf("readBody: the body has %d bytes, more than allowed", response.ContentLength)
+		return nil, errors.Errorf("readBody: the body has %d bytes, more than the limit", response.ContentLength)
 	}
 	if response.ContentLength >= 0 {
 		b := make([]byte, response.ContentLength)
@@ -88,7 +88,7 @@
 	}
 	b, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes+1))
 	if err == nil && len(b) > maxReplyBytes {
-		err = errors.New("the body has more bytes than allowed")
+		err = errors.New("the body has more bytes than the limit")
 	}
 	return b, errors.Wrap(err, "readBody")
 }
