--- a/cicadagraded/entry/bench_test.go
+++ b/cicadagraded/entry/bench_test.go
@@ -21,8 +21,8 @@
 // benchShards is the number of shards of a typical index.
 const benchShards = 20
 
-// BenchmarkSweep measures a whole query over 20 shards. The caller, the entry VM and the
-// leafs are in one process and reuse connections over loopback.
+// BenchmarkSweep measures a whole query over all 20 shards of an index. The caller, the
+// entry VM and the leafs are in one process and reuse connections over loopback.
 func BenchmarkSweep(b *testing.B) {
 	raw, err := os.ReadFile("testdata/settings.toml")
 	if err != nil {
--- a/cicadagraded/entry/callers.go
+++ b/cicadagraded/entry/callers.go
@@ -20,7 +20,7 @@
 	defaultHeaderTimeout = 10 * tier.Second
 	// defaultIdleTimeout bounds how long a caller's connection may be idle.
 	defaultIdleTimeout = 120 * tier.Second
-	// acceptPause is the pause after a failed accept, for example when the process has
+	// acceptPause is the pause after a failed accept, for example because the process has
 	// run out of file descriptors.
 	acceptPause = 5 * time.Millisecond
 )
@@ -99,7 +99,7 @@
 }
 
 // Shutdown waits until no request is in flight or ctx ends. The listener passed to Serve
-// must be closed firstErr.
+// must be closed first.
 func (c *CallerServer) Shutdown(ctx context.Context) error {
 	var firstErr error
 	for _, s := range c.stopAccepting() {
--- a/cicadagraded/entry/connection.go
+++ b/cicadagraded/entry/connection.go
@@ -86,5 +86,5 @@
 	left, limited := attempt.TimeLeft()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.timekeeper.RequestArrived(start, c.timing, route.Name(), left, limited)
+	return e.delayEstimator.RequestArrived(start, c.timing, route.Name(), left, limited)
 }
--- a/cicadagraded/entry/connection_test.go
+++ b/cicadagraded/entry/connection_test.go
@@ -42,7 +42,7 @@
 	}
 	clock.Advance(minConnectionLifetime - 1)
 	if connectionHeader() != "" {
-		t.Error("a connection is closed before its least lifetime")
+		t.Error("a connection is closed before its minimum lifetime")
 	}
 	clock.Advance(minConnectionLifetime)
 	if connectionHeader() != "close" {
@@ -56,9 +56,9 @@
 func TestTargetLatencyCountsFromTheCallersStart(t *testing.T) {
 	const roundTrip, target = 6 * tier.Millisecond, 100 * tier.Millisecond
 	route := router.NewRoute("check", "search.example", "/check/", router.WithTimes(tier.Second, target))
-	keeper, conn := delayestimator.New(), delayestimator.NewConnection(0, roundTrip)
+	estimator, conn := delayestimator.New(), delayestimator.NewConnection(0, roundTrip)
 	check := func(name string, want tier.Millis) {
-		q := &request{route: route, arrival: keeper.RequestArrived(0, conn, route.Name(), tier.Second, true)}
+		q := &request{route: route, arrival: estimator.RequestArrived(0, conn, route.Name(), tier.Second, true)}
 		if got := q.terms().Target(); got != want {
 			t.Errorf("%s: %d ms left until the target, want %d", name, got, want)
 		}
--- a/cicadagraded/entry/entry.go
+++ b/cicadagraded/entry/entry.go
@@ -34,12 +34,12 @@
 	leafClient       *leafclient.Client
 	store            *platform.Store
 	table            atomic.Pointer[router.Table]
-	storeAnsweredAt  atomic.Int64 // time when the store last answered this VM or its source
+	storeAnsweredAt  atomic.Int64 // time of the store's answer that the view is based on
 	registered       atomic.Bool  // this VM's registration is in the store
 	storeUnreachable atomic.Bool  // the last read of the store failed
 	isolated         atomic.Bool  // neither the store nor any other VM answers
 	stopping         atomic.Bool
-	rttFaultLogged   atomic.Bool   // the failure to measure round-trip times has been logged
+	rttFaultLogged   atomic.Bool   // a failure to measure round-trip times has been logged
 	shutdown         chan struct{} // closed when the VM begins to shut down
 	peers            *peerClients
 	meter            *meter.Meter
@@ -50,12 +50,12 @@
 	background       sync.WaitGroup // calls to leafs and other VMs in progress
 
 	// mu serialises the steps of all searches and guards the state they share.
-	mu   sync.Mutex
-	core *searcher.Scheduler
+	mu        sync.Mutex
+	scheduler *searcher.Scheduler
 	// relayer caches what was read from the store and serves it to other VMs.
 	relayer *relayer.Relayer
-	// timekeeper estimates how long a caller has already waited for its request.
-	timekeeper *delayestimator.Estimator
+	// delayEstimator estimates how long a caller has already waited for its request.
+	delayEstimator *delayestimator.Estimator
 }
 
 // New returns an entry VM that has read nothing from the store and serves no requests yet.
@@ -66,21 +66,21 @@
 	}
 	e := &Entry{
 		meter: m, clock: clock, log: log, leafClient: leafclient.New(), peers: newPeerClients(),
-		shutdown: make(chan struct{}), relayer: relayer.New(), timekeeper: delayestimator.New(),
+		shutdown: make(chan struct{}), relayer: relayer.New(), delayEstimator: delayestimator.New(),
 	}
 	e.settings.Store(s)
 	e.store = platform.NewStore(s.StoreAddress(), platform.WithTimeout(storeCallTimeout))
 	vm := tier.NewVM(s.Name(), s.DataCentre(), s.PeerAddress(),
 		tier.WithIncarnation(tier.Incarnation(rand.Uint64())), tier.WithVMState(tier.VMLive))
 	self := partitioner.NewMember(vm, s.Region(s.DataCentre()), s.Cores())
-	e.core = searcher.NewScheduler(lister.New(), balancer.New(e.proximity),
-		budgeter.New(s.RetryBudgetRatio(), s.RetryBudgetSlack(), assumedMembers), partitioner.New(self))
+	e.scheduler = searcher.NewScheduler(lister.New(), balancer.New(e.proximity),
+		budgeter.New(s.RetryBudgetRatio(), s.RetryBudgetSlack(), minBudgetVMs), partitioner.New(self))
 	return e, errors.Wrap(e.registerGauges(), "New")
 }
 
-// assumedMembers is the least number of VMs that the fixed part of the retry budget is
-// divided by. It also applies before the list of VMs has been read.
-const assumedMembers = 10
+// minBudgetVMs is the least number of VMs among which the fixed part of the retry budget
+// is divided. It is also the number assumed until the list of VMs has been read.
+const minBudgetVMs = 10
 
 // proximity returns how close a data centre is to this VM.
 func (e *Entry) proximity(dataCentre string) balancer.Distance {
@@ -100,7 +100,7 @@
 	e.settings.Store(s)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.core.Budgeter().Configure(s.RetryBudgetRatio(), s.RetryBudgetSlack())
+	e.scheduler.Budgeter().Configure(s.RetryBudgetRatio(), s.RetryBudgetSlack())
 }
 
 // Ready reports whether the balancer may send callers to this VM.
--- a/cicadagraded/entry/gather.go
+++ b/cicadagraded/entry/gather.go
@@ -83,14 +83,14 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s := e.settings.Load()
-	placesOf := func(shard string) []partitioner.Location {
+	locationsOf := func(shard string) []partitioner.Location {
 		var list []partitioner.Location
-		for _, f := range e.core.Lister().Leafs(shard) {
+		for _, f := range e.scheduler.Lister().Leafs(shard) {
 			list = append(list, partitioner.Location{DataCentre: f.DataCentre(), Region: s.Region(f.DataCentre())})
 		}
 		return list
 	}
-	return e.core.Partitioner().Partition(route, shards, placesOf, rand.Float64)
+	return e.scheduler.Partitioner().Partition(route, shards, locationsOf, rand.Float64)
 }
 
 // delegate sends a share, some of the request's shards, to another VM, and posts its
@@ -108,7 +108,7 @@
 	request := &gatherv1.GatherRequest{
 		Attempt: r.attemptID, Method: r.template.Method(), Head: r.template.Head(), Body: r.template.Body(),
 		Route: r.delegation.route, Shards: shards, Top: uint32(r.delegation.topK), Attempts: uint32(r.delegation.maxAttempts),
-		Rank: uint32(r.delegation.rank), Spread: a.Member.Region() != r.entry.core.Partitioner().Self().Region(),
+		Rank: uint32(r.delegation.rank), Spread: a.Member.Region() != r.entry.scheduler.Partitioner().Self().Region(),
 		Minimum: uint32(r.delegation.minimumParts(len(shards))),
 		AimMs:   int64(a.Target), EndMs: int64(a.Deadline),
 	}
@@ -141,7 +141,7 @@
 			continue
 		}
 		reply := stream.Msg()
-		if a.Member.Region() != r.entry.core.Partitioner().Self().Region() {
+		if a.Member.Region() != r.entry.scheduler.Partitioner().Self().Region() {
 			r.entry.crossRegionBytes.Add(int64(proto.Size(reply)))
 		}
 		report := searcher.ShareReport{
@@ -184,7 +184,7 @@
 }
 
 const (
-	// probeInterval is how often it is checked which VMs are due for a probe.
+	// probeInterval is the interval of the checks for VMs that are due for a probe.
 	probeInterval = 100 * tier.Millisecond
 	// probeTimeout bounds a probe. It allows for a round trip between regions and for
 	// processing on the other VM.
@@ -204,7 +204,7 @@
 		case <-ticker.C:
 		}
 		e.mu.Lock()
-		due := append(e.core.Partitioner().Probes(e.clock.Now()), e.core.Partitioner().IdleGateways(e.clock.Now())...)
+		due := append(e.scheduler.Partitioner().Probes(e.clock.Now()), e.scheduler.Partitioner().IdleGateways(e.clock.Now())...)
 		e.mu.Unlock()
 		for _, m := range due {
 			e.background.Go(func() { e.probe(ctx, m) })
@@ -212,7 +212,7 @@
 	}
 }
 
-// probe pings a VM and ends its suspicion if it answers.
+// probe pings a VM. If it answers, it is no longer suspected to have failed.
 func (e *Entry) probe(ctx context.Context, m partitioner.Member) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout.Duration())
 	defer cancel()
@@ -221,7 +221,7 @@
 		return
 	}
 	e.mu.Lock()
-	recovered := e.core.Partitioner().Recovered(e.clock.Now(), m.VM().Name())
+	recovered := e.scheduler.Partitioner().Recovered(e.clock.Now(), m.VM().Name())
 	e.mu.Unlock()
 	if recovered {
 		e.log.Info("vm-answers-again", "peer", m.VM().Name())
@@ -229,17 +229,17 @@
 }
 
 // Ping answers a probe of another VM.
-func (g *peerService) Ping(context.Context, *connect.Request[gatherv1.PingRequest]) (*connect.Response[gatherv1.PingReply], error) {
+func (p *peerService) Ping(context.Context, *connect.Request[gatherv1.PingRequest]) (*connect.Response[gatherv1.PingReply], error) {
 	return connect.NewResponse(&gatherv1.PingReply{}), nil
 }
 
 // peerService serves the calls of other VMs.
 type peerService struct{ entry *Entry }
 
-// Gather searches a share of another VM's request. It acknowledges the share with an empty
-// reply and then streams partial results as they come in.
-func (g *peerService) Gather(ctx context.Context, c *connect.Request[gatherv1.GatherRequest], stream *connect.ServerStream[gatherv1.GatherReply]) error {
-	e, request := g.entry, c.Msg
+// Gather searches a share (some of the shards) of another VM's request. It acknowledges the
+// share with an empty reply and then streams partial results as they come in.
+func (p *peerService) Gather(ctx context.Context, c *connect.Request[gatherv1.GatherRequest], stream *connect.ServerStream[gatherv1.GatherReply]) error {
+	e, request := p.entry, c.Msg
 	if err := stream.Send(&gatherv1.GatherReply{}); err != nil {
 		return errors.Wrap(err, "peerService.Gather")
 	}
--- a/cicadagraded/entry/handler.go
+++ b/cicadagraded/entry/handler.go
@@ -21,20 +21,20 @@
 
 const (
 	// responseMargin is subtracted from the target time to allow for merging and writing
-	// the response and for late timers. It is twice what the smallest VM needs.
+	// the response and for late timers. It is twice what the slowest VM needs.
 	responseMargin = 8 * tier.Millisecond
 	// defaultCallerTimeout applies to callers that do not say how long they wait.
 	defaultCallerTimeout = 30 * tier.Second
 	// defaultBodyBytes bounds a request's body if the configuration sets no limit.
 	defaultBodyBytes = 1 << 20
-	// refusalRetryAfter is the shortest Retry-After when the cause of a refusal ends with
-	// the next read of the store or a leaf's restart.
+	// refusalRetryAfter is the shortest Retry-After of refusals whose cause should end with
+	// the next read of the store or the restart of a leaf.
 	refusalRetryAfter = 250 * tier.Millisecond
-	// shardOutageRetryAfter is the shortest Retry-After when too many shards fail. The
-	// trial requests that detect their recovery take about as long.
+	// shardOutageRetryAfter is the shortest Retry-After when too many shards fail. It takes
+	// about as long until trial requests detect that they have recovered.
 	shardOutageRetryAfter = 600 * tier.Millisecond
-	// deadlineMargin is subtracted from the caller's deadline, besides the network's
-	// time: an answer sent later would not reach the caller in time.
+	// deadlineMargin is subtracted from the caller's deadline, in addition to the round
+	// trip: a response sent later would not reach the caller in time.
 	deadlineMargin = 6 * tier.Millisecond
 )
 
@@ -86,7 +86,7 @@
 	}
 	template := leafclient.NewTemplate(r.Method, path, r.Host, platform.LeafRequestHeader(r.Header), body)
 	if route.Scattered() {
-		e.serveScattered(w, r, q, template)
+		e.serveScatterGather(w, r, q, template)
 		return
 	}
 	e.serveSingle(w, r, q, template)
@@ -139,8 +139,8 @@
 		end = min(end, q.start+t)
 	}
 	target := end
-	if a := q.route.Aim(); a > 0 {
-		target = q.start + a - q.arrival.Elapsed() - roundTrip - responseMargin
+	if latency := q.route.Aim(); latency > 0 {
+		target = q.start + latency - q.arrival.Elapsed() - roundTrip - responseMargin
 	}
 	options := []searcher.TermsOption{
 		searcher.WithMaxAttempts(q.route.Attempts()), searcher.WithRank(q.route.Rank()),
@@ -156,11 +156,11 @@
 	return searcher.NewTerms(q.route.Name(), target, end, options...)
 }
 
-// serveScattered sends a request to all shards of the route and merges their records.
-func (e *Entry) serveScattered(w http.ResponseWriter, r *http.Request, q *request, template *leafclient.Template) {
+// serveScatterGather sends a request to all shards of the route and merges their records.
+func (e *Entry) serveScatterGather(w http.ResponseWriter, r *http.Request, q *request, template *leafclient.Template) {
 	shards := q.route.Shards()
 	e.mu.Lock()
-	likelyToFail := e.core.Forecaster().LikelyToFail(q.start, shards, q.route.MinimumParts(), q.arrival.IsRetry(), rand.Float64())
+	likelyToFail := e.scheduler.Forecaster().LikelyToFail(q.start, shards, q.route.MinimumParts(), q.arrival.IsRetry(), rand.Float64())
 	e.mu.Unlock()
 	if likelyToFail {
 		e.meter.RecordRequest(q.route.Name(), strconv.Itoa(q.route.Rank()), "shards-missing", 0)
@@ -260,7 +260,7 @@
 }
 
 // recordOutcome updates the metrics for a finished request. It logs the request unless it
-// was served completely, on time and without hedges or retries.
+// was served completely, within the target latency and without hedges or retries.
 func (e *Entry) recordOutcome(q *request, outcome searcher.Outcome, status int, cause string) {
 	took := e.clock.Now() - q.start
 	e.meter.RecordRequest(q.route.Name(), strconv.Itoa(q.route.Rank()), cause, took)
--- a/cicadagraded/entry/members.go
+++ b/cicadagraded/entry/members.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// vmsPrefix is the prefix of the store's keys with the VMs' registrations, each
+	// vmsPrefix is the prefix of the store's keys for the VMs' registrations, each
 	// followed by the VM's name.
 	vmsPrefix = "cicadagrade/vms/"
 	// registrationTTL is how long a VM stays registered after its last renewal. It need
@@ -37,7 +37,7 @@
 
 // encodeRegistration returns this VM's registration as JSON.
 func (e *Entry) encodeRegistration() ([]byte, error) {
-	self := e.core.Partitioner().Self()
+	self := e.scheduler.Partitioner().Self()
 	raw, err := json.Marshal(registration{
 		Address: self.VM().Address(), DataCentre: self.VM().DataCentre(), Region: self.Region(),
 		Cores: self.Cores(), Incarnation: uint64(self.VM().Incarnation()),
@@ -107,7 +107,7 @@
 	if err != nil {
 		return errors.Wrap(err, "Entry.renewRegistration")
 	}
-	if _, err := e.store.Put(ctx, vmsPrefix+e.core.Partitioner().Self().VM().Name(), raw, id); err != nil {
+	if _, err := e.store.Put(ctx, vmsPrefix+e.scheduler.Partitioner().Self().VM().Name(), raw, id); err != nil {
 		return errors.Wrap(err, "Entry.renewRegistration")
 	}
 	e.registered.Store(true)
@@ -127,7 +127,7 @@
 			e.log.Warn("vm-entry-skipped", "key", v.Key(), "error", err)
 			continue
 		}
-		selfListed = selfListed || m.VM().Name() == e.core.Partitioner().Self().VM().Name()
+		selfListed = selfListed || m.VM().Name() == e.scheduler.Partitioner().Self().VM().Name()
 		members = append(members, m)
 	}
 	if !selfListed {
@@ -135,21 +135,21 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.core.Partitioner().SetMembers(e.clock.Now(), members, afterOutage)
-	e.core.Budgeter().SetVMs(max(assumedMembers, e.core.Partitioner().MemberCount()))
+	e.scheduler.Partitioner().SetMembers(e.clock.Now(), members, afterOutage)
+	e.scheduler.Budgeter().SetVMs(max(minBudgetVMs, e.scheduler.Partitioner().MemberCount()))
 }
 
 // applyMember applies the change of one VM's registration.
 func (e *Entry) applyMember(v storer.Value) {
 	name := strings.TrimPrefix(v.Key(), vmsPrefix)
-	isSelf := name == e.core.Partitioner().Self().VM().Name()
+	isSelf := name == e.scheduler.Partitioner().Self().VM().Name()
 	if !v.Present() {
 		if isSelf {
 			e.registered.Store(false)
 			return
 		}
 		e.mu.Lock()
-		e.core.Partitioner().Remove(name)
+		e.scheduler.Partitioner().Remove(name)
 		e.mu.Unlock()
 		e.log.Info("vm-gone", "peer", name)
 		return
@@ -160,8 +160,8 @@
 		return
 	}
 	e.mu.Lock()
-	e.core.Partitioner().Put(m)
-	e.core.Budgeter().SetVMs(max(assumedMembers, e.core.Partitioner().MemberCount()))
+	e.scheduler.Partitioner().Put(m)
+	e.scheduler.Budgeter().SetVMs(max(minBudgetVMs, e.scheduler.Partitioner().MemberCount()))
 	e.mu.Unlock()
 	if !isSelf {
 		e.log.Info("vm-listed", "peer", name, "address", m.VM().Address(), "data-centre", m.VM().DataCentre())
--- a/cicadagraded/entry/metrics.go
+++ b/cicadagraded/entry/metrics.go
@@ -20,31 +20,32 @@
 	read        func(*Entry) int64
 }
 
-// gauges lists all gauges. Cumulative ones count from the start of the process.
+// gauges lists all gauges. Cumulative ones count from the start of the process. A part is
+// what one service, such as a shard, contributes to the response to a request.
 func gauges() []gauge {
 	return []gauge{
-		{"cicadagrade.entry.ready", "1 if the VM asks to be sent callers", func(e *Entry) int64 { return boolToInt(e.Ready()) }},
-		{"cicadagrade.entry.isolated", "1 if neither the store nor any VM answers", func(e *Entry) int64 { return boolToInt(e.isolated.Load()) }},
-		{"cicadagrade.entry.configuration.version", "version of the configuration in force, 0 without any", (*Entry).configurationVersion},
-		{"cicadagrade.entry.view.age", "time since the store answered this VM or the one it follows, in milliseconds", func(e *Entry) int64 { return int64(e.viewAge()) }},
+		{"cicadagrade.entry.ready", "1 if the VM passes the balancer's readiness check", func(e *Entry) int64 { return boolToInt(e.Ready()) }},
+		{"cicadagrade.entry.isolated", "1 if neither the store nor any other VM answers", func(e *Entry) int64 { return boolToInt(e.isolated.Load()) }},
+		{"cicadagrade.entry.configuration.version", "version of the configuration in force, 0 if there is none", (*Entry).configurationVersion},
+		{"cicadagrade.entry.view.age", "time since the store last answered this VM or the one that sent the view, in milliseconds", func(e *Entry) int64 { return int64(e.viewAge()) }},
 		{"cicadagrade.entry.view.revision", "revision of the store up to which the VM has read", withLock(func(e *Entry) int64 { return e.relayer.Revision() })},
-		{"cicadagrade.entry.leafs", "registrations of leafs, usable or not", withLock(func(e *Entry) int64 { return int64(e.core.Lister().Len()) })},
-		{"cicadagrade.entry.leafs.usable", "leafs that calls may go to", withLock(func(e *Entry) int64 { return int64(e.core.Lister().UsableCount()) })},
-		{"cicadagrade.entry.store.away", "1 if the store did not answer this VM's last call", func(e *Entry) int64 { return boolToInt(e.storeUnreachable.Load()) }},
-		{"cicadagrade.entry.vms", "VMs known, with this one", withLock(func(e *Entry) int64 { return int64(e.core.Partitioner().MemberCount()) })},
-		{"cicadagrade.entry.vms.sound", "other VMs that answer", withLock(func(e *Entry) int64 { return int64(len(e.core.Partitioner().HealthyPeers())) })},
-		{"cicadagrade.entry.parts.waiting", "parts that wait for room at a leaf", withLock(func(e *Entry) int64 { return int64(e.core.QueueLength()) })},
-		{"cicadagrade.entry.calls", "calls to leafs, also those that other VMs made for this one", func(e *Entry) int64 { return e.leafCalls.Load() }},
-		{"cicadagrade.entry.calls.extra", "hedges and retries among them", func(e *Entry) int64 { return e.extraCalls.Load() }},
-		{"cicadagrade.entry.calls.denied", "hedges and retries that the budget did not grant", withLock(func(e *Entry) int64 { return e.core.Budgeter().Denied() })},
-		{"cicadagrade.entry.budget.least", "extra calls left to the service that has the fewest", withLock(func(e *Entry) int64 { return int64(e.core.Budgeter().FewestTokens()) })},
-		{"cicadagrade.entry.bytes.far", "bytes of replies from other regions, of leafs and of VMs", func(e *Entry) int64 { return e.crossRegionBytes.Load() }},
-		{"cicadagrade.entry.parts.missing", "parts that were not in when their request ended", func(e *Entry) int64 { return e.missingParts.Load() }},
+		{"cicadagrade.entry.leafs", "registrations of leafs, usable or not", withLock(func(e *Entry) int64 { return int64(e.scheduler.Lister().Len()) })},
+		{"cicadagrade.entry.leafs.usable", "leafs that can be called", withLock(func(e *Entry) int64 { return int64(e.scheduler.Lister().UsableCount()) })},
+		{"cicadagrade.entry.store.away", "1 if this VM's last read of the store failed", func(e *Entry) int64 { return boolToInt(e.storeUnreachable.Load()) }},
+		{"cicadagrade.entry.vms", "known VMs, including this one", withLock(func(e *Entry) int64 { return int64(e.scheduler.Partitioner().MemberCount()) })},
+		{"cicadagrade.entry.vms.sound", "other VMs that are not suspected to have failed", withLock(func(e *Entry) int64 { return int64(len(e.scheduler.Partitioner().HealthyPeers())) })},
+		{"cicadagrade.entry.parts.waiting", "parts that wait for a free slot of a leaf", withLock(func(e *Entry) int64 { return int64(e.scheduler.QueueLength()) })},
+		{"cicadagrade.entry.calls", "calls to leafs, including those that other VMs made for this one", func(e *Entry) int64 { return e.leafCalls.Load() }},
+		{"cicadagrade.entry.calls.extra", "hedges and retries among the calls to leafs", func(e *Entry) int64 { return e.extraCalls.Load() }},
+		{"cicadagrade.entry.calls.denied", "hedges and retries denied by the retry budget", withLock(func(e *Entry) int64 { return e.scheduler.Budgeter().Denied() })},
+		{"cicadagrade.entry.budget.least", "hedges and retries left in the retry budget of the service with the fewest left", withLock(func(e *Entry) int64 { return int64(e.scheduler.Budgeter().FewestTokens()) })},
+		{"cicadagrade.entry.bytes.far", "bytes of replies from leafs and VMs in other regions", func(e *Entry) int64 { return e.crossRegionBytes.Load() }},
+		{"cicadagrade.entry.parts.missing", "parts not received by the end of their request", func(e *Entry) int64 { return e.missingParts.Load() }},
 		{"cicadagrade.entry.connections.opened", "connections opened to leafs", func(e *Entry) int64 { return e.leafClient.Counts().Dials }},
-		{"cicadagrade.entry.connections.spoiled", "connections dropped for bytes that belong to no request", func(e *Entry) int64 { return e.leafClient.Counts().OutOfSync }},
-		{"cicadagrade.entry.replies.stray", "replies to earlier requests that were skipped", func(e *Entry) int64 { return e.leafClient.Counts().StaleReplies }},
+		{"cicadagrade.entry.connections.spoiled", "connections to leafs closed because of bytes that belong to no request", func(e *Entry) int64 { return e.leafClient.Counts().OutOfSync }},
+		{"cicadagrade.entry.replies.stray", "late replies of leafs to earlier requests, which were skipped", func(e *Entry) int64 { return e.leafClient.Counts().StaleReplies }},
 		{"cicadagrade.entry.memory", "memory of the process, in bytes", func(*Entry) int64 { return readRuntimeMetric("/memory/classes/total:bytes") }},
-		{"cicadagrade.entry.processor.time", "processor time of the process, in milliseconds", func(*Entry) int64 { return processCPUTime() }},
+		{"cicadagrade.entry.processor.time", "CPU time used by the process, in milliseconds", func(*Entry) int64 { return processCPUTime() }},
 		{"cicadagrade.entry.goroutines", "goroutines", func(*Entry) int64 { return readRuntimeMetric("/sched/goroutines:goroutines") }},
 	}
 }
--- a/cicadagraded/entry/run.go
+++ b/cicadagraded/entry/run.go
@@ -50,7 +50,7 @@
 ) *searchRun {
 	r := &searchRun{
 		entry: e, attemptID: attemptID, idempotent: idempotent, template: template,
-		search:     searcher.NewSearch(e.core, terms, services, shares),
+		search:     searcher.NewSearch(e.scheduler, terms, services, shares),
 		events:     make(chan searchEvent, len(services)+eventBuffer),
 		wakeup:     make(chan struct{}, 1),
 		cancelCall: make(map[int]context.CancelFunc, len(services)),
@@ -106,7 +106,7 @@
 	e := r.entry
 	e.mu.Lock()
 	actions := event(r.search, e.clock.Now())
-	woken := e.core.TakeWoken()
+	woken := e.scheduler.TakeWoken()
 	e.mu.Unlock()
 	for _, s := range woken {
 		s.UserData().(*searchRun).wake()
--- a/cicadagraded/entry/session_test.go
+++ b/cicadagraded/entry/session_test.go
@@ -80,7 +80,7 @@
 	out         strings.Builder
 	store       *platform.Store
 	entry       *Entry
-	front       net.Listener
+	listener    net.Listener
 	leafs       map[string]*responder.Leaf
 	group       sync.WaitGroup
 	heldLeaf    string      // id of the leaf that delays its replies
@@ -110,17 +110,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.front, err = net.Listen("tcp", "127.0.0.1:0")
+	s.listener, err = net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	callers := NewCallerServer(s.entry)
 	ctx, cancel := context.WithCancel(context.Background())
 	s.group.Go(func() { _ = s.entry.RunRefresh(ctx) })
-	s.group.Go(func() { _ = callers.Serve(s.front) })
+	s.group.Go(func() { _ = callers.Serve(s.listener) })
 	t.Cleanup(func() {
 		cancel()
-		_ = s.front.Close()
+		_ = s.listener.Close()
 		callers.Close()
 		s.group.Wait()
 		s.entry.Close()
@@ -229,7 +229,7 @@
 	if method == http.MethodPost {
 		body = strings.NewReader("order 7")
 	}
-	request, err := http.NewRequest(method, "http://"+s.front.Addr().String()+path, body)
+	request, err := http.NewRequest(method, "http://"+s.listener.Addr().String()+path, body)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -284,7 +284,7 @@
 // idle sends a text, waits until the VM closes the connection, and records the first line
 // received until then.
 func (s *session) idle(text string) {
-	c, err := net.Dial("tcp", s.front.Addr().String())
+	c, err := net.Dial("tcp", s.listener.Addr().String())
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -303,7 +303,7 @@
 // raw sends a text, in which \r\n stands for a line break, and records the status of the
 // response.
 func (s *session) raw(text string) {
-	c, err := net.Dial("tcp", s.front.Addr().String())
+	c, err := net.Dial("tcp", s.listener.Addr().String())
 	if err != nil {
 		s.t.Fatal(err)
 	}
--- a/cicadagraded/entry/view.go
+++ b/cicadagraded/entry/view.go
@@ -38,7 +38,7 @@
 	// request without a matching route gets a 503 instead of a 404.
 	staleViewAge = 2 * tier.Second
 	// maxPeerViewAge is the greatest age at which another VM's view is accepted.
-	// Together with this VM's poll interval, changes still take effect in time.
+	// Even with this VM's poll interval added, changes still take effect in time.
 	maxPeerViewAge = 1600 * tier.Millisecond
 	// isolationViewAge is the age of the view above which a VM fails its readiness
 	// check if no other VM answers it.
@@ -67,9 +67,9 @@
 	return nil
 }
 
-// refresh updates the view from another VM that watches the store. It reads the store if
-// this VM is itself a watcher, nothing has been read yet, or the other VM fails. If that
-// fails too, it asks up to maxFetchPeers other VMs.
+// refresh updates the view from another VM that watches the store. It reads the store
+// itself if this VM is a watcher, no watcher is known, nothing has been read yet, or the
+// watcher fails. If the store fails too, it asks up to maxFetchPeers other VMs.
 func (e *Entry) refresh(ctx context.Context, state *refreshState) error {
 	if state.loaded {
 		if m, ok := e.pickWatcher(); ok && e.fetchFrom(ctx, m, maxPeerViewAge) == nil {
@@ -84,7 +84,7 @@
 		e.log.Warn("store-lost", "error", err, "view-age-ms", int64(e.viewAge()))
 	}
 	e.mu.Lock()
-	healthy := e.core.Partitioner().HealthyPeers()
+	healthy := e.scheduler.Partitioner().HealthyPeers()
 	e.mu.Unlock()
 	rand.Shuffle(len(healthy), func(i, j int) { healthy[i], healthy[j] = healthy[j], healthy[i] })
 	for _, m := range healthy[:min(len(healthy), maxFetchPeers)] {
@@ -94,7 +94,7 @@
 		}
 	}
 	e.mu.Lock()
-	e.core.Lister().StoreUnavailable()
+	e.scheduler.Lister().StoreUnavailable()
 	e.mu.Unlock()
 	return err
 }
@@ -104,14 +104,14 @@
 func (e *Entry) pickWatcher() (partitioner.Member, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s := e.core.Partitioner()
-	list := s.StoreWatchers()
+	p := e.scheduler.Partitioner()
+	list := p.StoreWatchers()
 	var sameRegion []partitioner.Member
 	for _, m := range list {
-		if m.VM().Name() == s.Self().VM().Name() {
+		if m.VM().Name() == p.Self().VM().Name() {
 			return partitioner.Member{}, false
 		}
-		if m.Region() == s.Self().Region() {
+		if m.Region() == p.Self().Region() {
 			sameRegion = append(sameRegion, m)
 		}
 	}
@@ -153,7 +153,7 @@
 }
 
 // readAll reads the configuration, the leafs and the VMs from the store. The three reads
-// are not atomic, so that later polls start at the revision of the earliest one.
+// are not atomic, so later polls start at the revision of the earliest one.
 func (e *Entry) readAll(ctx context.Context, state *refreshState) error {
 	configuration, at, err := e.store.GetWithRevision(ctx, platform.ConfigurationKey)
 	if err != nil {
@@ -196,7 +196,7 @@
 			e.peers.drop(m.VM().Address())
 		}
 		e.mu.Lock()
-		e.core.Partitioner().Failed(e.clock.Now(), m.VM().Name())
+		e.scheduler.Partitioner().Failed(e.clock.Now(), m.VM().Name())
 		e.mu.Unlock()
 		e.log.RateLimitedInfo("fetch-failed", "peer", m.VM().Name(), "error", err)
 		return errors.Wrap(err, "Entry.fetchFrom")
@@ -224,8 +224,8 @@
 }
 
 // Fetch returns the changes that this VM has read since the revision that the caller has.
-func (g *peerService) Fetch(_ context.Context, c *connect.Request[gatherv1.FetchRequest]) (*connect.Response[gatherv1.FetchReply], error) {
-	e := g.entry
+func (p *peerService) Fetch(_ context.Context, c *connect.Request[gatherv1.FetchRequest]) (*connect.Response[gatherv1.FetchReply], error) {
+	e := p.entry
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	reply := &gatherv1.FetchReply{Revision: e.relayer.Revision(), AgeMs: int64(e.viewAge())}
@@ -257,7 +257,7 @@
 	}
 	e.mu.Lock()
 	e.relayer.Replace(list, revision)
-	e.core.Lister().Replace(e.clock.Now(), entries)
+	e.scheduler.Lister().Replace(e.clock.Now(), entries)
 	e.mu.Unlock()
 	e.replaceMembers(members, afterOutage)
 }
@@ -294,7 +294,7 @@
 	}
 	e.table.Store(t)
 	e.mu.Lock()
-	e.core.Budgeter().ForgetUnused(e.clock.Now(), t.Uses)
+	e.scheduler.Budgeter().ForgetUnused(e.clock.Now(), t.Uses)
 	e.mu.Unlock()
 	previous := int64(0)
 	if old != nil {
@@ -319,30 +319,31 @@
 	defer e.mu.Unlock()
 	now := e.clock.Now()
 	if !c.Present() {
-		e.core.Lister().Remove(now, c.Key())
+		e.scheduler.Lister().Remove(now, c.Key())
 		return true
 	}
 	entry := e.decodeLeaf(c)
-	changed := e.core.Lister().Put(now, entry)
+	changed := e.scheduler.Lister().Put(now, entry)
 	if entry.Readable() {
-		e.core.Balancer().Registered(now, entry.Leaf())
+		e.scheduler.Balancer().Registered(now, entry.Leaf())
 	}
 	return changed
 }
 
-// finishRefresh expires old entries, drops the state of removed leafs, updates whether this
-// VM is isolated, and logs the changes of leafs.
+// finishRefresh expires old entries, drops the state of removed leafs, closes idle
+// connections that expired or whose leaf is not ready, updates whether this VM is isolated,
+// and logs the changes of leafs.
 func (e *Entry) finishRefresh() {
 	e.mu.Lock()
-	e.core.Lister().Tick(e.clock.Now())
-	e.core.Partitioner().Tick(e.clock.Now())
-	changes := e.core.Lister().TakeChanges()
+	e.scheduler.Lister().Tick(e.clock.Now())
+	e.scheduler.Partitioner().Tick(e.clock.Now())
+	changes := e.scheduler.Lister().TakeChanges()
 	for _, c := range changes {
 		if c.State() == lister.StateGone {
-			e.core.Balancer().Forget(c.Leaf().ID())
+			e.scheduler.Balancer().Forget(c.Leaf().ID())
 		}
 	}
-	isolated := e.viewAge() > isolationViewAge && e.core.Partitioner().MemberCount() > 1 && len(e.core.Partitioner().HealthyPeers()) == 0
+	isolated := e.viewAge() > isolationViewAge && e.scheduler.Partitioner().MemberCount() > 1 && len(e.scheduler.Partitioner().HealthyPeers()) == 0
 	e.mu.Unlock()
 	e.leafClient.CloseExpired()
 	if e.isolated.Swap(isolated) != isolated {
