--- a/cicadagraded/entry/gather.go
+++ b/cicadagraded/entry/gather.go
@@ -35,7 +35,7 @@
 	topK         int
 	maxAttempts  int
 	rank         int
-	minimumParts func(n int) int
+	minimumParts func(n int) int // how many of n shards must answer
 	shards       []string
 }
 
@@ -124,7 +124,8 @@
 }
 
 // readShareReplies posts each reply to a share to the search, until the last one. The first
-// reply only acknowledges the share.
+// reply only acknowledges the share. ctx ends when the share is recalled, searchCtx when the
+// search ends.
 func (r *searchRun) readShareReplies(ctx, searchCtx context.Context, a searcher.Delegate, request *gatherv1.GatherRequest) error {
 	stream, err := r.entry.peers.clientOf(a.Member.VM().Address()).Gather(ctx, connect.NewRequest(request))
 	if err != nil {
--- a/cicadagraded/entry/view.go
+++ b/cicadagraded/entry/view.go
@@ -282,6 +282,8 @@
 	e.mu.Unlock()
 }
 
+// applyConfiguration replaces the routing table by that of a configuration, unless it can't
+// be decoded or its version is not newer.
 func (e *Entry) applyConfiguration(c storer.Value) {
 	t, err := platform.DecodeConfiguration(c.Data())
 	if err != nil {
@@ -304,6 +306,8 @@
 		"routes", t.Routes(), "revision", c.Revision())
 }
 
+// decodeLeaf decodes a leaf's registration. If that fails, it logs the error and returns an
+// unreadable entry.
 func (e *Entry) decodeLeaf(c storer.Value) lister.Entry {
 	entry, err := platform.DecodeLeaf(c.Key(), c.Data())
 	if err != nil {
--- a/cicadagraded/eventlog/eventlog.go
+++ b/cicadagraded/eventlog/eventlog.go
@@ -88,9 +88,9 @@
 }
 
 // push queues a line, or counts it as dropped if the queue is full.
-func (l *Log) push(n line) {
+func (l *Log) push(entry line) {
 	select {
-	case l.queue <- n:
+	case l.queue <- entry:
 	default:
 		l.mu.Lock()
 		l.dropped++
@@ -111,13 +111,13 @@
 func (l *Log) Run(ctx context.Context) error {
 	for {
 		select {
-		case n := <-l.queue:
-			l.write(n)
+		case entry := <-l.queue:
+			l.write(entry)
 		case <-ctx.Done():
 			for {
 				select {
-				case n := <-l.queue:
-					l.write(n)
+				case entry := <-l.queue:
+					l.write(entry)
 				default:
 					return nil
 				}
@@ -126,8 +126,8 @@
 	}
 }
 
-func (l *Log) write(n line) {
-	l.logger.Log(n.level, n.message, n.attrs...)
+func (l *Log) write(entry line) {
+	l.logger.Log(entry.level, entry.message, entry.attrs...)
 	if dropped := l.takeDropped(); dropped > 0 {
 		l.logger.Log(log.WarnLevel, "lines-dropped", "count", dropped)
 	}
--- a/cicadagraded/exchanger/exchanger_test.go
+++ b/cicadagraded/exchanger/exchanger_test.go
@@ -94,11 +94,11 @@
 	return n
 }
 
-// allVMs returns a condition that holds if it holds on every VM.
-func (c *cluster) allVMs(is func(x *Exchanger) bool) func() bool {
+// allVMs returns a condition that is true if holds is true of every VM.
+func (c *cluster) allVMs(holds func(x *Exchanger) bool) func() bool {
 	return func() bool {
 		for _, x := range c.vms {
-			if !is(x) {
+			if !holds(x) {
 				return false
 			}
 		}
