--- a/cicadagrade/apply.go
+++ b/cicadagrade/apply.go
@@ -107,7 +107,7 @@
 		committer.WithTimeout(tier.Millis(ch.patience)),
 		committer.WithHighestServed(o.floor(c, replicator.KeyOf(d))),
 	}
-	return o.drive(c, ch, committer.New(d, ch.id, ch.who, ch.reason, o.clock.Wall(), opts...))
+	return o.drive(c, ch, committer.New(d, ch.id, ch.who, ch.reason, o.clock.WallTime(), opts...))
 }
 
 // floor is the highest state of a document that the VMs serve. It warns when
--- a/cicadagrade/reconcile.go
+++ b/cicadagrade/reconcile.go
@@ -68,7 +68,7 @@
 		return err
 	}
 	opts := []committer.Option{committer.WithTimeout(tier.Millis(ch.patience))}
-	return o.drive(c, ch, committer.NewReconciliation(fleet, ch.id, ch.who, ch.reason, o.clock.Wall(), opts...))
+	return o.drive(c, ch, committer.NewReconciliation(fleet, ch.id, ch.who, ch.reason, o.clock.WallTime(), opts...))
 }
 
 // unreadable reports a stored document that a reconciliation may replace.
--- a/cicadagrade/search.go
+++ b/cicadagrade/search.go
@@ -140,14 +140,14 @@
 		return errors.Wrap(err, "no answer")
 	}
 	w := &answerBody{}
-	if err := a.Into(w); err != nil {
+	if err := a.Decode(w); err != nil {
 		return errors.Wrap(err, "the answer is not whole")
 	}
 	if w.RequestID != f.requestID && w.Error == nil {
 		return errors.Errorf("the answer is for request %q, not %q", w.RequestID, f.requestID)
 	}
 	if path == "/v1/search" && w.Error == nil {
-		if err := requester.CheckWhole(w.records(), w.Count, w.Digest); err != nil {
+		if err := requester.CheckComplete(w.records(), w.Count, w.Digest); err != nil {
 			return err
 		}
 	}
--- a/cicadagrade/spread.go
+++ b/cicadagrade/spread.go
@@ -85,7 +85,7 @@
 	var body vmStatusBody
 	a, err := requester.New(address).Get(ctx, "/v1/status")
 	if err == nil {
-		err = a.Into(&body)
+		err = a.Decode(&body)
 	}
 	if err != nil {
 		v.err = err
--- a/cicadagrade/status.go
+++ b/cicadagrade/status.go
@@ -78,7 +78,7 @@
 				return nil
 			}
 			var s statusBody
-			if err := a.Into(&s); err != nil {
+			if err := a.Decode(&s); err != nil {
 				return errors.Wrap(err, "the answer is not whole")
 			}
 			printStatus(c.OutOrStdout(), &s)
--- a/cicadagraded/announce.go
+++ b/cicadagraded/announce.go
@@ -26,7 +26,7 @@
 	value, err := owner.EncodeAnnouncement(c.gossip.Self(), r)
 	if err == nil {
 		_, last, _, _ := c.gossip.Shared(key)
-		err = c.gossip.Announce(key, uint64(r.Epoch()), max(last+1, uint64(c.clock.Wall())), value)
+		err = c.gossip.Announce(key, uint64(r.Epoch()), max(last+1, uint64(c.clock.WallTime())), value)
 	}
 	if err != nil {
 		c.logger.Error("announce", "key", key, "error", err)
--- a/cicadagraded/booker/book.go
+++ b/cicadagraded/booker/book.go
@@ -8,7 +8,7 @@
 
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/claimer"
-	"cicadagrade.example/tier/ring"
+	"cicadagrade.example/tier/queue"
 )
 
 // Request is a booking under an idempotency key.
@@ -47,12 +47,12 @@
 // Mint returns a key that only this incarnation of the VM can run, or an empty one if the
 // Booker has stopped or ctx ended.
 func (b *Booker) Mint(ctx context.Context) string {
-	reply := ring.New[claimer.Key](1)
+	reply := queue.New[claimer.Key](1)
 	if b.post(ctx, message{keyReply: reply}) != nil {
 		return ""
 	}
 	select {
-	case k := <-reply.Out():
+	case k := <-reply.Chan():
 		return k.String()
 	case <-b.stopped:
 	case <-ctx.Done():
@@ -71,9 +71,9 @@
 		return nil, errors.Wrap(err, "Booker.Book")
 	}
 	submissionID := b.lastSubmission.Add(1)
-	actions := ring.New[claimer.Action](2)
+	actions := queue.New[claimer.Action](2)
 	fingerprint := claimer.Fingerprint(r.set, r.recordKey, r.body)
-	submit := claimer.NewSubmit(submissionID, key, r.set, fingerprint, r.firstSending, r.deadline, b.clock.Wall())
+	submit := claimer.NewSubmit(submissionID, key, r.set, fingerprint, r.firstSending, r.deadline, b.clock.WallTime())
 	if b.post(ctx, message{event: submit, submissionID: submissionID, actions: actions}) != nil {
 		return claimer.NotRunOutcome(r.firstSending, tier.RefuseCallerGone), nil
 	}
@@ -82,11 +82,11 @@
 }
 
 // awaitOutcome performs the actions of a submitted booking until it ends.
-func (b *Booker) awaitOutcome(ctx context.Context, submissionID uint64, actions *ring.Ring[claimer.Action], send SendFunc) (tier.Outcome, error) {
+func (b *Booker) awaitOutcome(ctx context.Context, submissionID uint64, actions *queue.Queue[claimer.Action], send SendFunc) (tier.Outcome, error) {
 	callerGone := ctx.Done()
 	for {
 		select {
-		case a := <-actions.Out():
+		case a := <-actions.Chan():
 			switch a := a.(type) {
 			case *claimer.Run:
 				o := b.sendOnce(ctx, a, send)
@@ -144,12 +144,12 @@
 // Counters returns the counts since the start, or false if the Booker has stopped or ctx
 // ended.
 func (b *Booker) Counters(ctx context.Context) (claimer.Counters, bool) {
-	reply := ring.New[claimer.Counters](1)
+	reply := queue.New[claimer.Counters](1)
 	if err := b.post(ctx, message{countersReply: reply}); err != nil {
 		return claimer.Counters{}, false
 	}
 	select {
-	case n := <-reply.Out():
+	case n := <-reply.Chan():
 		return n, true
 	case <-b.stopped:
 	case <-ctx.Done():
@@ -175,5 +175,5 @@
 
 // KeyDate returns the current UTC date in the form with which a caller's own key starts.
 func KeyDate(clock *tier.Clock) string {
-	return time.UnixMilli(int64(clock.Wall())).UTC().Format(time.DateOnly)
+	return time.UnixMilli(int64(clock.WallTime())).UTC().Format(time.DateOnly)
 }
--- a/cicadagraded/booker/booker.go
+++ b/cicadagraded/booker/booker.go
@@ -14,7 +14,7 @@
 
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/claimer"
-	"cicadagrade.example/tier/ring"
+	"cicadagrade.example/tier/queue"
 	"cicadagrade.example/tier/storer"
 )
 
@@ -36,12 +36,12 @@
 	workers        int
 	claimerOptions []claimer.Option
 	lastSubmission atomic.Uint64
-	messages       *ring.Ring[message]
-	storeCalls     *ring.Ring[claimer.Action]
+	messages       *queue.Queue[message]
+	storeCalls     *queue.Queue[claimer.Action]
 	stopped        chan struct{}
 
 	// The fields below belong to the event loop.
-	submissions  map[uint64]*ring.Ring[claimer.Action]
+	submissions  map[uint64]*queue.Queue[claimer.Action]
 	flushWaiters []chan struct{}
 }
 
@@ -68,10 +68,10 @@
 	b := &Booker{
 		store:       store,
 		clock:       clock,
-		messages:    ring.New[message](messageRingSize),
-		storeCalls:  ring.New[claimer.Action](storeCallRingSize),
+		messages:    queue.New[message](messageRingSize),
+		storeCalls:  queue.New[claimer.Action](storeCallRingSize),
 		stopped:     make(chan struct{}),
-		submissions: map[uint64]*ring.Ring[claimer.Action]{},
+		submissions: map[uint64]*queue.Queue[claimer.Action]{},
 	}
 	b.Defaults()
 	for _, o := range opts {
@@ -95,11 +95,11 @@
 	event claimer.Event // or nil
 	// Set together with a claimer.Submit: its id, and the ring for its actions.
 	submissionID uint64
-	actions      *ring.Ring[claimer.Action]
+	actions      *queue.Queue[claimer.Action]
 	// Set to request a new key, a signal when all outcomes are recorded, or the counters.
-	keyReply      *ring.Ring[claimer.Key]
+	keyReply      *queue.Queue[claimer.Key]
 	flushed       chan struct{}
-	countersReply *ring.Ring[claimer.Counters]
+	countersReply *queue.Queue[claimer.Counters]
 }
 
 // Run runs the event loop and the workers until ctx ends. It must be called only once.
@@ -124,7 +124,7 @@
 	for {
 		timer.Reset(b.untilNextTick())
 		select {
-		case m := <-b.messages.Out():
+		case m := <-b.messages.Chan():
 			b.handle(m)
 		case <-timer.C:
 			b.step(&claimer.Tick{})
--- a/cicadagraded/control.go
+++ b/cicadagraded/control.go
@@ -17,7 +17,7 @@
 	"cicadagrade.example/tier/admitter"
 	"cicadagrade.example/tier/gossiper"
 	"cicadagrade.example/tier/picker"
-	"cicadagrade.example/tier/ring"
+	"cicadagrade.example/tier/queue"
 )
 
 // Pace and sizes of the control duty.
@@ -38,14 +38,14 @@
 	self     tier.VM
 	logger   *log.Logger
 	gossip   *exchanger.Exchanger
-	changes  *ring.Ring[gossiper.Action]
+	changes  *queue.Queue[gossiper.Action]
 	config   *watcher.Watcher
 	locator  *locator.Locator
 	registry *owner.Registry
 	members  []tier.VM
 	sets     []*tier.ShardSet
 	dropped  uint64
-	replaced *ring.Ring[tier.VM]
+	replaced *queue.Queue[tier.VM]
 	joined   bool
 	began    tier.Millis
 	clock    *tier.Clock
@@ -60,7 +60,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case a := <-c.changes.Out():
+		case a := <-c.changes.Chan():
 			c.change(a)
 		case <-ticker.C:
 			if err := c.sync(ctx); err != nil {
@@ -84,7 +84,7 @@
 // entry takes a value that a VM published.
 func (c *control) entry(origin, key string, value []byte) {
 	if strings.HasPrefix(key, watcher.IndexKeyPrefix) {
-		if err := c.config.OnIndex(origin, key, value); err != nil {
+		if err := c.config.OnIndexEntry(origin, key, value); err != nil {
 			c.logger.Warn("index", "vm", origin, "error", err)
 		}
 		return
--- a/cicadagraded/coordinator/search.go
+++ b/cicadagraded/coordinator/search.go
@@ -10,7 +10,7 @@
 	"cicadagrade.example/cicadagraded/owner"
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/planner"
-	"cicadagrade.example/tier/ring"
+	"cicadagrade.example/tier/queue"
 )
 
 // eventQueueSize bounds the queued events of one search.
@@ -22,7 +22,7 @@
 	search      Search
 	set         *tier.ShardSet
 	plan        *planner.Plan
-	events      *ring.Ring[planner.Event]
+	events      *queue.Queue[planner.Event]
 	group       *errgroup.Group
 	ctx         context.Context
 	cancels     map[uint64]context.CancelFunc
@@ -48,7 +48,7 @@
 		coordinator: c,
 		search:      s,
 		set:         set,
-		events:      ring.New[planner.Event](eventQueueSize),
+		events:      queue.New[planner.Event](eventQueueSize),
 		group:       group,
 		ctx:         groupCtx,
 		cancels:     map[uint64]context.CancelFunc{},
@@ -71,7 +71,7 @@
 			timer.Reset(max(next-r.coordinator.clock.Now(), 0).Duration())
 		}
 		select {
-		case e := <-r.events.Out():
+		case e := <-r.events.Chan():
 			r.step(e)
 		case <-timer.C:
 			r.step(&planner.Tick{})
@@ -148,7 +148,7 @@
 	if !sent {
 		return planner.NewPartRefused(a.Part(), tier.RefuseUnreachable, 0)
 	}
-	return planner.NewPartFailed(a.Part(), tier.MissCutOff)
+	return planner.NewPartFailed(a.Part(), tier.MissUnreachable)
 }
 
 // maxOwnersTried bounds the owners in one data centre that a request is sent to.
--- a/cicadagraded/daemon.go
+++ b/cicadagraded/daemon.go
@@ -21,8 +21,8 @@
 	"cicadagrade.example/platform"
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/gossiper"
+	"cicadagrade.example/tier/queue"
 	"cicadagrade.example/tier/replicator"
-	"cicadagrade.example/tier/ring"
 )
 
 // daemon is one entry VM with its duties.
@@ -44,7 +44,7 @@
 	client   *messenger.Client
 	api      *http.Server
 	peers    *http.Server
-	replaced *ring.Ring[tier.VM] // who took this VM's name, for the planned stop
+	replaced *queue.Queue[tier.VM] // who took this VM's name, for the planned stop
 	ctx      context.Context
 	cancel   context.CancelFunc
 }
@@ -74,9 +74,9 @@
 		settings: s, logger: logger, clock: clock, ctx: ctx, cancel: cancel,
 		inflight: newInflight(s.maxRequests),
 		locator:  locator.New(clock),
-		replaced: ring.New[tier.VM](1),
+		replaced: queue.New[tier.VM](1),
 		self: tier.NewVM(s.name, s.dataCentre, s.peerAdvertise,
-			tier.WithIncarnation(tier.Incarnation(clock.Wall())), tier.WithVMState(tier.VMJoining)),
+			tier.WithIncarnation(tier.Incarnation(clock.WallTime())), tier.WithVMState(tier.VMJoining)),
 	}
 	for _, build := range []func() error{d.buildControl, d.buildServers} {
 		if err := build(); err != nil {
@@ -89,7 +89,7 @@
 
 // buildControl makes gossip, configuration, claims and owners.
 func (d *daemon) buildControl() error {
-	changes := ring.New[gossiper.Action](changesSize)
+	changes := queue.New[gossiper.Action](changesSize)
 	gossip, err := exchanger.New(d.self, d.clock,
 		exchanger.WithChanges(changes),
 		exchanger.WithAddresses(d.settings.dial),
@@ -110,8 +110,8 @@
 	d.config = watcher.New(d.self, store, d.clock,
 		watcher.WithPeers(d.peer),
 		watcher.WithPublisher(gossip.Publish),
-		watcher.WithWarnings(d.warn),
-		watcher.WithKeeper(replicator.WithSeeds(d.otherSeeds())))
+		watcher.WithAlertHandler(d.warn),
+		watcher.WithReplicatorOptions(replicator.WithSeeds(d.otherSeeds())))
 	d.booker = booker.New(store, d.self.Name(), d.self.Incarnation(), d.clock, booker.WithLive(d.live))
 	d.control = &control{
 		self: d.self, logger: d.logger, gossip: gossip, changes: changes,
@@ -173,12 +173,12 @@
 	c := &claims{booker: d.booker}
 	f := &forwarded{claims: c, registry: d.registry}
 	server := messenger.NewServer(d.clock, d.registry, f, d.gossip, d.config, d.inflight.enterPeer)
-	d.client = messenger.NewClient(d.self, server, d.clock, messenger.WithDialled(d.settings.dialled), messenger.WithThresholds(d.locator.UpdateThreshold))
+	d.client = messenger.NewClient(d.self, server, d.clock, messenger.WithDialAddress(d.settings.dialled), messenger.WithThresholdHandler(d.locator.UpdateThreshold))
 	front := coordinator.New(d.self.DataCentre(), d.clock, d.locator, d.client, c)
 	h := handler.New(d.self.Name(), d.clock, d.config, front, d.inflight, d,
 		handler.WithMetrics(m.Handler()),
-		handler.WithEnded(m.RecordRequest),
-		handler.WithMaxBody(int64(d.settings.maxBodyBytes)))
+		handler.WithRequestObserver(m.RecordRequest),
+		handler.WithMaxBodyBytes(int64(d.settings.maxBodyBytes)))
 	d.api = &http.Server{Addr: d.settings.apiAddress, Handler: h.Routes(), ReadHeaderTimeout: headerTimeout.Duration(), IdleTimeout: idleTimeout.Duration()}
 	protocols := &http.Protocols{}
 	protocols.SetHTTP1(true)
--- a/cicadagraded/entry/apply_test.go
+++ b/cicadagraded/entry/apply_test.go
@@ -34,7 +34,7 @@
 	i := 0
 	for b.Loop() {
 		i++
-		leaf := responder.NewWorker(fmt.Sprint("i-", i%1200), fmt.Sprint("s", i%400), 0, nil, nil)
+		leaf := responder.NewSimulatedLeaf(fmt.Sprint("i-", i%1200), fmt.Sprint("s", i%400), 0, nil, nil)
 		value, err := leaf.Registration(fmt.Sprintf("10.0.%d.%d:80", i%1200/250, i%250), "depot-a", i%2 == 0, int64(i))
 		if err != nil {
 			b.Fatal(err)
--- a/cicadagraded/entry/bench_test.go
+++ b/cicadagraded/entry/bench_test.go
@@ -39,7 +39,7 @@
 	}
 	defer e.Close()
 	for i := range benchShards {
-		worker := responder.NewWorker(fmt.Sprint("w", i), fmt.Sprint("s", i), 0, func(responder.Run) {}, func(responder.Run) {})
+		worker := responder.NewSimulatedLeaf(fmt.Sprint("w", i), fmt.Sprint("s", i), 0, func(responder.Request) {}, func(responder.Request) {})
 		leaf := httptest.NewServer(worker)
 		defer leaf.Close()
 		entry, err := worker.Registration(leaf.Listener.Addr().String(), "depot-a", false, 1)
@@ -68,7 +68,7 @@
 			b.Fatal(err)
 		}
 		q.Host = "search.example"
-		responder.Address(q.Header, fmt.Sprint("a", i), callerTimeoutMs)
+		responder.SetCallerHeaders(q.Header, fmt.Sprint("a", i), callerTimeoutMs)
 		reply, err := http.DefaultClient.Do(q)
 		if err != nil {
 			b.Fatal(err)
--- a/cicadagraded/entry/callers.go
+++ b/cicadagraded/entry/callers.go
@@ -137,9 +137,9 @@
 	}
 	s.http = &http.Server{
 		Handler: e, ConnContext: e.ConnContext,
-		MaxHeaderBytes:    limits.HeaderBytes(), // 0 selects the default of net/http
-		ReadHeaderTimeout: valueOrDefault(limits.HeaderTime(), defaultHeaderTimeout).Duration(),
-		IdleTimeout:       valueOrDefault(limits.IdleTime(), defaultIdleTimeout).Duration(),
+		MaxHeaderBytes:    limits.MaxHeaderBytes(), // 0 selects the default of net/http
+		ReadHeaderTimeout: valueOrDefault(limits.HeaderTimeout(), defaultHeaderTimeout).Duration(),
+		IdleTimeout:       valueOrDefault(limits.IdleTimeout(), defaultIdleTimeout).Duration(),
 	}
 	return s
 }
--- a/cicadagraded/entry/connection_test.go
+++ b/cicadagraded/entry/connection_test.go
@@ -55,7 +55,7 @@
 // network both ways.
 func TestTargetLatencyCountsFromTheCallersStart(t *testing.T) {
 	const roundTrip, target = 6 * tier.Millisecond, 100 * tier.Millisecond
-	route := router.NewRoute("check", "search.example", "/check/", router.WithTimes(tier.Second, target))
+	route := router.NewRoute("check", "search.example", "/check/", router.WithTimeouts(tier.Second, target))
 	estimator, conn := delayestimator.New(), delayestimator.NewConnection(0, roundTrip)
 	check := func(name string, want tier.Millis) {
 		q := &request{route: route, arrival: estimator.RequestArrived(0, conn, route.Name(), tier.Second, true)}
--- a/cicadagraded/entry/handler.go
+++ b/cicadagraded/entry/handler.go
@@ -85,7 +85,7 @@
 		arrival: e.recordArrival(r.Context(), start, route, attempt),
 	}
 	template := leafclient.NewTemplate(r.Method, path, r.Host, platform.LeafRequestHeader(r.Header), body)
-	if route.Scattered() {
+	if route.IsScatterGather() {
 		e.serveScatterGather(w, r, q, template)
 		return
 	}
@@ -98,7 +98,7 @@
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil, 0
 	}
-	maxBytes := int64(limits.BodyBytes())
+	maxBytes := int64(limits.MaxBodyBytes())
 	if maxBytes <= 0 {
 		maxBytes = defaultBodyBytes
 	}
@@ -139,16 +139,16 @@
 		end = min(end, q.start+t)
 	}
 	target := end
-	if latency := q.route.Aim(); latency > 0 {
+	if latency := q.route.LatencyTarget(); latency > 0 {
 		target = q.start + latency - q.arrival.Elapsed() - roundTrip - responseMargin
 	}
 	options := []searcher.TermsOption{
-		searcher.WithMaxAttempts(q.route.Attempts()), searcher.WithRank(q.route.Rank()),
+		searcher.WithMaxAttempts(q.route.MaxAttempts()), searcher.WithRank(q.route.Rank()),
 	}
-	if q.route.Repeatable() {
+	if q.route.Idempotent() {
 		options = append(options, searcher.Idempotent())
 	}
-	if q.route.Scattered() {
+	if q.route.IsScatterGather() {
 		options = append(options, searcher.WithMinimumParts(q.route.MinimumParts()))
 	} else {
 		options = append(options, searcher.ForwardFailures())
@@ -173,7 +173,7 @@
 	}
 	run := e.newRun(q.attempt.ID(), true, template, q.terms(), shards, e.divideShards(q.route.Name(), shards))
 	run.delegation = delegationTerms{
-		route: q.route.Name(), topK: q.route.Top(), maxAttempts: q.route.Attempts(), rank: q.route.Rank(),
+		route: q.route.Name(), topK: q.route.TopK(), maxAttempts: q.route.MaxAttempts(), rank: q.route.Rank(),
 		minimumParts: q.route.MinimumPartsOf, shards: shards,
 	}
 	outcome, callerGone := run.execute(r.Context())
@@ -185,7 +185,7 @@
 		e.writeFailure(w, q, outcome)
 		return
 	}
-	top := ranker.New(q.route.Top())
+	top := ranker.New(q.route.TopK())
 	signatures := make([]string, 0, len(q.route.Shards()))
 	signatures = mergeReplies(top, outcome.Parts(), outcome.Shares(), signatures)
 	platform.WritePartHeaders(w.Header(), signatures, outcome.Missing())
@@ -211,8 +211,8 @@
 
 // serveSingle passes on the response of one leaf.
 func (e *Entry) serveSingle(w http.ResponseWriter, r *http.Request, q *request, template *leafclient.Template) {
-	service := q.route.Target(rand.Float64())
-	outcome, callerGone := e.newRun(q.attempt.ID(), q.route.Repeatable(), template, q.terms(), []string{service}, nil).execute(r.Context())
+	service := q.route.PickService(rand.Float64())
+	outcome, callerGone := e.newRun(q.attempt.ID(), q.route.Idempotent(), template, q.terms(), []string{service}, nil).execute(r.Context())
 	if callerGone {
 		e.recordOutcome(q, outcome, 0, string(outcome.Cause()))
 		return
@@ -265,12 +265,12 @@
 	took := e.clock.Now() - q.start
 	e.meter.RecordRequest(q.route.Name(), strconv.Itoa(q.route.Rank()), cause, took)
 	e.countCalls(outcome)
-	if outcome.Cause() == searcher.Complete && outcome.ExtraCalls() == 0 && status < 300 && took <= q.route.Aim() {
+	if outcome.Cause() == searcher.Complete && outcome.ExtraCalls() == 0 && status < 300 && took <= q.route.LatencyTarget() {
 		return
 	}
 	e.log.RateLimitedInfo("request-ended", "request", q.attempt.ID(), "route", q.route.Name(),
 		"version", q.table.Version(), "status", status, "cause", cause, "took-ms", int64(took),
-		"aim-ms", int64(q.route.Aim()), "spent-ms", int64(q.arrival.Elapsed()), "trip-ms", int64(q.arrival.RoundTrip()),
+		"aim-ms", int64(q.route.LatencyTarget()), "spent-ms", int64(q.arrival.Elapsed()), "trip-ms", int64(q.arrival.RoundTrip()),
 		"missing", outcome.Missing(), "of", max(1, len(q.route.Shards())),
 		"shares", len(outcome.Shares()), "calls", outcome.CallsSent(), "extra", outcome.ExtraCalls(),
 		"may-have-run", outcome.MayHaveRun(), "view-age-ms", int64(e.viewAge()), "misses", describeMisses(outcome))
--- a/cicadagraded/entry/session_test.go
+++ b/cicadagraded/entry/session_test.go
@@ -81,7 +81,7 @@
 	store       *platform.Store
 	entry       *Entry
 	listener    net.Listener
-	leafs       map[string]*responder.Leaf
+	leafs       map[string]*responder.FixedLeaf
 	group       sync.WaitGroup
 	heldLeaf    string      // id of the leaf that delays its replies
 	releaseHeld func()      // lets the held leaf reply
@@ -93,7 +93,7 @@
 
 func newSession(t *testing.T) *session {
 	t.Helper()
-	s := &session{t: t, leafs: map[string]*responder.Leaf{}}
+	s := &session{t: t, leafs: map[string]*responder.FixedLeaf{}}
 	store := httptest.NewServer(storeserver.New(tier.NewClock()))
 	s.store = platform.NewStore(store.URL)
 	raw, err := os.ReadFile("testdata/settings.toml")
@@ -148,7 +148,7 @@
 	case "leaf":
 		s.addLeaf(words[1], words[2], words[3])
 	case "unreadable":
-		s.put(platform.LeafsPrefix+words[1], responder.Unreadable())
+		s.put(platform.LeafsPrefix+words[1], responder.InvalidRegistration())
 		s.waitForView()
 	case "ask":
 		s.ask(words[1], words[2], words[3:])
@@ -169,14 +169,14 @@
 	case "begin":
 		s.pending = make(chan string, 1)
 		s.group.Go(func() { s.pending <- s.sendRequest(words[1], words[2], nil) })
-		for len(s.leafs[s.heldLeaf].Seen()) == 0 {
+		for len(s.leafs[s.heldLeaf].Executed()) == 0 {
 			time.Sleep(time.Millisecond)
 		}
 	case "release":
 		s.releaseHeld()
 		s.out.WriteString(<-s.pending)
 	case "seen":
-		fmt.Fprintf(&s.out, "  %s\n", strings.Join(s.leafs[words[1]].Seen(), ", "))
+		fmt.Fprintf(&s.out, "  %s\n", strings.Join(s.leafs[words[1]].Executed(), ", "))
 	default:
 		s.t.Fatalf("unknown command %q", words[0])
 	}
@@ -206,7 +206,7 @@
 }
 
 func (s *session) addLeaf(id, service, answer string) {
-	l := responder.New(id, answer)
+	l := responder.NewFixedLeaf(id, answer)
 	s.leafs[id] = l
 	server := httptest.NewServer(l)
 	s.t.Cleanup(server.Close)
@@ -234,11 +234,11 @@
 		s.t.Fatal(err)
 	}
 	request.Host = "search.example"
-	responder.Address(request.Header, "a1", callerTimeoutMs)
+	responder.SetCallerHeaders(request.Header, "a1", callerTimeoutMs)
 	for _, h := range headers {
 		k, v, _ := strings.Cut(h, "=")
 		if k == "expect" {
-			responder.Expect(request.Header, v)
+			responder.SetExpectedInstance(request.Header, v)
 			continue
 		}
 		request.Header.Set(k, v)
@@ -261,7 +261,7 @@
 			names = append(names, k+": set")
 		default:
 			value := response.Header.Get(k)
-			if responder.IsProofs(k) {
+			if responder.IsPartSignatures(k) {
 				list := strings.Split(value, ", ")
 				sort.Strings(list)
 				value = strings.Join(list, ", ")
--- a/cicadagraded/entry/view.go
+++ b/cicadagraded/entry/view.go
@@ -303,7 +303,7 @@
 		previous = old.Version()
 	}
 	e.log.Info("configuration-in-force", "version", t.Version(), "previous", previous,
-		"routes", t.Routes(), "revision", c.Revision())
+		"routes", t.RouteCount(), "revision", c.Revision())
 }
 
 // decodeLeaf decodes a leaf's registration. If that fails, it logs the error and returns an
--- a/cicadagraded/exchanger/exchanger.go
+++ b/cicadagraded/exchanger/exchanger.go
@@ -20,7 +20,7 @@
 	"cicadagrade.example/cicadagraded/ticker"
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/gossiper"
-	"cicadagrade.example/tier/ring"
+	"cicadagrade.example/tier/queue"
 
 	peerv1 "cicadagrade.example/api/peer/v1"
 	"cicadagrade.example/api/peer/v1/peerv1connect"
@@ -75,13 +75,13 @@
 	dialAddresses map[string]string
 	gossipOptions []gossiper.Option
 	client        *http.Client
-	changes       *ring.Ring[gossiper.Action]
+	changes       *queue.Queue[gossiper.Action]
 
 	mu       sync.Mutex
 	gossiper *gossiper.Gossiper
 
-	sendQueue      *ring.Ring[*gossiper.SendRequest]
-	wake           *ring.Ring[struct{}]
+	sendQueue      *queue.Queue[*gossiper.SendRequest]
+	wake           *queue.Queue[struct{}]
 	droppedChanges atomic.Uint64
 
 	exchanges, failures, sent, received atomic.Uint64
@@ -101,7 +101,7 @@
 
 // WithChanges sets the queue that receives each gossiper.MemberChanged and EntryChanged.
 // Changes that find the queue full are dropped, and counted by DroppedChanges.
-func WithChanges(changes *ring.Ring[gossiper.Action]) Option {
+func WithChanges(changes *queue.Queue[gossiper.Action]) Option {
 	return func(x *Exchanger) { x.changes = changes }
 }
 
@@ -115,8 +115,8 @@
 func New(self tier.VM, clock *tier.Clock, opts ...Option) (*Exchanger, error) {
 	x := &Exchanger{
 		clock:     clock,
-		sendQueue: ring.New[*gossiper.SendRequest](sendQueueSize),
-		wake:      ring.New[struct{}](1),
+		sendQueue: queue.New[*gossiper.SendRequest](sendQueueSize),
+		wake:      queue.New[struct{}](1),
 	}
 	x.Defaults()
 	for _, o := range opts {
--- a/cicadagraded/handler/book.go
+++ b/cicadagraded/handler/book.go
@@ -17,7 +17,7 @@
 	}
 	c.Set(requestIDKey, q.RequestID)
 	c.Set(earlierKey, q.IdempotencyKey != "" && !q.FirstSending)
-	end, ok := h.admission.Enter("book " + q.RequestID)
+	end, ok := h.admission.Begin("book " + q.RequestID)
 	if !ok {
 		return errors.WithStack(&busyError{})
 	}
--- a/cicadagraded/handler/handler.go
+++ b/cicadagraded/handler/handler.go
@@ -37,11 +37,11 @@
 	Book(ctx context.Context, b coordinator.Booking) (coordinator.BookingResult, error)
 }
 
-// Admission bounds callers' requests in flight, and counts them.
-type Admission interface {
-	// Enter reports whether another request may start; end is called when it
+// RequestTracker bounds callers' requests in flight, and counts them.
+type RequestTracker interface {
+	// Begin reports whether another request may start; end is called when it
 	// is over. The name is for logs.
-	Enter(name string) (end func(), ok bool)
+	Begin(name string) (end func(), ok bool)
 	// Ready reports whether the balancer may send work here.
 	Ready() bool
 }
@@ -52,7 +52,7 @@
 	clock     *tier.Clock
 	config    Configuration
 	front     Front
-	admission Admission
+	admission RequestTracker
 	status    StatusSource
 	metrics   http.Handler
 	ended     func(route, rank, outcome string, took tier.Millis)
@@ -67,19 +67,19 @@
 // WithMetrics sets what GET /metrics serves.
 func WithMetrics(m http.Handler) Option { return func(h *Handler) { h.metrics = m } }
 
-// WithEnded sets what is told of each request that ended.
-func WithEnded(f func(route, rank, outcome string, took tier.Millis)) Option {
+// WithRequestObserver sets what is told of each request that ended.
+func WithRequestObserver(f func(route, rank, outcome string, took tier.Millis)) Option {
 	return func(h *Handler) { h.ended = f }
 }
 
-// WithMaxBody sets the largest body of a request, in bytes.
-func WithMaxBody(n int64) Option { return func(h *Handler) { h.maxBody = n } }
+// WithMaxBodyBytes sets the largest body of a request, in bytes.
+func WithMaxBodyBytes(n int64) Option { return func(h *Handler) { h.maxBody = n } }
 
 // WithBodyTimeout bounds the reading of a request's body.
 func WithBodyTimeout(m tier.Millis) Option { return func(h *Handler) { h.bodyTimeout = m } }
 
 // New returns the handler of the named VM.
-func New(vm string, clock *tier.Clock, config Configuration, front Front, admission Admission, status StatusSource, opts ...Option) *Handler {
+func New(vm string, clock *tier.Clock, config Configuration, front Front, admission RequestTracker, status StatusSource, opts ...Option) *Handler {
 	h := &Handler{
 		vm: vm, clock: clock, config: config, front: front, admission: admission, status: status,
 		metrics: http.NotFoundHandler(),
--- a/cicadagraded/handler/search.go
+++ b/cicadagraded/handler/search.go
@@ -18,7 +18,7 @@
 		return err
 	}
 	c.Set(requestIDKey, q.RequestID)
-	end, ok := h.admission.Enter("search " + q.RequestID)
+	end, ok := h.admission.Begin("search " + q.RequestID)
 	if !ok {
 		return errors.WithStack(&busyError{})
 	}
--- a/cicadagraded/handler/session_test.go
+++ b/cicadagraded/handler/session_test.go
@@ -105,7 +105,7 @@
 	return 0, true
 }
 
-func (w *world) Enter(string) (func(), bool) { return func() {}, !w.step.Busy }
+func (w *world) Begin(string) (func(), bool) { return func() {}, !w.step.Busy }
 
 func (w *world) Ask(_ context.Context, vm tier.VM, _ string, s owner.Search) (owner.PartResult, error) {
 	w.mu.Lock()
@@ -204,7 +204,7 @@
 	}
 	w.set = d.Set()
 	front := coordinator.New(w.s.Home, w.clock.Clock(), w, w, minter{})
-	routes := New("vm-1", w.clock.Clock(), w, front, w, nil, WithMaxBody(2048)).Routes()
+	routes := New("vm-1", w.clock.Clock(), w, front, w, nil, WithMaxBodyBytes(2048)).Routes()
 	var out bytes.Buffer
 	for _, step := range w.s.Steps {
 		w.step, w.asked = step, nil
--- a/cicadagraded/inflight.go
+++ b/cicadagraded/inflight.go
@@ -27,9 +27,9 @@
 	return &inflight{most: most, open: map[uint64]string{}}
 }
 
-// Enter counts a caller's request in, unless there are too many. The
+// Begin counts a caller's request in, unless there are too many. The
 // name is for the log line of a stop that has to cut it off.
-func (f *inflight) Enter(name string) (end func(), ok bool) {
+func (f *inflight) Begin(name string) (end func(), ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.callers >= f.most {
--- a/cicadagraded/locator/candidates.go
+++ b/cicadagraded/locator/candidates.go
@@ -32,7 +32,7 @@
 			add(vm)
 		}
 	}
-	for _, vm := range picker.Owners(s.Name(), dataCentre, l.members, max(maxCandidates, s.Owners())) {
+	for _, vm := range picker.Owners(s.Name(), dataCentre, l.members, max(maxCandidates, s.OwnerCount())) {
 		add(vm)
 	}
 	for _, vm := range l.members {
--- a/cicadagraded/locator/queries.go
+++ b/cicadagraded/locator/queries.go
@@ -105,5 +105,5 @@
 // OwnerCount is the number of VMs in a data centre that share the slots of a set: the
 // number in the set's configuration, or less if a server has not that many slots.
 func OwnerCount(s *tier.ShardSet, dataCentre string) int {
-	return min(s.Owners(), dispatcher.MaxOwners(s, dataCentre))
+	return min(s.OwnerCount(), dispatcher.MaxOwners(s, dataCentre))
 }
--- a/cicadagraded/messenger/client.go
+++ b/cicadagraded/messenger/client.go
@@ -43,12 +43,12 @@
 // Option sets one part of a client.
 type Option func(*Client)
 
-// WithDialled sets the address that is dialled in place of a VM's own.
-func WithDialled(f func(address string) string) Option { return func(c *Client) { c.dialled = f } }
+// WithDialAddress sets the address that is dialled in place of a VM's own.
+func WithDialAddress(f func(address string) string) Option { return func(c *Client) { c.dialled = f } }
 
-// WithThresholds has heard told the threshold of admission that an owner gives
+// WithThresholdHandler has heard told the threshold of admission that an owner gives
 // with each reply.
-func WithThresholds(heard func(set, vm string, t admitter.Threshold)) Option {
+func WithThresholdHandler(heard func(set, vm string, t admitter.Threshold)) Option {
 	return func(c *Client) { c.heard = heard }
 }
 
@@ -107,7 +107,7 @@
 	}
 	c.heard(set, vm.Name(), fromAdmission(reply.Msg.GetAdmission()))
 	if got := fromPeerSnapshot(reply.Msg.GetSnapshot()); reply.Msg.GetRefusal() == nil && got != s.Snapshot() {
-		return nil, errors.Wrap(&CrossedError{want: s.Snapshot().String(), got: got.String()}, "Client.Ask")
+		return nil, errors.Wrap(&MismatchedReplyError{want: s.Snapshot().String(), got: got.String()}, "Client.Ask")
 	}
 	return fromAskReply(reply.Msg), nil
 }
@@ -122,7 +122,7 @@
 		return nil, errors.Wrap(bookError(err, b.IdempotencyKey()), "Client.Book")
 	}
 	if got := reply.Msg.GetIdempotencyKey(); got != b.IdempotencyKey() {
-		return nil, errors.Wrap(&CrossedError{want: b.IdempotencyKey(), got: got}, "Client.Book")
+		return nil, errors.Wrap(&MismatchedReplyError{want: b.IdempotencyKey(), got: got}, "Client.Book")
 	}
 	return fromBookReply(reply.Msg), nil
 }
--- a/cicadagraded/messenger/errors.go
+++ b/cicadagraded/messenger/errors.go
@@ -10,12 +10,12 @@
 	"cicadagrade.example/cicadagraded/coordinator"
 )
 
-// CrossedError says that a VM answered another request than the one it was
+// MismatchedReplyError says that a VM answered another request than the one it was
 // sent.
-type CrossedError struct{ want, got string }
+type MismatchedReplyError struct{ want, got string }
 
 // Error names what was wanted and what came.
-func (e *CrossedError) Error() string {
+func (e *MismatchedReplyError) Error() string {
 	return fmt.Sprintf("crossed reply: want %q, got %q", e.want, e.got)
 }
 
--- a/cicadagraded/observe.go
+++ b/cicadagraded/observe.go
@@ -238,7 +238,7 @@
 }
 
 func (o *observer) watcher() []meter.Point {
-	return []meter.Point{meter.NewPoint(flag(o.daemon.config.Status().Watcher()))}
+	return []meter.Point{meter.NewPoint(flag(o.daemon.config.Status().WatchesStore()))}
 }
 
 func (o *observer) configurationCalls() []meter.Point {
--- a/cicadagraded/owner/loop.go
+++ b/cicadagraded/owner/loop.go
@@ -33,7 +33,7 @@
 		select {
 		case <-o.ctx.Done():
 			return nil
-		case m := <-o.inbox.Out():
+		case m := <-o.inbox.Chan():
 			o.handle(m)
 		case <-timer.C:
 			o.tick()
--- a/cicadagraded/owner/owner.go
+++ b/cicadagraded/owner/owner.go
@@ -15,7 +15,7 @@
 	"cicadagrade.example/tier/dispatcher"
 	"cicadagrade.example/tier/merger"
 	"cicadagrade.example/tier/prober"
-	"cicadagrade.example/tier/ring"
+	"cicadagrade.example/tier/queue"
 )
 
 const (
@@ -45,7 +45,7 @@
 	id    Identity
 	name  string
 	clock *tier.Clock
-	inbox *ring.Ring[message]
+	inbox *queue.Queue[message]
 	// threshold is the current admission threshold.
 	threshold atomic.Pointer[admitter.Threshold]
 
@@ -118,7 +118,7 @@
 		id:                 id,
 		name:               set.Name(),
 		clock:              clock,
-		inbox:              ring.New[message](inboxSize),
+		inbox:              queue.New[message](inboxSize),
 		set:                set,
 		dispatcher:         dispatcher.New(set, id.dataCentre, dispatcher.WithSeed(uint64(id.incarnation))),
 		parts:              map[uint64]*part{},
--- a/cicadagraded/owner/pool.go
+++ b/cicadagraded/owner/pool.go
@@ -10,7 +10,7 @@
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/correlator"
 	"cicadagrade.example/tier/dispatcher"
-	"cicadagrade.example/tier/ring"
+	"cicadagrade.example/tier/queue"
 )
 
 // call is a leaf call that was started.
@@ -41,8 +41,8 @@
 // the server, and one more for health probes.
 type workerPool struct {
 	client    *backendclient.Client
-	calls     *ring.Ring[*call]
-	probes    *ring.Ring[uint64]
+	calls     *queue.Queue[*call]
+	probes    *queue.Queue[uint64]
 	ctx       context.Context
 	cancel    context.CancelFunc
 	openCalls int
@@ -54,8 +54,8 @@
 	ctx, cancel := context.WithCancel(o.ctx)
 	w := &workerPool{
 		client: backendclient.New(server, server.Slots()),
-		calls:  ring.New[*call](server.Slots()),
-		probes: ring.New[uint64](1),
+		calls:  queue.New[*call](server.Slots()),
+		probes: queue.New[uint64](1),
 		ctx:    ctx,
 		cancel: cancel,
 	}
--- a/cicadagraded/owner/probing.go
+++ b/cicadagraded/owner/probing.go
@@ -140,7 +140,7 @@
 // takesWork reports whether a backend server is assumed to accept new calls.
 func (o *Owner) takesWork(server string) bool {
 	p, ok := o.probers[server]
-	return ok && p.State().TakesWork()
+	return ok && p.State().AcceptsCalls()
 }
 
 // runProbes probes a backend server whenever the event loop requests it, until the pool
--- a/cicadagraded/stop.go
+++ b/cicadagraded/stop.go
@@ -14,7 +14,7 @@
 	"cicadagrade.example/cicadagraded/booker"
 	"cicadagrade.example/cicadagraded/exchanger"
 	"cicadagrade.example/tier"
-	"cicadagrade.example/tier/ring"
+	"cicadagrade.example/tier/queue"
 )
 
 // stopper is the duty that waits for a signal and stops the VM as planned.
@@ -27,7 +27,7 @@
 	servers     []*http.Server
 	balancerLag tier.Millis
 	stopLimit   tier.Millis
-	replaced    *ring.Ring[tier.VM] // who took this VM's name
+	replaced    *queue.Queue[tier.VM] // who took this VM's name
 }
 
 // Run returns once the VM may exit. A second signal ends the waiting.
@@ -40,7 +40,7 @@
 		return nil
 	case <-signals:
 		return errors.Wrap(s.stop(ctx, signals), "stopper.Run")
-	case vm := <-s.replaced.Out():
+	case vm := <-s.replaced.Chan():
 		return errors.Wrap(s.yield(ctx, signals, vm), "stopper.Run")
 	}
 }
--- a/cicadagraded/ticker/ticker.go
+++ b/cicadagraded/ticker/ticker.go
@@ -6,12 +6,12 @@
 	"time"
 
 	"cicadagrade.example/tier"
-	"cicadagrade.example/tier/ring"
+	"cicadagrade.example/tier/queue"
 )
 
 // Run calls step at once and then whenever the time returned by wait after the last step
 // has passed or wake has an element. It returns the error of ctx when ctx ends.
-func Run(ctx context.Context, wake *ring.Ring[struct{}], step func(), wait func() tier.Millis) error {
+func Run(ctx context.Context, wake *queue.Queue[struct{}], step func(), wait func() tier.Millis) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -20,7 +20,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-wake.Out():
+		case <-wake.Chan():
 		case <-timer.C:
 		}
 	}
--- a/cicadagraded/watcher/fleet_test.go
+++ b/cicadagraded/watcher/fleet_test.go
@@ -17,8 +17,8 @@
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/committer"
 	"cicadagrade.example/tier/parser"
+	"cicadagrade.example/tier/queue"
 	"cicadagrade.example/tier/replicator"
-	"cicadagrade.example/tier/ring"
 	"cicadagrade.example/tier/storer"
 )
 
@@ -84,7 +84,7 @@
 	server *storeserver.Server
 	store  storer.Store
 	group  errgroup.Group
-	queue  *ring.Ring[publication]
+	queue  *queue.Queue[publication]
 
 	lock  sync.Mutex
 	vms   map[string]*vm
@@ -94,7 +94,7 @@
 
 func newFleet(t *testing.T) *fleet {
 	f := &fleet{
-		t: t, server: storeserver.New(tier.NewClock()), queue: ring.New[publication](1024),
+		t: t, server: storeserver.New(tier.NewClock()), queue: queue.New[publication](1024),
 		vms: map[string]*vm{}, said: map[string]map[string][]byte{}, apart: map[string]bool{},
 	}
 	h := httptest.NewServer(f.server)
@@ -129,7 +129,7 @@
 		f.lock.Unlock()
 		for name, v := range f.reachable(p.vm) {
 			if name != p.vm {
-				_ = v.watcher.OnIndex(p.vm, p.key, p.value)
+				_ = v.watcher.OnIndexEntry(p.vm, p.key, p.value)
 			}
 		}
 	}
@@ -162,7 +162,7 @@
 			}
 			return v.watcher, true
 		}),
-		watcher.WithKeeper(replicator.WithWatchers(1)))
+		watcher.WithReplicatorOptions(replicator.WithWatchers(1)))
 	f.lock.Lock()
 	f.vms[name] = &vm{watcher: w, store: s, cancel: cancel}
 	f.lock.Unlock()
@@ -191,7 +191,7 @@
 		v.watcher.OnMembers(local, remote)
 		for _, peer := range append(local, remote...) {
 			for key, value := range f.heard(peer) {
-				_ = v.watcher.OnIndex(peer, key, value)
+				_ = v.watcher.OnIndexEntry(peer, key, value)
 			}
 		}
 	}
@@ -249,7 +249,7 @@
 }
 
 func flagged(w *watcher.Watcher, trouble string) bool {
-	for _, x := range w.Status().Flags() {
+	for _, x := range w.Status().Alerts() {
 		if strings.EqualFold(string(x.Kind()), trouble) {
 			return true
 		}
--- a/cicadagraded/watcher/index.go
+++ b/cicadagraded/watcher/index.go
@@ -18,9 +18,9 @@
 // below the gossip's limit with the longest keys.
 const chunkRefs = 24
 
-// Index is what this VM announces of its documents, in values for the gossip
+// EncodeIndex is what this VM announces of its documents, in values for the gossip
 // keys IndexKeyPrefix + "0" and on.
-func (w *Watcher) Index() ([][]byte, error) {
+func (w *Watcher) EncodeIndex() ([][]byte, error) {
 	w.lock.Lock()
 	refs := w.keeper.RefsToAnnounce()
 	w.lock.Unlock()
@@ -42,7 +42,7 @@
 func (w *Watcher) publishIndex() {
 	w.published.Lock()
 	defer w.published.Unlock()
-	chunks, err := w.Index()
+	chunks, err := w.EncodeIndex()
 	if err != nil {
 		return
 	}
@@ -65,9 +65,9 @@
 
 func indexKey(i int) string { return fmt.Sprintf("%s%d", IndexKeyPrefix, i) }
 
-// OnIndex takes a value that another VM published under a key that starts
+// OnIndexEntry takes a value that another VM published under a key that starts
 // with IndexKeyPrefix; an empty one takes the earlier back.
-func (w *Watcher) OnIndex(vm, key string, value []byte) error {
+func (w *Watcher) OnIndexEntry(vm, key string, value []byte) error {
 	if vm == w.name || !strings.HasPrefix(key, IndexKeyPrefix) {
 		return nil
 	}
--- a/cicadagraded/watcher/spread_test.go
+++ b/cicadagraded/watcher/spread_test.go
@@ -21,7 +21,7 @@
 	"cicadagrade.example/tier"
 	"cicadagrade.example/tier/committer"
 	"cicadagrade.example/tier/gossiper"
-	"cicadagrade.example/tier/ring"
+	"cicadagrade.example/tier/queue"
 
 	peerv1 "cicadagrade.example/api/peer/v1"
 	"cicadagrade.example/api/peer/v1/peerv1connect"
@@ -33,7 +33,7 @@
 	self     tier.VM
 	exchange *exchanger.Exchanger
 	watcher  *watcher.Watcher
-	changes  *ring.Ring[gossiper.Action]
+	changes  *queue.Queue[gossiper.Action]
 }
 
 func (n *node) Exchange(ctx context.Context, r *connect.Request[peerv1.ExchangeRequest]) (*connect.Response[peerv1.ExchangeReply], error) {
@@ -66,7 +66,7 @@
 			n.watcher.OnMembers(local, remote)
 		case *gossiper.EntryChanged:
 			if strings.HasPrefix(a.Key(), watcher.IndexKeyPrefix) {
-				_ = n.watcher.OnIndex(a.Origin(), a.Key(), a.Value())
+				_ = n.watcher.OnIndexEntry(a.Origin(), a.Key(), a.Value())
 			}
 		}
 	}
@@ -82,7 +82,7 @@
 }
 
 func newNode(b *testing.B, self tier.VM, seeds []string, store *platform.Store) *node {
-	n := &node{self: self, changes: ring.New[gossiper.Action](1024)}
+	n := &node{self: self, changes: queue.New[gossiper.Action](1024)}
 	clock := tier.NewClock()
 	x, err := exchanger.New(self, clock, exchanger.WithChanges(n.changes))
 	if err != nil {
--- a/cicadagraded/watcher/view.go
+++ b/cicadagraded/watcher/view.go
@@ -50,7 +50,7 @@
 
 // Changed receives a value after changes came into force. It holds one:
 // whoever reads it looks at all that it needs.
-func (w *Watcher) Changed() <-chan struct{} { return w.changed.Out() }
+func (w *Watcher) Changed() <-chan struct{} { return w.changed.Chan() }
 
 // Document is the stored form of a document in force, as the command line
 // reads it to reconcile the store.
@@ -74,11 +74,11 @@
 // Documents names the documents in force, sorted by key.
 func (s Status) Documents() []replicator.Ref { return s.documents }
 
-// Flags lists the troubles that an operator has to look at.
-func (s Status) Flags() []replicator.Alert { return s.flags }
+// Alerts lists the troubles that an operator has to look at.
+func (s Status) Alerts() []replicator.Alert { return s.flags }
 
-// Watcher reports whether this VM watches the store for its data centre.
-func (s Status) Watcher() bool { return s.watcher }
+// WatchesStore reports whether this VM watches the store for its data centre.
+func (s Status) WatchesStore() bool { return s.watcher }
 
 // Counts counts reads, watches and fetches since the start.
 func (s Status) Counts() replicator.Counts { return s.counts }
--- a/cicadagraded/watcher/watcher.go
+++ b/cicadagraded/watcher/watcher.go
@@ -14,8 +14,8 @@
 
 	"cicadagrade.example/cicadagraded/ticker"
 	"cicadagrade.example/tier"
+	"cicadagrade.example/tier/queue"
 	"cicadagrade.example/tier/replicator"
-	"cicadagrade.example/tier/ring"
 	"cicadagrade.example/tier/storer"
 
 	peerv1 "cicadagrade.example/api/peer/v1"
@@ -53,11 +53,11 @@
 	remote   []string
 
 	view    atomic.Pointer[view]
-	lists   *ring.Ring[*replicator.List]
-	watches *ring.Ring[watchOrder]
-	fetches *ring.Ring[*replicator.Fetch]
-	wake    *ring.Ring[struct{}]
-	changed *ring.Ring[struct{}]
+	lists   *queue.Queue[*replicator.List]
+	watches *queue.Queue[watchOrder]
+	fetches *queue.Queue[*replicator.Fetch]
+	wake    *queue.Queue[struct{}]
+	changed *queue.Queue[struct{}]
 
 	published sync.Mutex // held while the index is published
 	chunks    [][]byte
@@ -84,11 +84,11 @@
 	return func(w *Watcher) { w.publish = publish }
 }
 
-// WithWarnings has warn called for each flag that is raised.
-func WithWarnings(warn func(replicator.Alert)) Option { return func(w *Watcher) { w.warn = warn } }
+// WithAlertHandler has warn called for each flag that is raised.
+func WithAlertHandler(warn func(replicator.Alert)) Option { return func(w *Watcher) { w.warn = warn } }
 
-// WithKeeper passes options to the keeper.
-func WithKeeper(opts ...replicator.Option) Option {
+// WithReplicatorOptions passes options to the keeper.
+func WithReplicatorOptions(opts ...replicator.Option) Option {
 	return func(w *Watcher) { w.options = append(w.options, opts...) }
 }
 
@@ -101,15 +101,15 @@
 		heard: map[string]map[string][]replicator.Ref{},
 
 		warnings: map[string][]string{},
-		lists:    ring.New[*replicator.List](ringSize),
-		watches:  ring.New[watchOrder](ringSize),
-		fetches:  ring.New[*replicator.Fetch](ringSize),
-		wake:     ring.New[struct{}](1),
-		changed:  ring.New[struct{}](1),
+		lists:    queue.New[*replicator.List](ringSize),
+		watches:  queue.New[watchOrder](ringSize),
+		fetches:  queue.New[*replicator.Fetch](ringSize),
+		wake:     queue.New[struct{}](1),
+		changed:  queue.New[struct{}](1),
 
 		endWatch: func() {},
 	}
-	w.Defaults()
+	w.setDefaults()
 	for _, o := range opts {
 		o(w)
 	}
@@ -119,8 +119,8 @@
 	return w
 }
 
-// Defaults sets no peers, publishes nowhere and ignores warnings.
-func (w *Watcher) Defaults() {
+// setDefaults sets no peers, publishes nowhere and ignores warnings.
+func (w *Watcher) setDefaults() {
 	w.dial = func(string) (Peer, bool) { return nil, false }
 	w.publish = func(string, []byte) error { return nil }
 	w.warn = func(replicator.Alert) {}
--- a/standin/backends.go
+++ b/standin/backends.go
@@ -14,7 +14,7 @@
 
 	"cicadagrade.example/standin/deployer"
 	"cicadagrade.example/standin/leafserver"
-	"cicadagrade.example/standin/recorder"
+	"cicadagrade.example/standin/recordgenerator"
 )
 
 const backendsHelp = `backends plays every backend server of a deployment in one process, each at
@@ -65,12 +65,12 @@
 	}
 	fleet := leafserver.NewFleet(
 		d.Sets(),
-		recorder.New(d.Seed()),
+		recordgenerator.New(d.RecordSeed()),
 		leafserver.WithSeed(f.seed),
 		leafserver.WithServiceTime(f.median, f.spread, f.tail),
 	)
-	fmt.Fprintf(c.OutOrStdout(), "event=backends deployment=%s servers=%d control=%s\n", d.Name(), len(fleet.Servers()), d.Control())
-	return serveWithControl(c.Context(), fleet.Serve, d.Control(), fleet.ControlHandler())
+	fmt.Fprintf(c.OutOrStdout(), "event=backends deployment=%s servers=%d control=%s\n", d.Name(), len(fleet.Servers()), d.BackendControlAddress())
+	return serveWithControl(c.Context(), fleet.Serve, d.BackendControlAddress(), fleet.ControlHandler())
 }
 
 // serveWithControl runs a stand-in and its control port until a signal comes
--- a/standin/caller/bare.go
+++ b/standin/caller/bare.go
@@ -18,19 +18,19 @@
 	"cicadagrade.example/tier"
 )
 
-// Bare asks the backend servers itself: every shard at once, its replicas in
+// DirectClient asks the backend servers itself: every shard at once, its replicas in
 // turn, without slots, queues, hedges or retries. It shows what the tier
 // adds.
-type Bare struct {
+type DirectClient struct {
 	sets    map[string]*tier.ShardSet
 	version tier.Version
 	clients map[string]backendv1connect.LeafServiceClient
 	turn    atomic.Uint64
 }
 
-// NewBare returns a caller that asks for one index version of the sets.
-func NewBare(v tier.Version, sets ...*tier.ShardSet) *Bare {
-	b := &Bare{
+// NewDirectClient returns a caller that asks for one index version of the sets.
+func NewDirectClient(v tier.Version, sets ...*tier.ShardSet) *DirectClient {
+	b := &DirectClient{
 		sets:    map[string]*tier.ShardSet{},
 		version: v,
 		clients: map[string]backendv1connect.LeafServiceClient{},
@@ -45,10 +45,10 @@
 	return b
 }
 
-func (*Bare) target() {}
+func (*DirectClient) target() {}
 
 // Search asks every shard and merges the replies; it fails when one does.
-func (b *Bare) Search(ctx context.Context, q Search) (*checker.Answer, error) {
+func (b *DirectClient) Search(ctx context.Context, q Search) (*checker.Answer, error) {
 	set, ok := b.sets[q.set]
 	if !ok {
 		return nil, errors.Errorf("Bare.Search: no set %q", q.set)
@@ -78,10 +78,10 @@
 	}
 	sort.Slice(records, func(i, j int) bool { return records[i].Key() < records[j].Key() })
 	o := tier.NewAnswered(tier.NewSnapshot(set.Epoch(), b.version), tier.NewCoverage(covered, nil), records)
-	return checker.NewAnswered(q.requestID, q.profile.Rank(), o, len(covered)), nil
+	return checker.NewMergedAnswer(q.requestID, q.profile.Rank(), o, len(covered)), nil
 }
 
-func (b *Bare) shard(ctx context.Context, set *tier.ShardSet, s tier.Shard, q Search, turn uint64) ([]tier.Record, error) {
+func (b *DirectClient) shard(ctx context.Context, set *tier.ShardSet, s tier.Shard, q Search, turn uint64) ([]tier.Record, error) {
 	server, _ := set.Server(s.Replicas()[turn%uint64(len(s.Replicas()))])
 	r, err := b.clients[server.Address()].Search(ctx, connect.NewRequest(&backendv1.SearchRequest{
 		Attempt:  fmt.Sprintf("bare/1/%d", turn),
--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -57,16 +57,16 @@
 	Search(ctx context.Context, q Search) (*checker.Answer, error)
 }
 
-// VM is one entry VM.
-type VM struct {
+// VMClient is one entry VM.
+type VMClient struct {
 	address string
 	client  *http.Client
 }
 
-// NewVM returns an entry VM whose API has this address.
-func NewVM(address string) *VM {
+// NewVMClient returns an entry VM whose API has this address.
+func NewVMClient(address string) *VMClient {
 	t := &http.Transport{MaxIdleConns: maxIdle, MaxIdleConnsPerHost: maxIdle}
-	return &VM{address: address, client: &http.Client{Transport: t}}
+	return &VMClient{address: address, client: &http.Client{Transport: t}}
 }
 
 type searchBody struct {
@@ -87,10 +87,10 @@
 	Deadline       tier.Millis `json:"deadline-ms"`
 }
 
-func (*VM) target() {}
+func (*VMClient) target() {}
 
 // Search posts a search.
-func (v *VM) Search(ctx context.Context, q Search) (*checker.Answer, error) {
+func (v *VMClient) Search(ctx context.Context, q Search) (*checker.Answer, error) {
 	a, err := v.post(ctx, "/v1/search", searchBody{
 		RequestID: q.requestID,
 		Profile:   q.profile.Name(),
@@ -102,7 +102,7 @@
 }
 
 // Book posts a booking.
-func (v *VM) Book(ctx context.Context, q Booking) (*checker.Answer, error) {
+func (v *VMClient) Book(ctx context.Context, q Booking) (*checker.Answer, error) {
 	a, err := v.post(ctx, "/v1/book", bookBody{
 		RequestID:      q.requestID,
 		Profile:        q.profile.Name(),
@@ -115,7 +115,7 @@
 	return a, errors.Wrap(err, "VM.Book")
 }
 
-func (v *VM) post(ctx context.Context, path string, body any) (*checker.Answer, error) {
+func (v *VMClient) post(ctx context.Context, path string, body any) (*checker.Answer, error) {
 	b, err := json.Marshal(body)
 	if err != nil {
 		return nil, err
--- a/standin/checker/answer.go
+++ b/standin/checker/answer.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// NewAnswered returns an answer that a caller merged itself.
-func NewAnswered(requestID string, rank tier.Rank, o *tier.Answered, leafCalls int) *Answer {
+// NewMergedAnswer returns an answer that a caller merged itself.
+func NewMergedAnswer(requestID string, rank tier.Rank, o *tier.Answered, leafCalls int) *Answer {
 	s := o.Snapshot()
 	a := &Answer{
 		requestID:   requestID,
@@ -160,8 +160,8 @@
 // Accepted reports whether the request was a valid one.
 func (a *Answer) Accepted() bool { return a.errorCode == "" }
 
-// Fraction is the covered part of the set.
-func (a *Answer) Fraction() float64 { return a.fraction }
+// CoveredFraction is the covered part of the set.
+func (a *Answer) CoveredFraction() float64 { return a.fraction }
 
 // LeafCalls is how many calls to backend servers it took.
 func (a *Answer) LeafCalls() int { return a.leafCalls }
--- a/standin/checker/checker.go
+++ b/standin/checker/checker.go
@@ -6,7 +6,7 @@
 	"slices"
 	"sort"
 
-	"cicadagrade.example/standin/recorder"
+	"cicadagrade.example/standin/recordgenerator"
 	"cicadagrade.example/tier"
 )
 
@@ -28,13 +28,13 @@
 
 // Checker checks answers to searches. It is safe for concurrent use.
 type Checker struct {
-	records *recorder.Recorder
+	records *recordgenerator.Generator
 	maps    map[string]map[tier.Epoch]*tier.ShardSet
 }
 
 // New returns a checker that knows the shard maps of all epochs that answers
 // may name.
-func New(records *recorder.Recorder, maps ...*tier.ShardSet) *Checker {
+func New(records *recordgenerator.Generator, maps ...*tier.ShardSet) *Checker {
 	c := &Checker{records: records, maps: map[string]map[tier.Epoch]*tier.ShardSet{}}
 	for _, m := range maps {
 		if c.maps[m.Name()] == nil {
@@ -53,8 +53,8 @@
 	violations []Violation
 }
 
-// Search lists what is wrong with the answer to a search.
-func (c *Checker) Search(q Query, a *Answer) []Violation {
+// CheckSearch lists what is wrong with the answer to a search.
+func (c *Checker) CheckSearch(q Query, a *Answer) []Violation {
 	k := &check{Checker: c, query: q, answer: a}
 	k.header()
 	if a.outcome == OutcomeAnswered {
@@ -71,7 +71,7 @@
 func (k *check) header() {
 	a := k.answer
 	if a.requestID != k.query.requestID {
-		k.report(Crossed, "the answer names request %q", a.requestID)
+		k.report(WrongRequest, "the answer names request %q", a.requestID)
 	}
 	if a.outcome != OutcomeAnswered && a.outcome != OutcomeRefused && a.outcome != OutcomeUnknown {
 		k.report(InvalidOutcome, "outcome %q", a.outcome)
@@ -130,7 +130,7 @@
 	for i := 1; i < len(a.records); i++ {
 		before, key := a.records[i-1].Key(), a.records[i].Key()
 		if before == key {
-			k.report(Doubled, "key %s twice", key)
+			k.report(Duplicate, "key %s twice", key)
 		}
 		if before > key {
 			k.report(Unordered, "key %s after %s", key, before)
@@ -160,7 +160,7 @@
 		if !slices.Contains(k.answer.covered, s.ID()) {
 			continue
 		}
-		for _, r := range k.records.Shard(k.query.set, k.answer.snapshot.Version(), k.query.term, s.From(), s.To()) {
+		for _, r := range k.records.ShardRecords(k.query.set, k.answer.snapshot.Version(), k.query.term, s.From(), s.To()) {
 			out[r.Key()] = r.Value()
 		}
 	}
@@ -168,9 +168,9 @@
 }
 
 func (k *check) record(m *tier.ShardSet, want map[string]string, r tier.Record) {
-	version, ok := recorder.VersionOf(r.Value())
+	version, ok := recordgenerator.ParseVersion(r.Value())
 	if ok && version != k.answer.snapshot.Version() {
-		k.report(Mixed, "%s is of version %d, the snapshot is %s", r.Key(), version, k.answer.snapshot)
+		k.report(MixedVersions, "%s is of version %d, the snapshot is %s", r.Key(), version, k.answer.snapshot)
 		return
 	}
 	value, ok := want[r.Key()]
@@ -181,6 +181,6 @@
 	case !slices.Contains(k.answer.covered, m.ShardOf(r.Key()).ID()):
 		k.report(FalseCoverage, "has %s of shard %s, which it does not cover", r.Key(), m.ShardOf(r.Key()).ID())
 	default:
-		k.report(Crossed, "%s does not match %s", r.Key(), k.query.term)
+		k.report(WrongRequest, "%s does not match %s", r.Key(), k.query.term)
 	}
 }
--- a/standin/checker/checker_test.go
+++ b/standin/checker/checker_test.go
@@ -6,7 +6,7 @@
 
 	"cicadagrade.example/standin/deployer"
 	"cicadagrade.example/standin/leafserver"
-	"cicadagrade.example/standin/recorder"
+	"cicadagrade.example/standin/recordgenerator"
 	"cicadagrade.example/tier"
 )
 
@@ -24,13 +24,13 @@
 	}
 	set, _ := d.Set(testSet)
 	p, _ := d.Profile("gate")
-	records := recorder.New(d.Seed())
+	records := recordgenerator.New(d.RecordSeed())
 	var covered []string
 	for _, s := range set.Shards() {
 		covered = append(covered, s.ID())
 	}
 	o := tier.NewAnswered(tier.NewSnapshot(1, 2), tier.NewCoverage(covered, nil), records.Records(testSet, 2, testTerm))
-	return New(records, d.Sets()...), NewQuery("r-1", p, testSet, testTerm), NewAnswered("r-1", tier.Urgent, o, 20)
+	return New(records, d.Sets()...), NewQuery("r-1", p, testSet, testTerm), NewMergedAnswer("r-1", tier.Urgent, o, 20)
 }
 
 // seal makes count and digest fit the records, as a careless merge would.
@@ -52,12 +52,12 @@
 			old := c.records.Records(testSet, 1, testTerm)
 			i := slices.IndexFunc(a.records, func(r tier.Record) bool { return r.Key() == old[0].Key() })
 			a.records[i] = old[0]
-		}, []Kind{Mixed}, true},
-		{"doubled", func(_ *Checker, a *Answer) { a.records = slices.Insert(a.records, 1, a.records[0]) }, []Kind{Doubled}, true},
+		}, []Kind{MixedVersions}, true},
+		{"doubled", func(_ *Checker, a *Answer) { a.records = slices.Insert(a.records, 1, a.records[0]) }, []Kind{Duplicate}, true},
 		{"truncated", func(_ *Checker, a *Answer) { a.records = a.records[1:] }, []Kind{Truncated}, true},
 		{"cut on the way", func(_ *Checker, a *Answer) { a.records = a.records[1:] }, []Kind{Truncated, Corrupted}, false},
-		{"another term's", func(c *Checker, a *Answer) { a.records = c.records.Records(testSet, 2, "grower-8") }, []Kind{Crossed, Truncated}, true},
-		{"another caller's", func(_ *Checker, a *Answer) { a.requestID = "r-2" }, []Kind{Crossed}, true},
+		{"another term's", func(c *Checker, a *Answer) { a.records = c.records.Records(testSet, 2, "grower-8") }, []Kind{WrongRequest, Truncated}, true},
+		{"another caller's", func(_ *Checker, a *Answer) { a.requestID = "r-2" }, []Kind{WrongRequest}, true},
 		{"corrupted", func(_ *Checker, a *Answer) {
 			a.records[0] = tier.NewRecord(a.records[0].Key(), a.records[0].Value()+" ")
 		}, []Kind{Corrupted}, true},
@@ -70,7 +70,7 @@
 			if x.sealed {
 				a.seal()
 			}
-			got := c.Search(q, a)
+			got := c.CheckSearch(q, a)
 			for _, v := range got {
 				if !slices.Contains(x.kinds, v.Kind) {
 					t.Errorf("unexpected %+v", v)
@@ -97,16 +97,16 @@
 		{"unknown, ran", []string{OutcomeUnknown}, 1, nil},
 		{"unknown, did not run", []string{OutcomeUnknown}, 0, nil},
 		{"refused, then answered", []string{OutcomeRefused, OutcomeAnswered}, 1, nil},
-		{"ran twice", []string{OutcomeAnswered, OutcomeUnknown}, 2, []Kind{Doubled}},
+		{"ran twice", []string{OutcomeAnswered, OutcomeUnknown}, 2, []Kind{Duplicate}},
 		{"never ran", []string{OutcomeAnswered}, 0, []Kind{LostBooking}},
 		{"refused, but ran", []string{OutcomeRefused}, 1, []Kind{FalseRefusal}},
 	}
 	for _, x := range cases {
 		t.Run(x.name, func(t *testing.T) {
-			l := NewLedger()
+			l := NewBookingHistory()
 			for _, o := range x.outcomes {
-				l.Sent("r-1", "body")
-				l.Ended("r-1", "body", &Answer{requestID: "r-1", outcome: o, receipt: "receipt"})
+				l.RecordAttempt("r-1", "body")
+				l.RecordOutcome("r-1", "body", &Answer{requestID: "r-1", outcome: o, receipt: "receipt"})
 			}
 			var kinds []Kind
 			for _, v := range l.Check(slices.Repeat([]leafserver.AppliedBooking{{Body: "body", Receipt: "receipt"}}, x.ran)) {
--- a/standin/checker/ledger.go
+++ b/standin/checker/ledger.go
@@ -8,10 +8,10 @@
 	"cicadagrade.example/standin/leafserver"
 )
 
-// Ledger holds the outcomes of bookings until they can be compared with what
+// BookingHistory holds the outcomes of bookings until they can be compared with what
 // ran. Bookings are told apart by their bodies. It is safe for concurrent
 // use.
-type Ledger struct {
+type BookingHistory struct {
 	mu       sync.Mutex
 	bookings map[string]*booking
 }
@@ -23,12 +23,12 @@
 	receipts  []string
 }
 
-// NewLedger returns an empty ledger.
-func NewLedger() *Ledger { return &Ledger{bookings: map[string]*booking{}} }
+// NewBookingHistory returns an empty ledger.
+func NewBookingHistory() *BookingHistory { return &BookingHistory{bookings: map[string]*booking{}} }
 
-// Sent notes that a booking is about to be sent, for the first time or
+// RecordAttempt notes that a booking is about to be sent, for the first time or
 // again.
-func (l *Ledger) Sent(requestID, body string) {
+func (l *BookingHistory) RecordAttempt(requestID, body string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	b, ok := l.bookings[body]
@@ -39,8 +39,8 @@
 	b.sent++
 }
 
-// Ended notes the outcome of one sending and lists what is wrong with it.
-func (l *Ledger) Ended(requestID, body string, a *Answer) []Violation {
+// RecordOutcome notes the outcome of one sending and lists what is wrong with it.
+func (l *BookingHistory) RecordOutcome(requestID, body string, a *Answer) []Violation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	b := l.bookings[body]
@@ -51,13 +51,13 @@
 		b.refused++
 	}
 	if a.requestID != requestID {
-		return []Violation{{Kind: Crossed, RequestID: requestID, Detail: fmt.Sprintf("the answer names request %q", a.requestID)}}
+		return []Violation{{Kind: WrongRequest, RequestID: requestID, Detail: fmt.Sprintf("the answer names request %q", a.requestID)}}
 	}
 	return nil
 }
 
 // Check compares the outcomes with the bookings that took effect.
-func (l *Ledger) Check(booked []leafserver.AppliedBooking) []Violation {
+func (l *BookingHistory) Check(booked []leafserver.AppliedBooking) []Violation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	ran := map[string][]string{}
@@ -79,7 +79,7 @@
 		out = append(out, Violation{Kind: kind, RequestID: b.requestID, Detail: fmt.Sprintf(format, args...)})
 	}
 	if len(ran) > 1 {
-		report(Doubled, "the booking ran %d times: %v", len(ran), ran)
+		report(Duplicate, "the booking ran %d times: %v", len(ran), ran)
 	}
 	if len(b.receipts) > 0 && len(ran) == 0 {
 		report(LostBooking, "answered with receipt %s, but it never ran", b.receipts[0])
@@ -89,7 +89,7 @@
 	}
 	for _, r := range b.receipts {
 		if len(ran) == 1 && r != ran[0] {
-			report(Crossed, "receipt %s, want %s", r, ran[0])
+			report(WrongRequest, "receipt %s, want %s", r, ran[0])
 		}
 	}
 	return out
--- a/standin/checker/violation.go
+++ b/standin/checker/violation.go
@@ -5,10 +5,10 @@
 
 // The kinds.
 const (
-	Mixed          Kind = "mixed"           // records of another index version than the snapshot's
-	Doubled        Kind = "doubled"         // a key twice, or a booking that ran twice
+	MixedVersions  Kind = "mixed"           // records of another index version than the snapshot's
+	Duplicate      Kind = "doubled"         // a key twice, or a booking that ran twice
 	Truncated      Kind = "truncated"       // lacks records of a covered shard, or its own count
-	Crossed        Kind = "crossed"         // another request's id, records or receipt
+	WrongRequest   Kind = "crossed"         // another request's id, records or receipt
 	Corrupted      Kind = "corrupted"       // a value or the digest is wrong
 	Unordered      Kind = "unordered"       // records not sorted by key
 	FalseCoverage  Kind = "false-coverage"  // coverage does not fit the shard map or the records
@@ -16,7 +16,7 @@
 	NoSnapshot     Kind = "no-snapshot"     // answered without a known snapshot
 	FalseRefusal   Kind = "false-refusal"   // refused as not run, but it ran
 	LostBooking    Kind = "lost-booking"    // answered, but it never ran
-	CutOff         Kind = "cut-off"         // no answer, though VMs only stopped as planned
+	Unanswered     Kind = "cut-off"         // no answer, though VMs only stopped as planned
 	InvalidOutcome Kind = "invalid-outcome" // no outcome, rank or body of the API
 )
 
--- a/standin/deployer/deployment.go
+++ b/standin/deployer/deployment.go
@@ -22,11 +22,11 @@
 // DataCentre is the data centre it runs in.
 func (v VM) DataCentre() string { return v.dataCentre }
 
-// API is where callers reach it.
-func (v VM) API() string { return v.api }
+// APIAddress is where callers reach it.
+func (v VM) APIAddress() string { return v.api }
 
-// Peer is where other VMs reach it.
-func (v VM) Peer() string { return v.peer }
+// PeerAddress is where other VMs reach it.
+func (v VM) PeerAddress() string { return v.peer }
 
 // Deployment is one user's data centres, VMs, backend servers, sets and
 // profiles.
@@ -45,18 +45,18 @@
 // Name is the deployment's name, such as "associacao".
 func (d *Deployment) Name() string { return d.name }
 
-// Seed is what its records are generated from.
-func (d *Deployment) Seed() uint64 { return d.seed }
+// RecordSeed is what its records are generated from.
+func (d *Deployment) RecordSeed() uint64 { return d.seed }
 
-// Store is the address of the stand-in store.
-func (d *Deployment) Store() string { return d.store }
+// StoreAddress is the address of the stand-in store.
+func (d *Deployment) StoreAddress() string { return d.store }
 
-// Control is the address of the control port of the backend servers.
-func (d *Deployment) Control() string { return d.control }
+// BackendControlAddress is the address of the control port of the backend servers.
+func (d *Deployment) BackendControlAddress() string { return d.control }
 
-// Links is the address of the control port of the links between data
+// LinkControlAddress is the address of the control port of the links between data
 // centres.
-func (d *Deployment) Links() string { return d.links }
+func (d *Deployment) LinkControlAddress() string { return d.links }
 
 // DataCentres lists the data centres.
 func (d *Deployment) DataCentres() []tier.DataCentre { return d.dataCentres }
--- a/standin/experiment.go
+++ b/standin/experiment.go
@@ -117,7 +117,7 @@
 
 func postOrders(ctx context.Context, d *deployer.Deployment, orders []json.RawMessage) error {
 	for _, o := range orders {
-		if _, err := leafserver.NewClient(d.Control()).SetFaults(ctx, o); err != nil {
+		if _, err := leafserver.NewClient(d.BackendControlAddress()).SetFaults(ctx, o); err != nil {
 			return err
 		}
 	}
--- a/standin/leafserver/fleet.go
+++ b/standin/leafserver/fleet.go
@@ -8,7 +8,7 @@
 
 	backendv1 "cicadagrade.example/api/backend/v1"
 
-	"cicadagrade.example/standin/recorder"
+	"cicadagrade.example/standin/recordgenerator"
 	"cicadagrade.example/tier"
 )
 
@@ -19,7 +19,7 @@
 }
 
 // NewFleet returns a fleet of the servers of the sets. The options apply to each server.
-func NewFleet(sets []*tier.ShardSet, records *recorder.Recorder, opts ...Option) *Fleet {
+func NewFleet(sets []*tier.ShardSet, records *recordgenerator.Generator, opts ...Option) *Fleet {
 	f := &Fleet{journal: NewJournal()}
 	for _, set := range sets {
 		for _, b := range set.Servers() {
--- a/standin/leafserver/server.go
+++ b/standin/leafserver/server.go
@@ -19,7 +19,7 @@
 
 	backendv1 "cicadagrade.example/api/backend/v1"
 	"cicadagrade.example/api/backend/v1/backendv1connect"
-	"cicadagrade.example/standin/recorder"
+	"cicadagrade.example/standin/recordgenerator"
 	"cicadagrade.example/tier"
 )
 
@@ -47,7 +47,7 @@
 	tail         float64
 	queueTimeout time.Duration
 	clock        *tier.Clock
-	records      *recorder.Recorder
+	records      *recordgenerator.Generator
 	journal      *Journal
 
 	slots         *slotPool
@@ -95,7 +95,7 @@
 func WithClock(c *tier.Clock) Option { return func(s *Server) { s.clock = c } }
 
 // New returns a server in state live that holds version 1 of its shards of the set.
-func New(b tier.Backend, set *tier.ShardSet, records *recorder.Recorder, j *Journal, opts ...Option) *Server {
+func New(b tier.Backend, set *tier.ShardSet, records *recordgenerator.Generator, j *Journal, opts ...Option) *Server {
 	s := &Server{backend: b, set: set.Name(), records: records, journal: j}
 	s.Defaults()
 	for _, o := range opts {
--- a/standin/leafserver/server_test.go
+++ b/standin/leafserver/server_test.go
@@ -16,7 +16,7 @@
 
 	backendv1 "cicadagrade.example/api/backend/v1"
 	"cicadagrade.example/api/backend/v1/backendv1connect"
-	"cicadagrade.example/standin/recorder"
+	"cicadagrade.example/standin/recordgenerator"
 	"cicadagrade.example/tier"
 )
 
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	clock := tier.NewManualClock(0)
-	f := NewFleet([]*tier.ShardSet{set}, recorder.New(7), WithClock(clock.Clock()), WithServiceTime(time.Millisecond, 0, 0))
+	f := NewFleet([]*tier.ShardSet{set}, recordgenerator.New(7), WithClock(clock.Clock()), WithServiceTime(time.Millisecond, 0, 0))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -184,7 +184,7 @@
 			t.Fatalf("version %d: %v %v", v, code, r)
 		}
 		for _, x := range r.GetRecords() {
-			if got, ok := recorder.VersionOf(x.GetValue()); !ok || uint64(got) != v {
+			if got, ok := recordgenerator.ParseVersion(x.GetValue()); !ok || uint64(got) != v {
 				t.Errorf("version %d has %s", v, x.GetValue())
 			}
 		}
--- a/standin/leafserver/service.go
+++ b/standin/leafserver/service.go
@@ -12,7 +12,7 @@
 	"google.golang.org/protobuf/proto"
 
 	backendv1 "cicadagrade.example/api/backend/v1"
-	"cicadagrade.example/standin/recorder"
+	"cicadagrade.example/standin/recordgenerator"
 	"cicadagrade.example/tier"
 )
 
@@ -31,7 +31,7 @@
 	if err != nil {
 		return nil, err
 	}
-	_, tag := recorder.SplitTerm(q.Msg.GetTerm())
+	_, tag := recordgenerator.SplitTerm(q.Msg.GetTerm())
 	v.server.journal.addStarted(tag)
 	if err := v.server.work(ctx, v.server.drawServiceTime()); err != nil {
 		return nil, err
@@ -194,9 +194,9 @@
 	if f.claimRequestedVersion {
 		reported = requested
 	}
-	records := s.records.Shard(s.set, served, q.GetTerm(), h.shard.From(), h.shard.To())
+	records := s.records.ShardRecords(s.set, served, q.GetTerm(), h.shard.From(), h.shard.To())
 	s.journal.addServed(ServedSearch{
-		At:      s.clock.Wall(),
+		At:      s.clock.WallTime(),
 		Server:  s.Name(),
 		Attempt: q.GetAttempt(),
 		Set:     s.set,
@@ -222,7 +222,7 @@
 	receipt := fmt.Sprintf("%s-%d", s.Name(), s.counters.receipts.Add(1))
 	s.counters.booked.Add(1)
 	s.journal.addBooked(AppliedBooking{
-		At:        s.clock.Wall(),
+		At:        s.clock.WallTime(),
 		Server:    s.Name(),
 		Attempt:   q.GetAttempt(),
 		Set:       s.set,
--- a/standin/load.go
+++ b/standin/load.go
@@ -9,7 +9,7 @@
 	"github.com/spf13/cobra"
 
 	"cicadagrade.example/standin/deployer"
-	"cicadagrade.example/standin/loader"
+	"cicadagrade.example/standin/loadgenerator"
 	"cicadagrade.example/standin/reporter"
 	"cicadagrade.example/tier"
 )
@@ -72,15 +72,15 @@
 
 // load runs the workload once.
 func (f *loadFlags) load(ctx context.Context, d *deployer.Deployment) (*reporter.Result, error) {
-	w, err := loader.Read(f.workload, d)
+	w, err := loadgenerator.Read(f.workload, d)
 	if err != nil {
 		return nil, err
 	}
-	run, err := loader.New(w, d, loader.WithBareVersion(tier.Version(f.version)))
+	run, err := loadgenerator.New(w, d, loadgenerator.WithDirectVersion(tier.Version(f.version)))
 	if err != nil {
 		return nil, err
 	}
-	return run.Go(ctx)
+	return run.Execute(ctx)
 }
 
 // brokenPromises fails a run with violations, or with checks not made.
--- a/standin/loader/balancer.go
+++ b/standin/loadgenerator/balancer.go
@@ -1,4 +1,4 @@
-package loader
+package loadgenerator
 
 import (
 	"context"
@@ -50,7 +50,7 @@
 }
 
 func (b *balancer) look(ctx context.Context, i int) bool {
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+b.vms[i].API()+"/healthz/ready", nil)
+	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+b.vms[i].APIAddress()+"/healthz/ready", nil)
 	if err != nil {
 		return false
 	}
--- a/standin/loader/duty.go
+++ b/standin/loadgenerator/duty.go
@@ -1,4 +1,4 @@
-package loader
+package loadgenerator
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 
 	"cicadagrade.example/standin/caller"
 	"cicadagrade.example/standin/checker"
-	"cicadagrade.example/standin/recorder"
+	"cicadagrade.example/standin/recordgenerator"
 )
 
 // maxRepeatDelay is the longest time between two sendings of a booking.
@@ -28,7 +28,7 @@
 type request struct {
 	id     string
 	due    time.Time
-	vm     *caller.VM
+	vm     *caller.VMClient
 	search caller.Search
 	query  checker.Query
 	book   caller.Booking
@@ -58,13 +58,13 @@
 		return
 	}
 	for _, q := range d.bookings(id, due) {
-		d.run.ledger.Sent(q.id, q.body)
+		d.run.ledger.RecordAttempt(q.id, q.body)
 		d.launch(q)
 	}
 }
 
 // vm takes the ready VMs in turn, as the platform's balancer does.
-func (d *duty) vm(n int) *caller.VM { return d.run.vms[d.run.balancer.pick(d.stream.vms, n)] }
+func (d *duty) vm(n int) *caller.VMClient { return d.run.vms[d.run.balancer.pick(d.stream.vms, n)] }
 
 func (d *duty) search(id string, due time.Time) request {
 	terms := d.run.records.Terms(d.stream.set.Name())
@@ -73,7 +73,7 @@
 		id:     id,
 		due:    due,
 		vm:     d.vm(d.count),
-		search: caller.NewSearch(id, d.stream.profile, d.stream.set.Name(), recorder.TagTerm(term, id), d.stream.deadline),
+		search: caller.NewSearch(id, d.stream.profile, d.stream.set.Name(), recordgenerator.TagTerm(term, id), d.stream.deadline),
 		query:  checker.NewQuery(id, d.stream.profile, d.stream.set.Name(), term),
 	}
 }
@@ -134,9 +134,9 @@
 	e := ended{latency: time.Since(q.due), answer: a}
 	e.inTime = e.latency <= d.stream.deadline.Duration()
 	if d.stream.book {
-		e.violations = d.run.ledger.Ended(q.id, q.body, a)
+		e.violations = d.run.ledger.RecordOutcome(q.id, q.body, a)
 	} else {
-		e.violations = d.run.checker.Search(q.query, a)
+		e.violations = d.run.checker.CheckSearch(q.query, a)
 	}
 	return e
 }
@@ -147,7 +147,7 @@
 	if !d.run.workload.planned {
 		return ended{}
 	}
-	return ended{violations: []checker.Violation{{Kind: checker.CutOff, RequestID: q.id, Detail: err.Error()}}}
+	return ended{violations: []checker.Violation{{Kind: checker.Unanswered, RequestID: q.id, Detail: err.Error()}}}
 }
 
 func (d *duty) ask(ctx context.Context, q request) (*checker.Answer, error) {
--- a/standin/loader/run.go
+++ b/standin/loadgenerator/run.go
@@ -1,4 +1,4 @@
-package loader
+package loadgenerator
 
 import (
 	"context"
@@ -14,10 +14,10 @@
 	"cicadagrade.example/standin/checker"
 	"cicadagrade.example/standin/deployer"
 	"cicadagrade.example/standin/leafserver"
-	"cicadagrade.example/standin/recorder"
+	"cicadagrade.example/standin/recordgenerator"
 	"cicadagrade.example/standin/reporter"
 	"cicadagrade.example/tier"
-	"cicadagrade.example/tier/ring"
+	"cicadagrade.example/tier/queue"
 )
 
 // grace is how long after its deadline an answer is still awaited.
@@ -31,14 +31,14 @@
 	workload   *Workload
 	deployment *deployer.Deployment
 	version    tier.Version
-	vms        []*caller.VM
+	vms        []*caller.VMClient
 	balancer   *balancer
-	straight   *caller.Bare
-	records    *recorder.Recorder
+	straight   *caller.DirectClient
+	records    *recordgenerator.Generator
 	checker    *checker.Checker
-	ledger     *checker.Ledger
+	ledger     *checker.BookingHistory
 	backends   *leafserver.Client
-	ends       *ring.Ring[ended]
+	ends       *queue.Queue[ended]
 	requests   *errgroup.Group
 	started    string
 }
@@ -46,44 +46,44 @@
 // Option sets one field of a run.
 type Option func(*Run)
 
-// WithBareVersion sets the index version that bare streams ask for.
-func WithBareVersion(v tier.Version) Option { return func(r *Run) { r.version = v } }
+// WithDirectVersion sets the index version that bare streams ask for.
+func WithDirectVersion(v tier.Version) Option { return func(r *Run) { r.version = v } }
 
 // New returns a run. All its addresses must be loopback ones.
 func New(w *Workload, d *deployer.Deployment, opts ...Option) (*Run, error) {
 	r := &Run{
 		workload:   w,
 		deployment: d,
-		records:    recorder.New(d.Seed()),
-		ledger:     checker.NewLedger(),
-		backends:   leafserver.NewClient(d.Control()),
+		records:    recordgenerator.New(d.RecordSeed()),
+		ledger:     checker.NewBookingHistory(),
+		backends:   leafserver.NewClient(d.BackendControlAddress()),
 		balancer:   newBalancer(d),
-		ends:       ring.New[ended](ringSize),
+		ends:       queue.New[ended](ringSize),
 		version:    1,
 	}
 	for _, o := range opts {
 		o(r)
 	}
 	r.checker = checker.New(r.records, append(append([]*tier.ShardSet{}, d.Sets()...), w.maps...)...)
-	r.straight = caller.NewBare(r.version, d.Sets()...)
+	r.straight = caller.NewDirectClient(r.version, d.Sets()...)
 	for _, v := range d.VMs() {
-		r.vms = append(r.vms, caller.NewVM(v.API()))
+		r.vms = append(r.vms, caller.NewVMClient(v.APIAddress()))
 	}
 	return r, errors.Wrap(r.validate(), "New")
 }
 
 func (r *Run) validate() error {
 	for _, v := range r.deployment.VMs() {
-		a, err := netip.ParseAddrPort(v.API())
+		a, err := netip.ParseAddrPort(v.APIAddress())
 		if err != nil || !a.Addr().IsLoopback() {
-			return errors.Errorf("%s is not a loopback address", v.API())
+			return errors.Errorf("%s is not a loopback address", v.APIAddress())
 		}
 	}
 	return nil
 }
 
-// Go runs the workload to its end and returns its result.
-func (r *Run) Go(ctx context.Context) (*reporter.Result, error) {
+// Execute runs the workload to its end and returns its result.
+func (r *Run) Execute(ctx context.Context) (*reporter.Result, error) {
 	r.started = strconv.FormatInt(time.Now().UnixMilli(), 36)
 	before, err := r.backends.Counters(ctx)
 	if err != nil {
--- a/standin/loader/run_test.go
+++ b/standin/loadgenerator/run_test.go
@@ -1,4 +1,4 @@
-package loader
+package loadgenerator
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"cicadagrade.example/standin/checker"
 	"cicadagrade.example/standin/deployer"
 	"cicadagrade.example/standin/leafserver"
-	"cicadagrade.example/standin/recorder"
+	"cicadagrade.example/standin/recordgenerator"
 	"cicadagrade.example/tier"
 )
 
@@ -23,7 +23,7 @@
 // version 1, after spoiling the answer.
 type fakeVM struct {
 	d       *deployer.Deployment
-	records *recorder.Recorder
+	records *recordgenerator.Generator
 	spoil   func(answer map[string]any, records []tier.Record) []tier.Record
 }
 
@@ -109,7 +109,7 @@
 		kind    checker.Kind
 	}{
 		{"right", func(_ map[string]any, r []tier.Record) []tier.Record { return r }, true, ""},
-		{"doubled", func(_ map[string]any, r []tier.Record) []tier.Record { return append(r[:1:1], r...) }, true, checker.Doubled},
+		{"doubled", func(_ map[string]any, r []tier.Record) []tier.Record { return append(r[:1:1], r...) }, true, checker.Duplicate},
 		{"truncated", func(_ map[string]any, r []tier.Record) []tier.Record { return r[1:] }, true, checker.Truncated},
 		{"refused", refuse, false, ""},
 		{"refused falsely", refuse, true, checker.FalseRefusal},
@@ -126,7 +126,7 @@
 	api := httptest.NewServer(vm)
 	defer api.Close()
 	vm.d = deployment(t, host(api), host(control))
-	vm.records = recorder.New(vm.d.Seed())
+	vm.records = recordgenerator.New(vm.d.RecordSeed())
 	w, err := Read("testdata/short.json", vm.d)
 	if err != nil {
 		t.Fatal(err)
@@ -135,7 +135,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := run.Go(context.Background())
+	r, err := run.Execute(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -156,10 +156,10 @@
 // controlPort answers as a fleet that ran every search, or none.
 func controlPort(started bool) http.Handler {
 	if !started {
-		return leafserver.NewFleet(nil, recorder.New(1)).ControlHandler()
+		return leafserver.NewFleet(nil, recordgenerator.New(1)).ControlHandler()
 	}
 	m := http.NewServeMux()
-	m.Handle("/", leafserver.NewFleet(nil, recorder.New(1)).ControlHandler())
+	m.Handle("/", leafserver.NewFleet(nil, recordgenerator.New(1)).ControlHandler())
 	m.HandleFunc("POST /started", func(w http.ResponseWriter, r *http.Request) {
 		var q struct {
 			Tags []string `json:"tags"`
--- a/standin/loader/summary.go
+++ b/standin/loadgenerator/summary.go
@@ -1,4 +1,4 @@
-package loader
+package loadgenerator
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 	"cicadagrade.example/standin/leafserver"
 	"cicadagrade.example/standin/reporter"
 	"cicadagrade.example/tier"
-	"cicadagrade.example/tier/ring"
+	"cicadagrade.example/tier/queue"
 )
 
 // maxViolations bounds the violations that a result lists.
@@ -54,7 +54,7 @@
 }
 
 // collect sums up until ctx ends, and then what is left in the ring.
-func (s *summary) collect(ctx context.Context, ends *ring.Ring[ended]) error {
+func (s *summary) collect(ctx context.Context, ends *queue.Queue[ended]) error {
 	for {
 		e, err := ends.Pop(ctx)
 		if err != nil {
@@ -63,7 +63,7 @@
 		s.add(e)
 	}
 	for ends.Len() > 0 {
-		s.add(<-ends.Out())
+		s.add(<-ends.Chan())
 	}
 	return nil
 }
@@ -167,9 +167,9 @@
 		_, err := r.backends.SetFaults(ctx, o.body)
 		return err
 	case toStore:
-		return command(ctx, http.MethodPut, "http://"+r.deployment.Store()+"/faults", o.body)
+		return command(ctx, http.MethodPut, "http://"+r.deployment.StoreAddress()+"/faults", o.body)
 	default:
-		return command(ctx, http.MethodPost, "http://"+r.deployment.Links()+"/links", o.body)
+		return command(ctx, http.MethodPost, "http://"+r.deployment.LinkControlAddress()+"/links", o.body)
 	}
 }
 
--- a/standin/loader/tally.go
+++ b/standin/loadgenerator/tally.go
@@ -1,4 +1,4 @@
-package loader
+package loadgenerator
 
 import (
 	"time"
@@ -74,7 +74,7 @@
 	t.row.Answered++
 	if !e.booking {
 		t.searches++
-		t.coverage += e.answer.Fraction()
+		t.coverage += e.answer.CoveredFraction()
 	}
 	if e.inTime && len(e.violations) == 0 {
 		t.row.InTime++
--- a/standin/loader/workload.go
+++ b/standin/loadgenerator/workload.go
@@ -1,7 +1,7 @@
-// Package loader sends named workloads to a running deployment at set rates,
+// Package loadgenerator sends named workloads to a running deployment at set rates,
 // whether or not earlier requests have ended, checks each answer on arrival
 // and sums up what came back.
-package loader
+package loadgenerator
 
 import (
 	"bytes"
@@ -226,7 +226,7 @@
 		}
 	}
 	if out.bare {
-		out.name += reporter.BareSuffix
+		out.name += reporter.DirectSuffix
 	}
 	if out.deadline == 0 && known {
 		out.deadline = p.Deadline()
--- a/standin/recorder/recorder.go
+++ b/standin/recordgenerator/recorder.go
@@ -1,9 +1,9 @@
-// Package recorder generates the records that stand-in backend servers hold:
+// Package recordgenerator generates the records that stand-in backend servers hold:
 // crate histories, hygiene certificates and fees of the Associação, mould
 // numbers, colour batches, order books and breakage of Zorin. Contents depend
 // only on the seed, the set and the index version, so that a checker can tell
 // the whole right answer to any search.
-package recorder
+package recordgenerator
 
 import (
 	"fmt"
@@ -66,21 +66,21 @@
 // group sorted by key.
 type content map[string][]placed
 
-// Recorder generates and keeps contents. It is safe for concurrent use.
-type Recorder struct {
+// Generator generates and keeps contents. It is safe for concurrent use.
+type Generator struct {
 	seed     uint64
 	mu       sync.Mutex
 	contents map[contentID]content
 }
 
 // New returns a recorder of the records that belong to seed.
-func New(seed uint64) *Recorder {
-	return &Recorder{seed: seed, contents: map[contentID]content{}}
+func New(seed uint64) *Generator {
+	return &Generator{seed: seed, contents: map[contentID]content{}}
 }
 
 // Terms lists the terms that a search of the set may name. The empty term,
 // which is not among them, matches every record.
-func (r *Recorder) Terms(set string) []string {
+func (r *Generator) Terms(set string) []string {
 	var out []string
 	for _, k := range kinds(set) {
 		for g := range groupsPerSet {
@@ -92,12 +92,12 @@
 
 // Records is the whole answer to a search of the set at a version, sorted by
 // key.
-func (r *Recorder) Records(set string, v tier.Version, term string) []tier.Record {
-	return r.Shard(set, v, term, 0, ^uint64(0))
+func (r *Generator) Records(set string, v tier.Version, term string) []tier.Record {
+	return r.ShardRecords(set, v, term, 0, ^uint64(0))
 }
 
-// Shard is the part of the answer whose key hashes lie in [from, to].
-func (r *Recorder) Shard(set string, v tier.Version, term string, from, to uint64) []tier.Record {
+// ShardRecords is the part of the answer whose key hashes lie in [from, to].
+func (r *Generator) ShardRecords(set string, v tier.Version, term string, from, to uint64) []tier.Record {
 	c := r.content(set, v)
 	term, _ = SplitTerm(term)
 	var out []tier.Record
@@ -122,15 +122,15 @@
 	return term, tag
 }
 
-// VersionOf reads the index version that a record's value shows.
-func VersionOf(value string) (tier.Version, bool) {
+// ParseVersion reads the index version that a record's value shows.
+func ParseVersion(value string) (tier.Version, bool) {
 	head, _, _ := strings.Cut(value, " ")
 	digits, ok := strings.CutPrefix(head, "version=")
 	n, err := strconv.ParseUint(digits, 10, 64)
 	return tier.Version(n), ok && err == nil
 }
 
-func (r *Recorder) content(set string, v tier.Version) content {
+func (r *Generator) content(set string, v tier.Version) content {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	id := contentID{set: set, version: v}
@@ -142,7 +142,7 @@
 	return c
 }
 
-func (r *Recorder) generate(set string, v tier.Version) content {
+func (r *Generator) generate(set string, v tier.Version) content {
 	c := content{}
 	for _, k := range kinds(set) {
 		for i := range recordsPerSet {
@@ -156,7 +156,7 @@
 }
 
 // add generates record i, unless this version lacks it.
-func (r *Recorder) add(c content, set string, v tier.Version, k kind, i int) {
+func (r *Generator) add(c content, set string, v tier.Version, k kind, i int) {
 	key := fmt.Sprintf("%s-%05d", k.name, i)
 	n := rand.New(rand.NewPCG(r.seed^tier.HashKey(set), uint64(v)^tier.HashKey(key)))
 	if n.IntN(absentOneIn) == 0 {
--- a/standin/relay/pump.go
+++ b/standin/relay/pump.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"cicadagrade.example/tier/ring"
+	"cicadagrade.example/tier/queue"
 )
 
 // Sizes of the queue of one direction of a connection.
@@ -29,12 +29,12 @@
 	from        *net.TCPConn
 	to          *net.TCPConn
 	replies     bool // this is the direction from the target to the caller
-	chunks      *ring.Ring[chunk]
+	chunks      *queue.Queue[chunk]
 	lostReplies atomic.Bool // bytes were discarded, and so are all that follow
 }
 
 func newPump(l *Link, from, to *net.TCPConn, replies bool) *pump {
-	return &pump{link: l, from: from, to: to, replies: replies, chunks: ring.New[chunk](maxQueuedChunks)}
+	return &pump{link: l, from: from, to: to, replies: replies, chunks: queue.New[chunk](maxQueuedChunks)}
 }
 
 // read queues what it reads until the stream ends.
--- a/standin/reporter/result.go
+++ b/standin/reporter/result.go
@@ -11,9 +11,9 @@
 	"cicadagrade.example/standin/checker"
 )
 
-// BareSuffix ends the name of a stream that went straight to the backend
+// DirectSuffix ends the name of a stream that went straight to the backend
 // servers, for comparison with the stream of the same name without it.
-const BareSuffix = "/bare"
+const DirectSuffix = "/bare"
 
 // Result is the result of one run of a workload.
 type Result struct {
@@ -61,8 +61,8 @@
 	ExtraLeafCalls int            `json:"extra-leaf-calls"`
 }
 
-// ExtraRatio is the hedges and retries to one other leaf call.
-func (r Row) ExtraRatio() float64 {
+// ExtraCallRatio is the hedges and retries to one other leaf call.
+func (r Row) ExtraCallRatio() float64 {
 	return ratio(float64(r.ExtraLeafCalls), float64(r.LeafCalls-r.ExtraLeafCalls))
 }
 
--- a/standin/reporter/table.go
+++ b/standin/reporter/table.go
@@ -57,7 +57,7 @@
 	for _, f := range a.Phases {
 		for _, x := range append(f.Ranks, f.Streams...) {
 			if y, ok := b.find(f.Name, x.Name); ok {
-				p.line("%s\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.4f\t%.4f\t", f.Name, x.Name, ratio(y.P50, x.P50), ratio(y.P99, x.P99), ratio(y.P999, x.P999), ratio(y.Goodput, x.Goodput), ratio(y.Coverage, x.Coverage), ratio(y.callsPerAnswer(), x.callsPerAnswer()), x.ExtraRatio(), y.ExtraRatio())
+				p.line("%s\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.4f\t%.4f\t", f.Name, x.Name, ratio(y.P50, x.P50), ratio(y.P99, x.P99), ratio(y.P999, x.P999), ratio(y.Goodput, x.Goodput), ratio(y.Coverage, x.Coverage), ratio(y.callsPerAnswer(), x.callsPerAnswer()), x.ExtraCallRatio(), y.ExtraCallRatio())
 			}
 		}
 	}
@@ -95,14 +95,14 @@
 }
 
 func (p *printer) row(phase string, x Row) {
-	p.line("%s\t%s\t%d\t%d\t%.1f\t%d\t%d\t%d\t%d\t%d\t%.2f\t%.2f\t%.2f\t%.4f\t%.4f\t", phase, x.Name, x.Offered, x.Answered, x.Goodput, x.Refused, x.Unknown, x.Rejected, x.Failed, x.NotSent, x.P50, x.P99, x.P999, x.Coverage, x.ExtraRatio())
+	p.line("%s\t%s\t%d\t%d\t%.1f\t%d\t%d\t%d\t%d\t%d\t%.2f\t%.2f\t%.2f\t%.4f\t%.4f\t", phase, x.Name, x.Offered, x.Answered, x.Goodput, x.Refused, x.Unknown, x.Rejected, x.Failed, x.NotSent, x.P50, x.P99, x.P999, x.Coverage, x.ExtraCallRatio())
 }
 
 // added compares each stream with its bare twin.
 func (p *printer) added(r *Result) {
 	for _, f := range r.Phases {
 		for _, x := range f.Streams {
-			if y, ok := r.find(f.Name, x.Name+BareSuffix); ok {
+			if y, ok := r.find(f.Name, x.Name+DirectSuffix); ok {
 				p.line("%s, %s to bare: p50 %.3f, p99 %.3f, p99.9 %.3f", f.Name, x.Name, ratio(x.P50, y.P50), ratio(x.P99, y.P99), ratio(x.P999, y.P999))
 			}
 		}
--- a/standin/responder/responder.go
+++ b/standin/responder/responder.go
@@ -27,11 +27,11 @@
 // recordBytes is the size of a record.
 const recordBytes = 16
 
-// Mute is the answer of a leaf that runs a request and breaks the connection.
-const Mute = "mute"
+// NoReply is the answer of a leaf that runs a request and breaks the connection.
+const NoReply = "mute"
 
-// Leaf is a backend server that gives one answer to all. It is an http.Handler.
-type Leaf struct {
+// FixedLeaf is a backend server that gives one answer to all. It is an http.Handler.
+type FixedLeaf struct {
 	id     string
 	answer string
 
@@ -40,19 +40,19 @@
 	held chan struct{} // closed when requests may go on, or nil
 }
 
-// New returns a leaf. Its answer is records, a letter for each, or a status such
+// NewFixedLeaf returns a leaf. Its answer is records, a letter for each, or a status such
 // as 500, or 503! for one that says that it did not run the request, or Mute.
-func New(id, answer string) *Leaf { return &Leaf{id: id, answer: answer} }
+func NewFixedLeaf(id, answer string) *FixedLeaf { return &FixedLeaf{id: id, answer: answer} }
 
-// Seen lists the requests that it has run.
-func (l *Leaf) Seen() []string {
+// Executed lists the requests that it has run.
+func (l *FixedLeaf) Executed() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]string(nil), l.seen...)
 }
 
 // Hold has it keep requests that it runs, until the function is called.
-func (l *Leaf) Hold() (release func()) {
+func (l *FixedLeaf) Hold() (release func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	held := make(chan struct{})
@@ -61,7 +61,7 @@
 }
 
 // Registration is what it writes of itself to the store.
-func (l *Leaf) Registration(service, address, dataCentre string) ([]byte, error) {
+func (l *FixedLeaf) Registration(service, address, dataCentre string) ([]byte, error) {
 	raw, err := json.Marshal(map[string]any{
 		"service": service, "address": address, "zone": dataCentre,
 		"slots": 2, "state": "ready", "sequence": 1, "born": 1,
@@ -69,11 +69,11 @@
 	return raw, errors.Wrap(err, "Leaf.Registration")
 }
 
-// Unreadable is a registration that names no leaf.
-func Unreadable() []byte { return []byte(`{"service": 7}`) }
+// InvalidRegistration is a registration that names no leaf.
+func InvalidRegistration() []byte { return []byte(`{"service": 7}`) }
 
 // ServeHTTP answers as the leaf was told to.
-func (l *Leaf) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (l *FixedLeaf) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -103,7 +103,7 @@
 			return
 		}
 	}
-	if l.answer == Mute {
+	if l.answer == NoReply {
 		panic(http.ErrAbortHandler)
 	}
 	h.Set(headerProof, "proof-"+l.id)
@@ -119,15 +119,15 @@
 	}
 }
 
-// Address gives a caller's request its id and the time that the caller waits, in
+// SetCallerHeaders gives a caller's request its id and the time that the caller waits, in
 // milliseconds.
-func Address(h http.Header, attempt string, timeLeft int) {
+func SetCallerHeaders(h http.Header, attempt string, timeLeft int) {
 	h.Set(headerAttempt, attempt)
 	h.Set(headerTimeLeft, strconv.Itoa(timeLeft))
 }
 
-// Expect has a caller name the leaf that it wants, which is not for it to say.
-func Expect(h http.Header, leaf string) { h.Set(headerExpected, leaf) }
+// SetExpectedInstance has a caller name the leaf that it wants, which is not for it to say.
+func SetExpectedInstance(h http.Header, leaf string) { h.Set(headerExpected, leaf) }
 
-// IsProofs reports whether a header of an answer lists the proofs of its parts.
-func IsProofs(header string) bool { return header == headerProofs }
+// IsPartSignatures reports whether a header of an answer lists the proofs of its parts.
+func IsPartSignatures(header string) bool { return header == headerProofs }
--- a/standin/responder/worker.go
+++ b/standin/responder/worker.go
@@ -17,23 +17,23 @@
 	"cicadagrade.example/tier/ranker"
 )
 
-// Mood is how a worker behaves.
-type Mood int
+// FaultMode is how a worker behaves.
+type FaultMode int
 
 // The moods of a worker.
 const (
-	Sound   Mood = iota
-	Slow         // works ten times as long
-	Grey         // fails every second request
-	Silent       // runs a request and breaks the connection without an answer
-	Crowded      // says that it has no room
-	Rotten       // cuts its answer short
-	Mistook      // answers with another request's id
+	Healthy        FaultMode = iota
+	Slow                     // works ten times as long
+	FailAlternate            // fails every second request
+	DropReply                // runs a request and breaks the connection without an answer
+	Overloaded               // says that it has no room
+	TruncateReply            // cuts its answer short
+	WrongAttemptID           // answers with another request's id
 	moods
 )
 
-// Moods are all there are.
-const Moods = int(moods)
+// FaultModeCount are all there are.
+const FaultModeCount = int(moods)
 
 const (
 	// slowFactor is how much longer a slow worker works.
@@ -44,41 +44,41 @@
 	recordsOfPart = 8
 )
 
-// Run is a request that a worker began to work on.
-type Run struct {
-	Leaf, Service, Attempt, Method, Path string
-	At                                   time.Time
-	TimeLeft                             tier.Millis
+// Request is a request that a worker began to work on.
+type Request struct {
+	Leaf, Service, AttemptID, Method, Path string
+	ReceivedAt                             time.Time
+	TimeRemaining                          tier.Millis
 }
 
-// Worker is a backend server that answers each request with records of its own
+// SimulatedLeaf is a backend server that answers each request with records of its own
 // service, after a time of work. It is an http.Handler.
-type Worker struct {
+type SimulatedLeaf struct {
 	id, service string
 	work        time.Duration
 	mood        atomic.Int64
 	count       atomic.Int64
-	ran         func(Run)
-	arrived     func(Run)
+	ran         func(Request)
+	arrived     func(Request)
 }
 
-// NewWorker returns a sound worker. arrived is told of each request, and ran of
+// NewSimulatedLeaf returns a sound worker. arrived is told of each request, and ran of
 // each that it begins to work on.
-func NewWorker(id, service string, work tier.Millis, arrived, ran func(Run)) *Worker {
-	return &Worker{id: id, service: service, work: work.Duration(), arrived: arrived, ran: ran}
+func NewSimulatedLeaf(id, service string, work tier.Millis, arrived, ran func(Request)) *SimulatedLeaf {
+	return &SimulatedLeaf{id: id, service: service, work: work.Duration(), arrived: arrived, ran: ran}
 }
 
-// SetMood changes how it behaves.
-func (l *Worker) SetMood(m Mood) { l.mood.Store(int64(m)) }
+// SetFaultMode changes how it behaves.
+func (l *SimulatedLeaf) SetFaultMode(m FaultMode) { l.mood.Store(int64(m)) }
 
 // ID is its name.
-func (l *Worker) ID() string { return l.id }
+func (l *SimulatedLeaf) ID() string { return l.id }
 
 // Service is what it serves.
-func (l *Worker) Service() string { return l.service }
+func (l *SimulatedLeaf) Service() string { return l.service }
 
 // Registration is what it writes of itself to the store.
-func (l *Worker) Registration(address, dataCentre string, draining bool, sequence int64) ([]byte, error) {
+func (l *SimulatedLeaf) Registration(address, dataCentre string, draining bool, sequence int64) ([]byte, error) {
 	state := "ready"
 	if draining {
 		state = "draining"
@@ -91,16 +91,16 @@
 }
 
 // ServeHTTP works on a request as the mood says.
-func (l *Worker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (l *SimulatedLeaf) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	attempt := r.Header.Get(headerAttempt)
 	left, _ := strconv.Atoi(r.Header.Get(headerTimeLeft))
-	run := Run{
-		Leaf: l.id, Service: l.service, Attempt: attempt, Method: r.Method, Path: r.RequestURI,
-		At: time.Now(), TimeLeft: tier.Millis(left),
+	run := Request{
+		Leaf: l.id, Service: l.service, AttemptID: attempt, Method: r.Method, Path: r.RequestURI,
+		ReceivedAt: time.Now(), TimeRemaining: tier.Millis(left),
 	}
 	h := w.Header()
 	if r.Header.Get(headerExpected) != l.id {
@@ -108,9 +108,9 @@
 		return
 	}
 	l.arrived(run)
-	mood := Mood(l.mood.Load())
+	mood := FaultMode(l.mood.Load())
 	h.Set(headerAttempt, attempt)
-	if mood == Crowded {
+	if mood == Overloaded {
 		h.Set(headerNotRun, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -128,24 +128,24 @@
 	l.answer(w, mood, attempt, r.RequestURI)
 }
 
-func (l *Worker) answer(w http.ResponseWriter, mood Mood, attempt, path string) {
+func (l *SimulatedLeaf) answer(w http.ResponseWriter, mood FaultMode, attempt, path string) {
 	h, body := w.Header(), Records(l.service, path)
 	switch {
-	case mood == Silent:
+	case mood == DropReply:
 		panic(http.ErrAbortHandler)
-	case mood == Grey && l.count.Add(1)%2 == 0:
+	case mood == FailAlternate && l.count.Add(1)%2 == 0:
 		h.Set(headerProof, proof(l.id, l.service, attempt))
 		w.WriteHeader(failureStatus)
 		return
-	case mood == Mistook:
+	case mood == WrongAttemptID:
 		h.Set(headerAttempt, "0"+attempt)
 	}
 	h.Set(headerProof, proof(l.id, l.service, attempt))
 	h.Set("Content-Length", strconv.Itoa(len(body)))
-	if mood == Rotten {
+	if mood == TruncateReply {
 		body = body[:len(body)/2]
 	}
-	if _, err := w.Write(body); err != nil || mood == Rotten {
+	if _, err := w.Write(body); err != nil || mood == TruncateReply {
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -161,8 +161,8 @@
 	return b
 }
 
-// Greatest are the records that an answer from services must hold.
-func Greatest(top int, path string, services ...string) []byte {
+// TopRecords are the records that an answer from services must hold.
+func TopRecords(top int, path string, services ...string) []byte {
 	r := ranker.New(top)
 	for _, s := range services {
 		r.Add(Records(s, path))
@@ -176,8 +176,8 @@
 	return strings.Join([]string{id, service, attempt, strconv.FormatUint(binary.BigEndian.Uint64(sum.Sum(nil)), 36)}, ".")
 }
 
-// ServiceOf is the service that a proof is from, if it is a proof for an attempt.
-func ServiceOf(text, attempt string) (string, bool) {
+// VerifySignature is the service that a proof is from, if it is a proof for an attempt.
+func VerifySignature(text, attempt string) (string, bool) {
 	f := strings.Split(text, ".")
 	if len(f) != 4 || f[2] != attempt || proof(f[0], f[1], attempt) != text {
 		return "", false
@@ -185,8 +185,8 @@
 	return f[1], true
 }
 
-// Proofs are the proofs that an answer bears: one of a leaf, or those of parts.
-func Proofs(h http.Header) []string {
+// Signatures are the proofs that an answer bears: one of a leaf, or those of parts.
+func Signatures(h http.Header) []string {
 	if p := h.Get(headerProof); p != "" {
 		return []string{p}
 	}
@@ -199,11 +199,11 @@
 	return list
 }
 
-// Missing is the number of parts that an answer says are missing.
-func Missing(h http.Header) (int, error) {
+// MissingParts is the number of parts that an answer says are missing.
+func MissingParts(h http.Header) (int, error) {
 	n, err := strconv.Atoi(h.Get("Missing-Parts"))
 	return n, errors.Wrap(err, "Missing")
 }
 
-// Proof is the worker's for an attempt.
-func (l *Worker) Proof(attempt string) string { return proof(l.id, l.service, attempt) }
+// Signature is the worker's for an attempt.
+func (l *SimulatedLeaf) Signature(attempt string) string { return proof(l.id, l.service, attempt) }
--- a/standin/settings.go
+++ b/standin/settings.go
@@ -48,7 +48,7 @@
 	var self *deployer.VM
 	for _, v := range d.VMs() {
 		names = append(names, v.Name())
-		seeds = append(seeds, v.Peer())
+		seeds = append(seeds, v.PeerAddress())
 		if v.Name() == name {
 			self = &v
 		}
@@ -62,9 +62,9 @@
 	out := []string{
 		"CICADAGRADED_NAME=" + self.Name(),
 		"CICADAGRADED_DATA_CENTRE=" + self.DataCentre(),
-		"CICADAGRADED_API_ADDRESS=" + self.API(),
-		"CICADAGRADED_PEER_ADDRESS=" + self.Peer(),
-		"CICADAGRADED_STORE=" + d.Store(),
+		"CICADAGRADED_API_ADDRESS=" + self.APIAddress(),
+		"CICADAGRADED_PEER_ADDRESS=" + self.PeerAddress(),
+		"CICADAGRADED_STORE=" + d.StoreAddress(),
 		"CICADAGRADED_SEEDS=" + strings.Join(seeds, ","),
 	}
 	if links == "" {
--- a/standin/soaker/caller.go
+++ b/standin/soaker/caller.go
@@ -120,7 +120,7 @@
 	q.vm = c.vm.name
 	c.requests++
 	headers := http.Header{}
-	responder.Address(headers, attempt, callerTimeoutMs)
+	responder.SetCallerHeaders(headers, attempt, callerTimeoutMs)
 	q.sentAt = time.Now()
 	s.history.addRequest(q)
 	message := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\n", q.method, q.path, host)
--- a/standin/soaker/checks.go
+++ b/standin/soaker/checks.go
@@ -131,8 +131,8 @@
 // replyDefect says what is wrong with a successful reply, or returns "".
 func replyDefect(h *history, q *request) string {
 	var services []string
-	for _, p := range responder.Proofs(q.header) {
-		s, ok := responder.ServiceOf(p, q.attempt)
+	for _, p := range responder.Signatures(q.header) {
+		s, ok := responder.VerifySignature(p, q.attempt)
 		if !ok || slices.Contains(services, s) {
 			return "the signature " + p + " is not for this request, or comes twice"
 		}
@@ -147,7 +147,7 @@
 		}
 		return ""
 	}
-	missing, err := responder.Missing(q.header)
+	missing, err := responder.MissingParts(q.header)
 	if err != nil {
 		return err.Error()
 	}
@@ -158,7 +158,7 @@
 	if !complete {
 		return fmt.Sprintf("%d parts and %d missing match no version of the configuration", len(services), missing)
 	}
-	if !bytes.Equal(q.body, responder.Greatest(topRecords, q.path, services...)) {
+	if !bytes.Equal(q.body, responder.TopRecords(topRecords, q.path, services...)) {
 		return "the records are not the greatest"
 	}
 	return ""
@@ -168,9 +168,9 @@
 func requestedRuns(h *history) []string {
 	var bad []string
 	for _, r := range h.runs {
-		q := h.byAttempt[r.Attempt]
+		q := h.byAttempt[r.AttemptID]
 		if q == nil || q.method != r.Method || q.path != r.Path {
-			bad = append(bad, fmt.Sprintf("%s ran %s %s %q", r.Leaf, r.Method, r.Path, r.Attempt))
+			bad = append(bad, fmt.Sprintf("%s ran %s %s %q", r.Leaf, r.Method, r.Path, r.AttemptID))
 		}
 	}
 	return bad
@@ -191,7 +191,7 @@
 func (h *history) runCounts() map[string]int {
 	n := map[string]int{}
 	for _, r := range h.runs {
-		n[r.Attempt]++
+		n[r.AttemptID]++
 	}
 	return n
 }
@@ -215,13 +215,13 @@
 func routedServices(h *history) []string {
 	var bad []string
 	for _, r := range h.runs {
-		q := h.byAttempt[r.Attempt]
+		q := h.byAttempt[r.AttemptID]
 		if q == nil {
 			continue
 		}
 		ok := slices.ContainsFunc(h.allowedServices(q.route), func(set []string) bool { return slices.Contains(set, r.Service) })
 		if !ok {
-			bad = append(bad, fmt.Sprintf("%s of route %s ran at %s", r.Attempt, q.route, r.Service))
+			bad = append(bad, fmt.Sprintf("%s of route %s ran at %s", r.AttemptID, q.route, r.Service))
 		}
 	}
 	return bad
@@ -232,7 +232,7 @@
 	type target struct{ attempt, service string }
 	leafs := map[target]map[string]bool{}
 	for _, r := range h.runs {
-		p := target{r.Attempt, r.Service}
+		p := target{r.AttemptID, r.Service}
 		if leafs[p] == nil {
 			leafs[p] = map[string]bool{}
 		}
@@ -258,9 +258,9 @@
 	seen := map[key]bool{}
 	extra := map[string][]time.Time{}
 	for _, a := range h.calls {
-		k := key{a.Attempt, a.Service}
+		k := key{a.AttemptID, a.Service}
 		if seen[k] {
-			extra[a.Service] = append(extra[a.Service], a.At)
+			extra[a.Service] = append(extra[a.Service], a.ReceivedAt)
 		}
 		seen[k] = true
 	}
@@ -318,12 +318,12 @@
 func remainingTime(h *history) []string {
 	var over []string
 	for _, r := range h.runs {
-		q := h.byAttempt[r.Attempt]
-		if q == nil || !h.isStable(q.vm, q.sentAt, r.At) {
+		q := h.byAttempt[r.AttemptID]
+		if q == nil || !h.isStable(q.vm, q.sentAt, r.ReceivedAt) {
 			continue
 		}
-		if leafDeadline, callerDeadline := r.At.Add(r.TimeLeft.Duration()), q.sentAt.Add(q.timeout.Duration()); leafDeadline.Sub(callerDeadline) > cancelTolerance.Duration() || r.TimeLeft == 0 {
-			over = append(over, fmt.Sprintf("%s reached a leaf with %d ms left", r.Attempt, r.TimeLeft))
+		if leafDeadline, callerDeadline := r.ReceivedAt.Add(r.TimeRemaining.Duration()), q.sentAt.Add(q.timeout.Duration()); leafDeadline.Sub(callerDeadline) > cancelTolerance.Duration() || r.TimeRemaining == 0 {
+			over = append(over, fmt.Sprintf("%s reached a leaf with %d ms left", r.AttemptID, r.TimeRemaining))
 		}
 	}
 	if len(over) <= max(toleratedOverruns, len(h.runs)/5) {
@@ -336,12 +336,12 @@
 func noCallsAfterCallerLeft(h *history) []string {
 	var late []string
 	for _, a := range h.calls {
-		q := h.byAttempt[a.Attempt]
-		if q == nil || q.leftAt.IsZero() || !h.isStable(q.vm, q.leftAt, a.At) {
+		q := h.byAttempt[a.AttemptID]
+		if q == nil || q.leftAt.IsZero() || !h.isStable(q.vm, q.leftAt, a.ReceivedAt) {
 			continue
 		}
-		if a.At.Sub(q.leftAt) > cancelTolerance.Duration() {
-			late = append(late, fmt.Sprintf("%s reached %s %v after its caller had left", a.Attempt, a.Leaf, a.At.Sub(q.leftAt)))
+		if a.ReceivedAt.Sub(q.leftAt) > cancelTolerance.Duration() {
+			late = append(late, fmt.Sprintf("%s reached %s %v after its caller had left", a.AttemptID, a.Leaf, a.ReceivedAt.Sub(q.leftAt)))
 		}
 	}
 	if len(late) <= maxBreaches {
@@ -391,9 +391,9 @@
 	var bad []string
 	for _, d := range h.drains {
 		for _, a := range h.calls {
-			q := h.byAttempt[a.Attempt]
-			if a.Leaf == d.leaf && a.At.Sub(d.at) > drainBound.Duration() && q != nil && h.isStable(q.vm, d.at, a.At) {
-				bad = append(bad, fmt.Sprintf("%s got %s %v after it was draining", d.leaf, a.Attempt, a.At.Sub(d.at)))
+			q := h.byAttempt[a.AttemptID]
+			if a.Leaf == d.leaf && a.ReceivedAt.Sub(d.at) > drainBound.Duration() && q != nil && h.isStable(q.vm, d.at, a.ReceivedAt) {
+				bad = append(bad, fmt.Sprintf("%s got %s %v after it was draining", d.leaf, a.AttemptID, a.ReceivedAt.Sub(d.at)))
 			}
 		}
 	}
@@ -408,7 +408,7 @@
 	var bad []string
 	reachedLeaf := map[string]bool{}
 	for _, a := range h.calls {
-		reachedLeaf[a.Attempt] = true
+		reachedLeaf[a.AttemptID] = true
 	}
 	for _, s := range h.stops {
 		if s.to.IsZero() || h.disturbed(s.vm, s.from.Add(-stableWindow.Duration()), s.to, false) {
--- a/standin/soaker/checks_test.go
+++ b/standin/soaker/checks_test.go
@@ -40,20 +40,20 @@
 		}
 		signatures := ""
 		for _, s := range services {
-			w := responder.NewWorker("w-"+s, s, 0, h.addCall, h.addRun)
-			run := responder.Run{
-				Leaf: w.ID(), Service: s, Attempt: q.attempt, Method: q.method, Path: q.path,
-				At: after(20_010), TimeLeft: callerTimeoutMs - 20,
+			w := responder.NewSimulatedLeaf("w-"+s, s, 0, h.addCall, h.addRun)
+			run := responder.Request{
+				Leaf: w.ID(), Service: s, AttemptID: q.attempt, Method: q.method, Path: q.path,
+				ReceivedAt: after(20_010), TimeRemaining: callerTimeoutMs - 20,
 			}
 			h.addCall(run)
 			h.addRun(run)
-			signatures += w.Proof(q.attempt) + ","
+			signatures += w.Signature(q.attempt) + ","
 		}
 		q.header.Set("Part-Signatures", signatures)
 		q.header.Set("Missing-Parts", "0")
 		q.body = responder.Records(services[0], q.path)
 		if route == routeSweep {
-			q.body = responder.Greatest(topRecords, q.path, services...)
+			q.body = responder.TopRecords(topRecords, q.path, services...)
 		}
 		h.addRequest(q)
 	}
@@ -63,9 +63,9 @@
 // repeatRun adds calls and runs of a request, each at another leaf.
 func (h *history) repeatRun(request, times int, leaf string, at tier.Millis) {
 	for _, r := range h.runs {
-		if r.Attempt == h.sent[request].attempt {
+		if r.AttemptID == h.sent[request].attempt {
 			for i := range times {
-				r.Leaf, r.At = fmt.Sprint(leaf, i), after(at)
+				r.Leaf, r.ReceivedAt = fmt.Sprint(leaf, i), after(at)
 				h.addCall(r)
 				h.addRun(r)
 			}
@@ -123,7 +123,7 @@
 		h.addRequest(&q)
 		for k := range 1 + extra {
 			r := h.runs[0]
-			r.Attempt, r.Leaf = q.attempt, fmt.Sprint("x", k)
+			r.AttemptID, r.Leaf = q.attempt, fmt.Sprint("x", k)
 			h.addRun(r)
 		}
 	}
@@ -132,7 +132,7 @@
 // exceedTimeLeft tells all runs more time left than their callers have.
 func (h *history) exceedTimeLeft() {
 	for i := range h.runs {
-		h.runs[i].TimeLeft = 2 * callerTimeoutMs
+		h.runs[i].TimeRemaining = 2 * callerTimeoutMs
 	}
 }
 
--- a/standin/soaker/history.go
+++ b/standin/soaker/history.go
@@ -64,8 +64,8 @@
 	mu           sync.Mutex
 	byAttempt    map[string]*request
 	sent         []*request
-	calls        []responder.Run
-	runs         []responder.Run
+	calls        []responder.Request
+	runs         []responder.Request
 	versions     []version
 	disturbances []disturbance
 	drains       []drainRecord
@@ -93,9 +93,9 @@
 	change()
 }
 
-func (h *history) addCall(r responder.Run) { h.update(func() { h.calls = append(h.calls, r) }) }
+func (h *history) addCall(r responder.Request) { h.update(func() { h.calls = append(h.calls, r) }) }
 
-func (h *history) addRun(r responder.Run) { h.update(func() { h.runs = append(h.runs, r) }) }
+func (h *history) addRun(r responder.Request) { h.update(func() { h.runs = append(h.runs, r) }) }
 
 // beginDisturbance records the start of a disturbance, and returns the function that
 // records its end.
--- a/standin/soaker/inject.go
+++ b/standin/soaker/inject.go
@@ -111,9 +111,9 @@
 			continue
 		}
 		group.Go(func() {
-			w.SetMood(f.mood)
+			w.SetFaultMode(f.mood)
 			sleep(ctx, duration)
-			w.SetMood(responder.Sound)
+			w.SetFaultMode(responder.Healthy)
 		})
 	}
 	group.Wait()
--- a/standin/soaker/plan.go
+++ b/standin/soaker/plan.go
@@ -44,7 +44,7 @@
 	storeLosesHistory struct{}                    // watches cannot resume from their revision
 	leafMoods         struct {
 		leafs []int
-		mood  responder.Mood
+		mood  responder.FaultMode
 	} // leafs misbehave in one way
 	drainLeaf           struct{ leaf int }     // a leaf drains, and a new one replaces it
 	reuseAddress        struct{ leaf, by int } // a leaf stops, and another service gets its address
@@ -167,7 +167,7 @@
 	case 14:
 		return []fault{storeLosesReplies{}, storeLosesHistory{}}[r.IntN(2)]
 	case 15, 16:
-		return leafMoods{drawSubset(r, leafs), responder.Mood(1 + r.IntN(responder.Moods-1))}
+		return leafMoods{drawSubset(r, leafs), responder.FaultMode(1 + r.IntN(responder.FaultModeCount-1))}
 	case 17:
 		return drainLeaf{leaf}
 	case 18:
--- a/standin/soaker/world.go
+++ b/standin/soaker/world.go
@@ -52,21 +52,21 @@
 	listen string      // the link's address
 
 	mu       sync.Mutex
-	worker   *responder.Worker // nil while no worker serves the address
+	worker   *responder.SimulatedLeaf // nil while no worker serves the address
 	draining bool
 	sequence int64
 }
 
 // current returns the worker, whether it is draining, and the sequence number of the next
 // registration.
-func (f *leaf) current() (*responder.Worker, bool, int64) {
+func (f *leaf) current() (*responder.SimulatedLeaf, bool, int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.sequence++
 	return f.worker, f.draining, f.sequence
 }
 
-func (f *leaf) replaceWorker(w *responder.Worker) {
+func (f *leaf) replaceWorker(w *responder.SimulatedLeaf) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.worker, f.draining = w, false
@@ -85,9 +85,9 @@
 
 // newWorker returns a worker of a service under an ID of its own, which reports its
 // calls and runs to the history.
-func (s *Soak) newWorker(service string) *responder.Worker {
+func (s *Soak) newWorker(service string) *responder.SimulatedLeaf {
 	n := s.workerCount.Add(1)
-	return responder.NewWorker(fmt.Sprintf("w%d", n), service, leafServiceTime, s.history.addCall, s.history.addRun)
+	return responder.NewSimulatedLeaf(fmt.Sprintf("w%d", n), service, leafServiceTime, s.history.addCall, s.history.addRun)
 }
 
 // keepRegistered writes a leaf's registration at intervals, which real leafs do themselves.
@@ -105,7 +105,7 @@
 
 // putRegistration writes a worker's registration under a new lease. It records when the
 // store first holds the worker as draining.
-func (s *Soak) putRegistration(ctx context.Context, f *leaf, w *responder.Worker, draining bool, sequence int64) error {
+func (s *Soak) putRegistration(ctx context.Context, f *leaf, w *responder.SimulatedLeaf, draining bool, sequence int64) error {
 	raw, err := w.Registration(f.listen, f.zone, draining, sequence)
 	if err != nil {
 		return err
--- a/tier/backend.go
+++ b/tier/backend.go
@@ -30,8 +30,8 @@
 	return backendStateNames[s]
 }
 
-// TakesWork reports whether new calls may be sent in this state.
-func (s BackendState) TakesWork() bool { return s != BackendLeaving && s != BackendLost }
+// AcceptsCalls reports whether new calls may be sent in this state.
+func (s BackendState) AcceptsCalls() bool { return s != BackendLeaving && s != BackendLost }
 
 // Backend is a backend server as the operators describe it.
 type Backend struct {
@@ -58,16 +58,16 @@
 // NewBackend returns a backend server; the shard set that holds it checks it.
 func NewBackend(name, address, dataCentre string, opts ...BackendOption) Backend {
 	b := Backend{name: name, address: address, dataCentre: dataCentre}
-	b.Defaults()
+	b.SetDefaults()
 	for _, o := range opts {
 		o(&b)
 	}
 	return b
 }
 
-// Defaults sets slots, connections and connection cost to those of the
+// SetDefaults sets slots, connections and connection cost to those of the
 // smallest server.
-func (b *Backend) Defaults() {
+func (b *Backend) SetDefaults() {
 	b.slots = 2
 	b.connections = 25
 	b.connectionCost = 6
--- a/tier/claimer/claimer_test.go
+++ b/tier/claimer/claimer_test.go
@@ -140,7 +140,7 @@
 func TestMintedKeys(t *testing.T) {
 	si := newSim(1, faults{disabled: true}, 2)
 	key := si.vms[0].claimer.Mint().String()
-	if o := submitAndRun(si, si.vms[1], key); unknownReason(o) != tier.UnknownIncarnations {
+	if o := submitAndRun(si, si.vms[1], key); unknownReason(o) != tier.UnknownOtherIncarnation {
 		t.Errorf("another VM: %v", o)
 	}
 	if o := submitAndRun(si, si.vms[0], key); outcomeName(o) != "booked" {
@@ -150,7 +150,7 @@
 		t.Errorf("again: %v", o)
 	}
 	si.vms[0].start()
-	if o := submitAndRun(si, si.vms[0], key); unknownReason(o) != tier.UnknownIncarnations {
+	if o := submitAndRun(si, si.vms[0], key); unknownReason(o) != tier.UnknownOtherIncarnation {
 		t.Errorf("its next incarnation: %v", o)
 	}
 	if len(si.pages) > 0 {
--- a/tier/claimer/minter.go
+++ b/tier/claimer/minter.go
@@ -34,7 +34,7 @@
 
 func (c *Claimer) submitMinted(now tier.Millis, e *Submit, w *waiter) {
 	if e.key.vm != c.vm || e.key.incarnation != c.incarnation {
-		c.finish(w, tier.NewUnknown(tier.UnknownIncarnations))
+		c.finish(w, tier.NewUnknown(tier.UnknownOtherIncarnation))
 		return
 	}
 	b, ok := c.minted.bookings[e.key.counter]
--- a/tier/clock.go
+++ b/tier/clock.go
@@ -21,8 +21,8 @@
 	Day         Millis = 24 * Hour
 )
 
-// FromDuration rounds d down to whole milliseconds.
-func FromDuration(d time.Duration) Millis { return Millis(d / time.Millisecond) }
+// MillisFromDuration rounds d down to whole milliseconds.
+func MillisFromDuration(d time.Duration) Millis { return Millis(d / time.Millisecond) }
 
 // Duration converts m for the standard library's timers.
 func (m Millis) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
@@ -38,7 +38,7 @@
 func NewClock() *Clock {
 	start := time.Now()
 	return &Clock{
-		now:  func() Millis { return FromDuration(time.Since(start)) },
+		now:  func() Millis { return MillisFromDuration(time.Since(start)) },
 		wall: func() Millis { return Millis(time.Now().UnixMilli()) },
 	}
 }
@@ -46,8 +46,8 @@
 // Now is the monotonic time in milliseconds since the clock's start.
 func (c *Clock) Now() Millis { return c.now() }
 
-// Wall is the wall time in milliseconds since the Unix epoch.
-func (c *Clock) Wall() Millis { return c.wall() }
+// WallTime is the wall time in milliseconds since the Unix epoch.
+func (c *Clock) WallTime() Millis { return c.wall() }
 
 // ManualClock moves only when told to, for tests and replays.
 type ManualClock struct {
--- a/tier/coverage.go
+++ b/tier/coverage.go
@@ -11,7 +11,7 @@
 	MissNoReplica     MissReason = "no-replica"
 	MissRefused       MissReason = "refused"
 	MissWrongSnapshot MissReason = "wrong-snapshot"
-	MissCutOff        MissReason = "cut-off"
+	MissUnreachable   MissReason = "cut-off"
 	MissBadReply      MissReason = "bad-reply"
 	MissCancelled     MissReason = "cancelled" // given up before the deadline
 )
--- a/tier/dispatcher/monitor_test.go
+++ b/tier/dispatcher/monitor_test.go
@@ -122,7 +122,7 @@
 	m.calls[c.attempt] = c
 	m.check(p.ends == 0, "call %d after the end of part %d", c.attempt, c.part)
 	m.check(now < p.submit.deadline, "call %d at %d, deadline %d", c.attempt, now, p.submit.deadline)
-	m.check(m.states[c.server].TakesWork(), "call %d to server %s that is %s", c.attempt, c.server, m.states[c.server])
+	m.check(m.states[c.server].AcceptsCalls(), "call %d to server %s that is %s", c.attempt, c.server, m.states[c.server])
 	p.calls++
 	m.check(p.submit.idempotent || p.calls == 1, "call number %d of part %d that may run once", p.calls, c.part)
 	m.checkBudget(p, c)
--- a/tier/dispatcher/part.go
+++ b/tier/dispatcher/part.go
@@ -75,7 +75,7 @@
 // servableBy reports whether a server could serve the task, whether or not it has
 // a free slot.
 func (t *task) servableBy(s *server) bool {
-	return s.state.TakesWork() && !t.runsOn(s) && s.holds(t.shardID, t.part.snapshot) != holdingNo
+	return s.state.AcceptsCalls() && !t.runsOn(s) && s.holds(t.shardID, t.part.snapshot) != holdingNo
 }
 
 // eligible reports whether the next call of the task may go to a server. Replicas
@@ -112,7 +112,7 @@
 		return tier.MissWrongSnapshot
 	}
 	for _, s := range t.shard.replicas {
-		if !s.state.TakesWork() {
+		if !s.state.AcceptsCalls() {
 			continue
 		}
 		if s.holds(t.shardID, t.part.snapshot) != holdingNo {
--- a/tier/dispatcher/server.go
+++ b/tier/dispatcher/server.go
@@ -46,7 +46,7 @@
 // MaxOwners is how many owners can split the slots of a set in a data centre so that
 // each gets a slot on every server. Further owners get no share.
 func MaxOwners(set *tier.ShardSet, dataCentre string) int {
-	n := tier.MaxOwners
+	n := tier.MaxOwnerCount
 	for _, b := range set.Servers() {
 		if b.DataCentre() == dataCentre {
 			n = min(n, b.Slots())
--- a/tier/outcome.go
+++ b/tier/outcome.go
@@ -83,15 +83,15 @@
 
 // The reasons.
 const (
-	UnknownInProgress   UnknownReason = "in-progress"
-	UnknownLostReply    UnknownReason = "lost-reply"
-	UnknownDeadline     UnknownReason = "deadline"
-	UnknownHolderGone   UnknownReason = "holder-gone"
-	UnknownLowCoverage  UnknownReason = "low-coverage"
-	UnknownIncarnations UnknownReason = "other-incarnation"
-	UnknownCallerGone   UnknownReason = "caller-gone"
-	UnknownEarlier      UnknownReason = "earlier-sending"
-	UnknownForgotten    UnknownReason = "forgotten"
+	UnknownInProgress       UnknownReason = "in-progress"
+	UnknownLostReply        UnknownReason = "lost-reply"
+	UnknownDeadline         UnknownReason = "deadline"
+	UnknownHolderGone       UnknownReason = "holder-gone"
+	UnknownLowCoverage      UnknownReason = "low-coverage"
+	UnknownOtherIncarnation UnknownReason = "other-incarnation"
+	UnknownCallerGone       UnknownReason = "caller-gone"
+	UnknownEarlier          UnknownReason = "earlier-sending"
+	UnknownForgotten        UnknownReason = "forgotten"
 )
 
 // Unknown is the end of a request that may have run.
--- a/tier/parser/encode.go
+++ b/tier/parser/encode.go
@@ -121,7 +121,7 @@
 		HedgeQuantile: s.HedgeQuantile(),
 		HedgeBudget:   s.HedgeBudget(),
 		ColdRamp:      s.ColdRamp(),
-		Owners:        s.Owners(),
+		Owners:        s.OwnerCount(),
 	}
 	for _, b := range s.Servers() {
 		body.Servers = append(body.Servers, serverBody{
--- a/tier/parser/profiles.go
+++ b/tier/parser/profiles.go
@@ -59,7 +59,7 @@
 		return nil
 	}
 	var d tier.Profile
-	d.Defaults()
+	d.SetDefaults()
 	o.require("name")
 	p, err := tier.NewProfile(
 		o.text("name"),
--- a/tier/parser/set.go
+++ b/tier/parser/set.go
@@ -25,7 +25,7 @@
 
 func readSet(o *object, bad *problems) *tier.ShardSet {
 	var d tier.ShardSet
-	d.Defaults()
+	d.SetDefaults()
 	o.require("name", "servers", "shards")
 	name := o.text("name")
 	opts := []tier.ShardSetOption{
@@ -36,7 +36,7 @@
 		tier.WithReportsShare(o.fraction("reports-share", d.ReportsShare())),
 		tier.WithHedging(o.fraction("hedge-quantile", d.HedgeQuantile()), o.fraction("hedge-budget", d.HedgeBudget())),
 		tier.WithColdRamp(o.millis("cold-ramp-ms", d.ColdRamp())),
-		tier.WithOwners(int(o.whole("owners", int64(d.Owners())))),
+		tier.WithOwnerCount(int(o.whole("owners", int64(d.OwnerCount())))),
 	}
 	o.done()
 	s, err := tier.NewShardSet(name, opts...)
@@ -55,7 +55,7 @@
 
 func readServer(o *object) tier.Backend {
 	var d tier.Backend
-	d.Defaults()
+	d.SetDefaults()
 	o.require("name", "address", "data-centre")
 	b := tier.NewBackend(
 		o.text("name"), o.text("address"), o.text("data-centre"),
--- a/tier/planner/property_test.go
+++ b/tier/planner/property_test.go
@@ -128,7 +128,7 @@
 	}
 	r.mayHaveRun = true
 	if rapid.IntRange(0, 7).Draw(r.t, "failed") == 0 {
-		return planner.NewPartFailed(part.Part(), tier.MissCutOff)
+		return planner.NewPartFailed(part.Part(), tier.MissUnreachable)
 	}
 	at := part.Snapshot()
 	if rapid.IntRange(0, 7).Draw(r.t, "other-snapshot") == 0 {
--- a/tier/planner/replies.go
+++ b/tier/planner/replies.go
@@ -156,7 +156,7 @@
 	case tier.RefuseNoReplica:
 		return tier.MissNoReplica
 	case tier.RefuseUnreachable, tier.RefuseNoOwner:
-		return tier.MissCutOff
+		return tier.MissUnreachable
 	}
 	return tier.MissRefused
 }
--- a/tier/planner/round.go
+++ b/tier/planner/round.go
@@ -81,7 +81,7 @@
 	reason := tier.MissNoReplica
 	for _, d := range p.dataCentres(r.set, shard) {
 		if !p.view.Reachable(d) {
-			reason = tier.MissCutOff
+			reason = tier.MissUnreachable
 			continue
 		}
 		if r.tried[replicaSite{d, shard.ID()}] {
--- a/tier/prober/prober_test.go
+++ b/tier/prober/prober_test.go
@@ -127,13 +127,13 @@
 		tracker.Step(now, s.event)
 	}
 	tracker.Step(now, first)
-	if tracker.State().TakesWork() {
+	if tracker.State().AcceptsCalls() {
 		return fmt.Errorf("state %v, which takes new work, right after %T", tracker.State(), first)
 	}
 	for i, s := range after {
 		now += s.wait
 		tracker.Step(now, s.event)
-		if tracker.State().TakesWork() {
+		if tracker.State().AcceptsCalls() {
 			return fmt.Errorf("state %v, which takes new work, after event %d, %T, at %d ms", tracker.State(), i, s.event, now)
 		}
 	}
--- a/tier/prober/signals.go
+++ b/tier/prober/signals.go
@@ -142,7 +142,7 @@
 	p.failures = 0
 	p.refusals = 0
 	p.lastShedAt = p.now
-	if p.state.TakesWork() {
+	if p.state.AcceptsCalls() {
 		p.setState(tier.BackendShedding, "reply")
 	}
 }
--- a/tier/profile.go
+++ b/tier/profile.go
@@ -65,7 +65,7 @@
 // NewProfile returns a checked profile, with defaults where no option speaks.
 func NewProfile(name string, opts ...ProfileOption) (*Profile, error) {
 	p := &Profile{name: name}
-	p.Defaults()
+	p.SetDefaults()
 	for _, o := range opts {
 		o(p)
 	}
@@ -75,8 +75,8 @@
 	return p, nil
 }
 
-// Defaults sets every field but the name to its default.
-func (p *Profile) Defaults() {
+// SetDefaults sets every field but the name to its default.
+func (p *Profile) SetDefaults() {
 	p.rank = Daily
 	p.minCoverage = 1
 	p.deadline = DefaultDeadline
--- a/tier/prover/front_test.go
+++ b/tier/prover/front_test.go
@@ -167,7 +167,7 @@
 	switch {
 	case k.tried < len(owners):
 	case k.lost:
-		k.back(0, func() { k.fail(tier.MissCutOff) })
+		k.back(0, func() { k.fail(tier.MissUnreachable) })
 		return
 	default:
 		k.back(0, func() { k.end(planner.NewPartRefused(part, tier.RefuseUnreachable, 0)) })
--- a/tier/router/route.go
+++ b/tier/router/route.go
@@ -49,20 +49,20 @@
 	return r
 }
 
-// Repeatable lets requests of the route run more than once.
-func Repeatable() Option { return func(r *Route) { r.repeatable = true } }
+// Idempotent lets requests of the route run more than once.
+func Idempotent() Option { return func(r *Route) { r.repeatable = true } }
 
-// WithTimes sets how long a request may be kept waiting at most, and within
+// WithTimeouts sets how long a request may be kept waiting at most, and within
 // which time its answer is worth most.
-func WithTimes(timeout, aim tier.Millis) Option {
+func WithTimeouts(timeout, aim tier.Millis) Option {
 	return func(r *Route) { r.timeout, r.aim = timeout, aim }
 }
 
 // WithRank sets the rank; 0 is the most urgent.
 func WithRank(rank int) Option { return func(r *Route) { r.rank = rank } }
 
-// WithAttempts sets to how many leafs one request may be sent, for each shard.
-func WithAttempts(n int) Option { return func(r *Route) { r.attempts = max(n, 1) } }
+// WithMaxAttempts sets to how many leafs one request may be sent, for each shard.
+func WithMaxAttempts(n int) Option { return func(r *Route) { r.attempts = max(n, 1) } }
 
 // ToTargets sends each request to one of the targets.
 func ToTargets(targets ...Target) Option { return func(r *Route) { r.targets = targets } }
@@ -82,20 +82,20 @@
 // Prefix is the path prefix it serves.
 func (r *Route) Prefix() string { return r.prefix }
 
-// Repeatable reports whether a request may run more than once.
-func (r *Route) Repeatable() bool { return r.repeatable }
+// Idempotent reports whether a request may run more than once.
+func (r *Route) Idempotent() bool { return r.repeatable }
 
 // Timeout is the longest time to keep a request waiting.
 func (r *Route) Timeout() tier.Millis { return r.timeout }
 
-// Aim is the latency objective.
-func (r *Route) Aim() tier.Millis { return r.aim }
+// LatencyTarget is the latency objective.
+func (r *Route) LatencyTarget() tier.Millis { return r.aim }
 
 // Rank is the urgency; 0 is the most urgent.
 func (r *Route) Rank() int { return r.rank }
 
-// Attempts is to how many leafs a request may be sent, for each shard.
-func (r *Route) Attempts() int { return r.attempts }
+// MaxAttempts is to how many leafs a request may be sent, for each shard.
+func (r *Route) MaxAttempts() int { return r.attempts }
 
 // Targets are the services that share the route's requests.
 func (r *Route) Targets() []Target { return r.targets }
@@ -104,11 +104,11 @@
 // route to targets.
 func (r *Route) Shards() []string { return r.shards }
 
-// Scattered reports whether requests go to all shards.
-func (r *Route) Scattered() bool { return len(r.shards) > 0 }
+// IsScatterGather reports whether requests go to all shards.
+func (r *Route) IsScatterGather() bool { return len(r.shards) > 0 }
 
-// Top is how many records an answer has at most.
-func (r *Route) Top() int { return r.top }
+// TopK is how many records an answer has at most.
+func (r *Route) TopK() int { return r.top }
 
 // MinimumParts is the least number of shards that an answer needs.
 func (r *Route) MinimumParts() int { return r.MinimumPartsOf(len(r.shards)) }
@@ -125,8 +125,8 @@
 	return max(least, min(1, n))
 }
 
-// Target picks the service of a request. draw is uniform in [0, 1).
-func (r *Route) Target(draw float64) string {
+// PickService picks the service of a request. draw is uniform in [0, 1).
+func (r *Route) PickService(draw float64) string {
 	total := 0.0
 	for _, t := range r.targets {
 		total += t.weight
--- a/tier/router/router_test.go
+++ b/tier/router/router_test.go
@@ -50,7 +50,7 @@
 	count := map[string]int{}
 	const draws = 4000
 	for i := range draws {
-		count[r.Target(float64(i)/draws)]++
+		count[r.PickService(float64(i)/draws)]++
 	}
 	if count["a"] != draws*3/4 || count["b"] != 0 || count["c"] != draws/4 {
 		t.Errorf("%v of %d", count, draws)
--- a/tier/router/table.go
+++ b/tier/router/table.go
@@ -24,17 +24,17 @@
 	return Limits{headerBytes: headerBytes, bodyBytes: bodyBytes, headerTime: headerTime, idleTime: idleTime}
 }
 
-// HeaderBytes is the most that a request's header may have.
-func (l Limits) HeaderBytes() int { return l.headerBytes }
+// MaxHeaderBytes is the most that a request's header may have.
+func (l Limits) MaxHeaderBytes() int { return l.headerBytes }
 
-// BodyBytes is the most that a request's body may have.
-func (l Limits) BodyBytes() int { return l.bodyBytes }
+// MaxBodyBytes is the most that a request's body may have.
+func (l Limits) MaxBodyBytes() int { return l.bodyBytes }
 
-// HeaderTime is how long a caller may take to send a header.
-func (l Limits) HeaderTime() tier.Millis { return l.headerTime }
+// HeaderTimeout is how long a caller may take to send a header.
+func (l Limits) HeaderTimeout() tier.Millis { return l.headerTime }
 
-// IdleTime is how long a connection may be idle.
-func (l Limits) IdleTime() tier.Millis { return l.idleTime }
+// IdleTimeout is how long a connection may be idle.
+func (l Limits) IdleTimeout() tier.Millis { return l.idleTime }
 
 // Table is one version of the configuration.
 type Table struct {
@@ -75,8 +75,8 @@
 // Limits bound what callers may send.
 func (t *Table) Limits() Limits { return t.limits }
 
-// Routes is the number of routes.
-func (t *Table) Routes() int { return t.count }
+// RouteCount is the number of routes.
+func (t *Table) RouteCount() int { return t.count }
 
 // Uses reports whether some route leads to a service.
 func (t *Table) Uses(service string) bool { return t.used[service] }
--- a/tier/shardset.go
+++ b/tier/shardset.go
@@ -19,8 +19,8 @@
 	DefaultReportsShare  = 0.50
 	DefaultColdRamp      = 10 * Second
 	MaxColdRamp          = 10 * Minute
-	DefaultOwners        = 1
-	MaxOwners            = 64
+	DefaultOwnerCount    = 1
+	MaxOwnerCount        = 64
 	MaxShards            = 4096
 	MaxServers           = 4096
 )
@@ -72,13 +72,13 @@
 // WithColdRamp sets how long a cold server takes to reach its full share.
 func WithColdRamp(m Millis) ShardSetOption { return func(s *ShardSet) { s.coldRamp = m } }
 
-// WithOwners sets how many VMs of a data centre split the set's slots.
-func WithOwners(n int) ShardSetOption { return func(s *ShardSet) { s.owners = n } }
+// WithOwnerCount sets how many VMs of a data centre split the set's slots.
+func WithOwnerCount(n int) ShardSetOption { return func(s *ShardSet) { s.owners = n } }
 
 // NewShardSet returns a checked set, with defaults where no option speaks.
 func NewShardSet(name string, opts ...ShardSetOption) (*ShardSet, error) {
 	s := &ShardSet{name: name}
-	s.Defaults()
+	s.SetDefaults()
 	for _, o := range opts {
 		o(s)
 	}
@@ -92,8 +92,8 @@
 	return s, nil
 }
 
-// Defaults sets every field but name, servers and shards.
-func (s *ShardSet) Defaults() {
+// SetDefaults sets every field but name, servers and shards.
+func (s *ShardSet) SetDefaults() {
 	s.epoch = 1
 	s.dailyFloor = DefaultDailyFloor
 	s.reportsFloor = DefaultReportsFloor
@@ -101,7 +101,7 @@
 	s.hedgeQuantile = DefaultHedgeQuantile
 	s.hedgeBudget = DefaultHedgeBudget
 	s.coldRamp = DefaultColdRamp
-	s.owners = DefaultOwners
+	s.owners = DefaultOwnerCount
 }
 
 // Validate reports every bad field in an *InvalidError.
@@ -116,7 +116,7 @@
 	l.check(s.hedgeQuantile >= 0.5 && s.hedgeQuantile < 1, "hedge-quantile", s.hedgeQuantile, "at least 0.5 and below 1")
 	l.check(s.hedgeBudget >= 0 && s.hedgeBudget <= MaxHedgeBudget, "hedge-budget", s.hedgeBudget, "0 to 0.25")
 	l.check(s.coldRamp >= 0 && s.coldRamp <= MaxColdRamp, "cold-ramp-ms", s.coldRamp, "0 to 600000")
-	l.check(s.owners >= 1 && s.owners <= MaxOwners, "owners", s.owners, "1 to 64")
+	l.check(s.owners >= 1 && s.owners <= MaxOwnerCount, "owners", s.owners, "1 to 64")
 	names := s.validateServers(&l)
 	s.validateShards(names, &l)
 	return NewInvalidError("set "+s.name, l)
@@ -235,5 +235,5 @@
 // ColdRamp is how long a cold server takes to reach its full share.
 func (s *ShardSet) ColdRamp() Millis { return s.coldRamp }
 
-// Owners is how many VMs of a data centre split the set's slots.
-func (s *ShardSet) Owners() int { return s.owners }
+// OwnerCount is how many VMs of a data centre split the set's slots.
+func (s *ShardSet) OwnerCount() int { return s.owners }
--- a/tier/measurer/measurer_test.go
+++ b/tier/simulator/measurer_test.go
@@ -1,4 +1,4 @@
-package measurer
+package simulator
 
 import (
 	"flag"
@@ -63,12 +63,12 @@
 		o("straggler, hedge", WithStraggler(20))
 	}
 	flood := WithDuration(40 * tier.Second)
-	for _, w := range []Way{Alone, Static, Owner} {
+	for _, w := range []SharingMode{Alone, Static, Owner} {
 		out = append(out,
-			New("no flood", flood, WithWay(w)),
-			New("reports flood", flood, WithWay(w), WithLoad(tier.Reports, 10)),
-			New("urgent flood", flood, WithWay(w), WithLoad(tier.Urgent, 10)),
-			New("both floods", flood, WithWay(w), WithLoad(tier.Urgent, 10), WithLoad(tier.Reports, 10)),
+			New("no flood", flood, WithSharingMode(w)),
+			New("reports flood", flood, WithSharingMode(w), WithLoad(tier.Reports, 10)),
+			New("urgent flood", flood, WithSharingMode(w), WithLoad(tier.Urgent, 10)),
+			New("both floods", flood, WithSharingMode(w), WithLoad(tier.Urgent, 10), WithLoad(tier.Reports, 10)),
 		)
 	}
 	large := WithShape(Large())
@@ -79,8 +79,8 @@
 		New("urgent flood, large set", flood, large, WithLoad(tier.Urgent, 10)),
 		New("both floods, large set", flood, large, WithLoad(tier.Urgent, 10), WithLoad(tier.Reports, 10)),
 		New("reports flood, reports share 1.0", flood, WithLoad(tier.Reports, 10), WithReportsShare(1)),
-		New("reports flood through one VM", flood, WithLoad(tier.Reports, 10), WithOneEntry()),
-		New("urgent flood, callers leave after 50 ms", flood, WithLoad(tier.Urgent, 10), WithPatience(50)),
+		New("reports flood through one VM", flood, WithLoad(tier.Reports, 10), WithSingleEntryVM()),
+		New("urgent flood, callers leave after 50 ms", flood, WithLoad(tier.Urgent, 10), WithCallerTimeout(50)),
 		New("servers shed half of their slots for 10 s of 40", flood, WithShedding(1, 10*tier.Second, 20*tier.Second)),
 		New("servers shed everything for 10 s of 40", flood, WithShedding(2, 10*tier.Second, 20*tier.Second)),
 	)
@@ -99,9 +99,9 @@
 	overbooked     int
 }
 
-func measureTargets(t *testing.T, seed uint64, span tier.Millis, way Way, hedge bool, load float64) targets {
+func measureTargets(t *testing.T, seed uint64, span tier.Millis, way SharingMode, hedge bool, load float64) targets {
 	run := func(opts ...Option) *Result {
-		r, err := Run(New("target", append([]Option{WithSeed(seed), WithDuration(span), WithWay(way)}, opts...)...))
+		r, err := Run(New("target", append([]Option{WithSeed(seed), WithDuration(span), WithSharingMode(way)}, opts...)...))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -119,10 +119,10 @@
 		extra:          straggler.ExtraFraction(),
 		urgentRatio:    p99(reports) / p99(base),
 		urgentRefused:  reports.Refused(tier.Urgent),
-		reportsUseful:  urgent.Useful(tier.Reports),
+		reportsUseful:  urgent.UsefulFraction(tier.Reports),
 		reportsPartial: urgent.Partial(tier.Reports),
-		floodUseful:    urgent.TotalUseful(),
-		reportsFlood:   reports.TotalUseful(),
+		floodUseful:    urgent.TotalUsefulFraction(),
+		reportsFlood:   reports.TotalUsefulFraction(),
 		overbooked:     max(reports.Overbooked(), urgent.Overbooked()),
 	}
 }
@@ -173,13 +173,13 @@
 		least     float64
 		most      float64
 	}{{false, 0.75, 1}, {true, 0, 0.6}} {
-		r, err := Run(New("burst", WithDuration(10*tier.Second), WithBurst(2*tier.Second), WithReturns(3, c.impatient)))
+		r, err := Run(New("burst", WithDuration(10*tier.Second), WithBurst(2*tier.Second), WithRetries(3, c.impatient)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		n := r.Offered(tier.Daily)
 		accepted := 1 - float64(r.Refused(tier.Daily))/float64(n)
-		t.Logf("impatient %v: %d queries came again %d times, %.3f accepted, %d partial", c.impatient, n, r.Returned(tier.Daily), accepted, r.Partial(tier.Daily))
+		t.Logf("impatient %v: %d queries came again %d times, %.3f accepted, %d partial", c.impatient, n, r.Retries(tier.Daily), accepted, r.Partial(tier.Daily))
 		if accepted < c.least || accepted > c.most {
 			t.Errorf("impatient %v: %.3f accepted", c.impatient, accepted)
 		}
--- a/tier/measurer/result.go
+++ b/tier/simulator/result.go
@@ -1,4 +1,4 @@
-package measurer
+package simulator
 
 import (
 	"fmt"
@@ -38,8 +38,8 @@
 // Refused is how many of them were refused before any leaf call.
 func (r *Result) Refused(k tier.Rank) int { return r.ranks[k].refused }
 
-// Returned is how many times refused queries came again.
-func (r *Result) Returned(k tier.Rank) int { return r.ranks[k].returned }
+// Retries is how many times refused queries came again.
+func (r *Result) Retries(k tier.Rank) int { return r.ranks[k].returned }
 
 // Partial is how many of them were accepted but not answered whole in time.
 func (r *Result) Partial(k tier.Rank) int { return r.ranks[k].partial }
@@ -53,17 +53,17 @@
 	return l[min(len(l)-1, int(q*float64(len(l))))]
 }
 
-// Useful is the slot time spent on a rank's complete answers, as a fraction
+// UsefulFraction is the slot time spent on a rank's complete answers, as a fraction
 // of all slot time while queries arrived.
-func (r *Result) Useful(k tier.Rank) float64 {
+func (r *Result) UsefulFraction(k tier.Rank) float64 {
 	return float64(r.ranks[k].useful) / (float64(r.scenario.duration) * float64(r.scenario.shape.all()))
 }
 
-// TotalUseful is the useful fraction of all ranks.
-func (r *Result) TotalUseful() float64 {
+// TotalUsefulFraction is the useful fraction of all ranks.
+func (r *Result) TotalUsefulFraction() float64 {
 	sum := 0.0
 	for _, k := range tier.Ranks {
-		sum += r.Useful(k)
+		sum += r.UsefulFraction(k)
 	}
 	return sum
 }
@@ -93,7 +93,7 @@
 		if _, err := fmt.Fprintf(w, "| %s | %s | %s | %d | %d (%d) | %d | %d | %d | %d | %d | %.1f%% | %.1f%% | %.1f%% | %d | %d |\n",
 			r.scenario.name, r.scenario.way, k, v.offered, v.refused, v.atFront, v.gone, v.partial,
 			r.Quantile(k, 0.5), r.Quantile(k, 0.99), r.Quantile(k, 0.999),
-			100*r.Useful(k), 100*r.TotalUseful(), 100*r.ExtraFraction(), r.shed, r.overbooked); err != nil {
+			100*r.UsefulFraction(k), 100*r.TotalUsefulFraction(), 100*r.ExtraFraction(), r.shed, r.overbooked); err != nil {
 			return err
 		}
 	}
--- a/tier/measurer/run.go
+++ b/tier/simulator/run.go
@@ -1,4 +1,4 @@
-package measurer
+package simulator
 
 import (
 	"container/heap"
--- a/tier/measurer/scenario.go
+++ b/tier/simulator/scenario.go
@@ -1,7 +1,7 @@
-// Package measurer measures the policy under load: it drives dispatchers
+// Package simulator measures the policy under load: it drives dispatchers
 // against modelled backend servers in simulated time and reports latency and
 // useful work by rank. Equal scenarios give equal figures.
-package measurer
+package simulator
 
 import (
 	"fmt"
@@ -10,18 +10,18 @@
 	"cicadagrade.example/tier"
 )
 
-// Way is how the entry VMs of a data centre share its backend servers.
-type Way int
+// SharingMode is how the entry VMs of a data centre share its backend servers.
+type SharingMode int
 
 // The ways.
 const (
-	Alone  Way = iota // each VM by itself, without ranks, up to its share of the connections
-	Static            // each VM by itself with a fixed share of the slots, at least one
-	Owner             // one owner counts the slots, and fronts apply its thresholds
+	Alone  SharingMode = iota // each VM by itself, without ranks, up to its share of the connections
+	Static                    // each VM by itself with a fixed share of the slots, at least one
+	Owner                     // one owner counts the slots, and fronts apply its thresholds
 )
 
 // String is the way's name in tables.
-func (w Way) String() string { return [...]string{"alone", "static", "owner"}[w] }
+func (w SharingMode) String() string { return [...]string{"alone", "static", "owner"}[w] }
 
 // The modelled data centre.
 const (
@@ -66,7 +66,7 @@
 type Scenario struct {
 	name         string
 	seed         uint64
-	way          Way
+	way          SharingMode
 	shape        Shape
 	duration     tier.Millis
 	loads        [len(tier.Ranks)]float64 // as fractions of all slots
@@ -89,8 +89,8 @@
 // WithSeed seeds arrivals and service times.
 func WithSeed(seed uint64) Option { return func(s *Scenario) { s.seed = seed } }
 
-// WithWay sets how the VMs share the servers.
-func WithWay(w Way) Option { return func(s *Scenario) { s.way = w } }
+// WithSharingMode sets how the VMs share the servers.
+func WithSharingMode(w SharingMode) Option { return func(s *Scenario) { s.way = w } }
 
 // WithShape sets the size of the shard set.
 func WithShape(h Shape) Option { return func(s *Scenario) { s.shape = h } }
@@ -109,18 +109,18 @@
 // WithHedge allows or forbids hedged calls.
 func WithHedge(on bool) Option { return func(s *Scenario) { s.hedge = on } }
 
-// WithOneEntry sends all queries through one VM.
-func WithOneEntry() Option { return func(s *Scenario) { s.oneEntry = true } }
+// WithSingleEntryVM sends all queries through one VM.
+func WithSingleEntryVM() Option { return func(s *Scenario) { s.oneEntry = true } }
 
 // WithReportsShare sets the slots that reports may hold at once.
 func WithReportsShare(f float64) Option { return func(s *Scenario) { s.reportsShare = f } }
 
-// WithPatience makes every caller go away after a time without an answer.
-func WithPatience(m tier.Millis) Option { return func(s *Scenario) { s.patience = m } }
+// WithCallerTimeout makes every caller go away after a time without an answer.
+func WithCallerTimeout(m tier.Millis) Option { return func(s *Scenario) { s.patience = m } }
 
-// WithReturns makes refused queries come again, a number of times, after the
+// WithRetries makes refused queries come again, a number of times, after the
 // time they were told, or after 1 ms if they are impatient.
-func WithReturns(n int, impatient bool) Option {
+func WithRetries(n int, impatient bool) Option {
 	return func(s *Scenario) { s.returns, s.impatient = n, impatient }
 }
 
@@ -136,15 +136,15 @@
 // New returns a scenario with defaults where no option speaks.
 func New(name string, opts ...Option) *Scenario {
 	s := &Scenario{name: name}
-	s.Defaults()
+	s.SetDefaults()
 	for _, o := range opts {
 		o(s)
 	}
 	return s
 }
 
-// Defaults sets a load of six tenths of all slots, with an owner.
-func (s *Scenario) Defaults() {
+// SetDefaults sets a load of six tenths of all slots, with an owner.
+func (s *Scenario) SetDefaults() {
 	s.seed = 1
 	s.way = Owner
 	s.shape = Small()
