--- a/cicadagraded/exchanger/exchanger.go
+++ b/cicadagraded/exchanger/exchanger.go
@@ -118,7 +118,7 @@
 		sendQueue: queue.New[*gossiper.SendRequest](sendQueueSize),
 		wake:      queue.New[struct{}](1),
 	}
-	x.Defaults()
+	x.setDefaults()
 	for _, o := range opts {
 		o(x)
 	}
@@ -131,8 +131,8 @@
 	return x, nil
 }
 
-// Defaults sets the default timeout.
-func (x *Exchanger) Defaults() { x.timeout = tier.Second }
+// setDefaults sets the default timeout.
+func (x *Exchanger) setDefaults() { x.timeout = tier.Second }
 
 func newClient(timeout tier.Millis) *http.Client {
 	dialer := &net.Dialer{Timeout: timeout.Duration()}
