--- a/cicadagraded/control.go
+++ b/cicadagraded/control.go
@@ -24,7 +24,8 @@
 const (
 	changeBufferSize = 4096
 	controlInterval  = 100 * time.Millisecond
-	// reportKeyPrefix is the prefix of the gossip key of an owner's report; the set's name follows.
+	// reportKeyPrefix is the prefix of the gossip key of an owner's report; the set's name
+	// follows.
 	reportKeyPrefix = "set/"
 	// thresholdKeyPrefix is the prefix of the gossip key of an owner's admission threshold.
 	thresholdKeyPrefix = "admit/"
@@ -144,12 +145,13 @@
 	return c.registry.Sync(ctx, c.sets, c.ownersOf)
 }
 
-// maxJoinWait is how long a VM waits for the owners' reports before it joins without them. There
-// may be no owner that reports.
+// maxJoinWait is how long a VM waits for the owners' reports before it joins without them.
+// There may be no owner that reports.
 const maxJoinWait = 5 * tier.Second
 
-// tryJoin makes the VM join once it has a configuration and the reports of each set's owners.
-// sync calls it only after gossip has heard from peers.
+// tryJoin makes the VM join once it has a configuration, and the reports of each set's owners
+// or maxJoinWait has passed without them. sync calls it only after gossip has heard from
+// peers.
 func (c *control) tryJoin() {
 	if c.joined || !c.config.Ready() {
 		return
@@ -164,8 +166,8 @@
 	c.onJoin()
 }
 
-// liveOrJoiningNames lists the VMs that replicate the configuration, in this data centre and in
-// others. Joining VMs are included because they wait for the configuration.
+// liveOrJoiningNames lists the VMs that replicate the configuration, in this data centre and
+// in others. Joining VMs are included because they wait for the configuration.
 func (c *control) liveOrJoiningNames() (local, remote []string) {
 	for _, m := range c.members {
 		if m.State() != tier.VMLive && m.State() != tier.VMJoining {
@@ -180,7 +182,8 @@
 	return local, remote
 }
 
-// ownersOf lists the VMs that own a set in this data centre, none if the set has no servers here.
+// ownersOf lists the VMs that own a set in this data centre, none if the set has no servers
+// here.
 func (c *control) ownersOf(s *tier.ShardSet) []tier.VM {
 	if !hasServers(s, c.self.DataCentre()) {
 		return nil
@@ -219,7 +222,8 @@
 	}
 }
 
-// PublishReport publishes what the backend servers of a set hold, to the local locator and to other VMs.
+// PublishReport publishes what the backend servers of a set hold, to the local locator and to
+// other VMs.
 func (c *control) PublishReport(set string, r owner.Report, index int) {
 	c.locator.UpdateReport(set, c.self.Name(), r, true)
 	value, err := r.Encode()
@@ -229,7 +233,8 @@
 	}
 }
 
-// PublishThreshold publishes a set's admission threshold, to the local locator and to other VMs.
+// PublishThreshold publishes a set's admission threshold, to the local locator and to other
+// VMs.
 func (c *control) PublishThreshold(set string, t admitter.Threshold) {
 	c.locator.UpdateThreshold(set, c.self.Name(), t)
 	value, err := owner.EncodeThreshold(t)
@@ -248,7 +253,8 @@
 	c.logger.Info("backend", "set", set, "server", server, "state", s, "reason", reason)
 }
 
-// publish writes a gossip entry of this VM, or logs err, the error of encoding its value.
+// publish publishes a gossip entry of this VM. err is the error of encoding its value. Either
+// error is logged.
 func (c *control) publish(key string, value []byte, err error) {
 	if err == nil {
 		err = c.gossip.Publish(key, value)
--- a/cicadagraded/daemon.go
+++ b/cicadagraded/daemon.go
@@ -49,8 +49,8 @@
 	cancel      context.CancelFunc
 }
 
-// Limits on the gossip that a VM sends: the average rate, and the burst that is allowed after a
-// quiet time, such as while VMs are replaced one after the other.
+// Limits on the gossip that a VM sends: the average rate, and the burst that is allowed after
+// a quiet time, such as while VMs are replaced one after the other.
 const (
 	gossipBytesPerSecond = 2400
 	gossipBurstBytes     = 192 << 10
@@ -133,8 +133,8 @@
 	return nil, false
 }
 
-// isLive reports whether an incarnation of a VM is believed to be running. Until gossip has heard
-// from peers, unknown VMs count as running.
+// isLive reports whether an incarnation of a VM is believed to be running. Until gossip has
+// heard from peers, unknown VMs count as running.
 func (d *daemon) isLive(vm string, incarnation tier.Incarnation) bool {
 	for _, m := range d.gossip.Members() {
 		if m.Name() == vm {
@@ -160,7 +160,8 @@
 	d.logger.Warn("configuration", "trouble", a.Kind(), "key", a.Served().Key(), "served", a.Served().Revision(), "seen", a.Offered().Revision(), "source", a.Source())
 }
 
-// buildServers creates the front, and the HTTP servers for callers and for other VMs.
+// buildServers creates the coordinator of searches and bookings, and the HTTP servers for
+// callers and for other VMs.
 func (d *daemon) buildServers() error {
 	m, err := meter.New()
 	if err != nil {
@@ -174,8 +175,8 @@
 	forwarded := &forwardedBookings{claims: claims, registry: d.registry}
 	server := messenger.NewServer(d.clock, d.registry, forwarded, d.gossip, d.config, d.inflight.beginPeer)
 	d.peerClient = messenger.NewClient(d.self, server, d.clock, messenger.WithDialAddress(d.settings.dialAddress), messenger.WithThresholdHandler(d.locator.UpdateThreshold))
-	front := coordinator.New(d.self.DataCentre(), d.clock, d.locator, d.peerClient, claims)
-	h := handler.New(d.self.Name(), d.clock, d.config, front, d.inflight, d,
+	coord := coordinator.New(d.self.DataCentre(), d.clock, d.locator, d.peerClient, claims)
+	h := handler.New(d.self.Name(), d.clock, d.config, coord, d.inflight, d,
 		handler.WithMetrics(m.Handler()),
 		handler.WithRequestObserver(m.RecordRequest),
 		handler.WithMaxBodyBytes(int64(d.settings.maxBodyBytes)))
@@ -220,8 +221,8 @@
 	return errors.Wrap(err, "daemon.run")
 }
 
-// join makes the VM live, so that it owns sets and accepts callers' requests, unless a shutdown
-// has begun.
+// join makes the VM live, so that it owns sets and accepts callers' requests, unless a
+// shutdown has begun.
 func (d *daemon) join() {
 	if d.inflight.markReady() {
 		d.gossip.SetState(tier.VMLive)
--- a/cicadagraded/front.go
+++ b/cicadagraded/front.go
@@ -133,8 +133,8 @@
 	return nil
 }
 
-// settingsInterval is how often the settings file is checked for changes: it may change without
-// a signal.
+// settingsInterval is how often the settings file is checked for changes: it may change
+// without a signal.
 const settingsInterval = 2 * time.Second
 
 // watchSettings reloads the settings on SIGHUP or when the file has changed. An invalid file
@@ -182,8 +182,8 @@
 // errShutdownDone ends the run group after a graceful shutdown.
 var errShutdownDone = errors.New("graceful shutdown finished")
 
-// addServer adds an HTTP server to the run group. Its function returns only when the group ends:
-// a graceful shutdown closes the server earlier, while requests are still in flight.
+// addServer adds an HTTP server to the run group. Its function returns only when the group
+// ends, or if serving fails.
 func addServer(g *run.Group, s *http.Server, l net.Listener) {
 	ended := make(chan struct{})
 	g.Add(func() error {
@@ -198,7 +198,9 @@
 	})
 }
 
-// addCallerServer adds the callers' server to the run group.
+// addCallerServer adds the callers' server to the run group. A graceful shutdown closes the
+// listener early. This must not end the group while requests are in flight, so the function
+// waits until the group ends for another reason.
 func addCallerServer(g *run.Group, c *entry.CallerServer, l net.Listener) {
 	ended := make(chan struct{})
 	g.Add(func() error {
@@ -215,7 +217,7 @@
 }
 
 // waitForShutdown waits for a signal and shuts the VM down gracefully. It returns
-// errShutdownDone.
+// errShutdownDone after that, and nil if ctx ends first.
 func waitForShutdown(ctx context.Context, e *entry.Entry, server *entry.CallerServer, l net.Listener, s *platform.Settings) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
--- a/cicadagraded/gauges.go
+++ b/cicadagraded/gauges.go
@@ -26,8 +26,9 @@
 	read        func(*gaugeReader) []meter.Point
 }
 
-// gaugeTable lists every gauge. A test checks docs/operators/running.md against it. Values that
-// only grow count from the start of the process, or from when an owner took over its set.
+// gaugeTable lists every gauge. A test checks docs/operators/running.md against it. Values
+// that only grow count from the start of the process, or from when an owner took over its
+// set.
 func gaugeTable() []gauge {
 	return []gauge{
 		{"cicadagrade.members", "known VMs, by data centre and state", (*gaugeReader).members},
--- a/cicadagraded/inflight.go
+++ b/cicadagraded/inflight.go
@@ -61,7 +61,8 @@
 	f.callers -= callers
 }
 
-// markReady makes the readiness check succeed, unless the VM is leaving. It reports whether it did.
+// markReady makes the readiness check succeed, unless the VM is leaving. It reports whether
+// it did.
 func (f *inflight) markReady() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/cicadagraded/root_test.go
+++ b/cicadagraded/root_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Invalid flags have the same exit code as invalid settings, which differs from other failures.
+// Invalid flags have the same exit code as invalid settings, which differs from other
+// failures.
 func TestExitCodes(t *testing.T) {
 	old := os.Args
 	defer func() { os.Args = old }()
--- a/cicadagraded/seeder.go
+++ b/cicadagraded/seeder.go
@@ -43,7 +43,8 @@
 	State   string `json:"state"` // live or leaving
 }
 
-// Run reads the list while no peer is known, at intervals that double each time, until ctx ends.
+// Run reads the list while no peer is known, at intervals that double each time, until ctx
+// ends.
 func (s *seeder) Run(ctx context.Context) error {
 	interval := minSeedInterval
 	if !sleep(ctx, jitter(maxStartDelay)) {
@@ -77,7 +78,7 @@
 // jitter returns a random duration between m/2 and m.
 func jitter(m tier.Millis) tier.Millis { return m/2 + tier.Millis(rand.Int64N(int64(m/2)+1)) }
 
-// isAlone reports whether gossip knows no other VM that is not dead.
+// isAlone reports whether gossip knows no other VM, or only dead ones.
 func (s *seeder) isAlone() bool {
 	for _, m := range s.gossip.Members() {
 		if m.Name() != s.gossip.Self().Name() && m.State() != tier.VMDead {
@@ -102,8 +103,8 @@
 	s.gossip.SetSeeds(append(addresses, s.seeds...))
 }
 
-// decodeVMList returns the valid addresses of the VMs in the platform's list, except of VMs that
-// are leaving.
+// decodeVMList returns the valid addresses of the VMs in the platform's list, except of VMs
+// that are leaving.
 func decodeVMList(b []byte) ([]string, error) {
 	var list vmList
 	if err := json.Unmarshal(b, &list); err != nil {
--- a/cicadagraded/stop.go
+++ b/cicadagraded/stop.go
@@ -63,8 +63,8 @@
 
 func (e *replacedError) Error() string { return "replaced by the VM at " + e.by.Address() }
 
-// stop announces to peers and the load balancer that the VM is leaving, keeps accepting requests
-// until the balancer's lag has passed, and waits for the requests in flight.
+// stop announces to peers and the load balancer that the VM is leaving, keeps accepting
+// requests until the balancer's lag has passed, and waits for the requests in flight.
 func (s *stopper) stop(ctx context.Context, signals <-chan os.Signal) error {
 	start := s.clock.Now()
 	s.logger.Info("stopping", "balancer-lag-ms", s.balancerLag, "limit-ms", s.stopLimit)
@@ -91,8 +91,8 @@
 	}
 }
 
-// shutdown closes the servers gracefully, so that requests that arrived last are still answered,
-// and records the outcomes of bookings.
+// shutdown closes the servers gracefully, so that requests that arrived last are still
+// answered, and records the outcomes of bookings.
 func (s *stopper) shutdown(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, s.stopLimit.Duration())
 	defer cancel()
--- a/cicadagraded/storehealth.go
+++ b/cicadagraded/storehealth.go
@@ -25,8 +25,8 @@
 	since   tier.Millis
 }
 
-// observe records the result of a store call. A conflict counts as success because the store has
-// answered, and a call that this VM cancelled is ignored.
+// observe records the result of a store call. A conflict counts as success because the store
+// has answered, and a call that this VM cancelled is ignored.
 func (h *storeHealth) observe(call string, err error) {
 	var conflict *storer.ConflictError
 	if errors.Is(err, context.Canceled) {
