--- a/cicadagraded/messenger/client.go
+++ b/cicadagraded/messenger/client.go
@@ -1,5 +1,6 @@
-// Package messenger carries requests between entry VMs over Connect. Its Client sends searches and
-// bookings to the VMs that own a shard set, and its Server handles those from other VMs.
+// Package messenger carries requests between entry VMs over Connect. Its Client sends
+// searches and bookings to the VMs that own a shard set, and its Server handles those from
+// other VMs.
 package messenger
 
 import (
@@ -28,7 +29,8 @@
 	pingTimeout    = 1 * time.Second
 )
 
-// Client sends requests to other VMs. Requests to this VM are direct calls without a connection.
+// Client sends requests to other VMs. Requests to this VM are direct calls without a
+// connection.
 type Client struct {
 	self        tier.VM
 	local       *Server
@@ -48,8 +50,8 @@
 	return func(c *Client) { c.dialAddress = f }
 }
 
-// WithThresholdHandler sets a function that is called with the owner's admission threshold that comes
-// with each reply.
+// WithThresholdHandler sets a function that is called with the owner's admission threshold
+// that comes with each reply.
 func WithThresholdHandler(f func(set, vm string, t admitter.Threshold)) Option {
 	return func(c *Client) { c.onThreshold = f }
 }
@@ -99,9 +101,9 @@
 // Ask sends a part of a search to a VM and returns its result.
 func (c *Client) Ask(ctx context.Context, vm tier.VM, set string, s owner.Search) (owner.PartResult, error) {
 	if vm.Name() == c.self.Name() {
-		end := c.local.search(ctx, set, s)
+		result := c.local.search(ctx, set, s)
 		c.onThreshold(set, vm.Name(), c.local.owners.Threshold(set))
-		return end, nil
+		return result, nil
 	}
 	reply, err := c.Service(vm.Address()).Ask(ctx, connect.NewRequest(c.askRequest(set, s)))
 	if err != nil {
@@ -114,7 +116,7 @@
 	return fromAskReply(reply.Msg), nil
 }
 
-// Book sends a booking to a VM and returns its outcome. It is never sent again.
+// Book sends a booking to a VM and returns its outcome. It never retries.
 func (c *Client) Book(ctx context.Context, vm tier.VM, b coordinator.ForwardedBooking) (tier.Outcome, error) {
 	if vm.Name() == c.self.Name() {
 		return c.local.book(ctx, b)
--- a/cicadagraded/messenger/errors.go
+++ b/cicadagraded/messenger/errors.go
@@ -18,9 +18,10 @@
 	return fmt.Sprintf("mismatched reply: want %q, got %q", e.want, e.got)
 }
 
-// classifySendError returns a *asker.NotSentError if a failed request certainly has not run on its
-// VM: the connection was never established, or the VM itself replied that it is unavailable. It
-// returns any other error unchanged, because the VM may have received the request.
+// classifySendError returns a *coordinator.NotSentError if a failed request certainly has not
+// run on its VM: the connection was never established, or the VM itself replied that it is
+// unavailable. It returns any other error unchanged, because the VM may have received the
+// request.
 func classifySendError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -32,8 +33,8 @@
 	return err
 }
 
-// classifyBookError is like classifySendError, but returns a *asker.KeyReusedError if the VM replied
-// that the idempotency key belongs to another request.
+// classifyBookError is like classifySendError, but returns a *coordinator.KeyReusedError if
+// the VM replied that the idempotency key belongs to another request.
 func classifyBookError(err error, key string) error {
 	if connect.IsWireError(err) && connect.CodeOf(err) == connect.CodeAlreadyExists {
 		return coordinator.NewKeyReusedError(key)
@@ -41,7 +42,8 @@
 	return classifySendError(err)
 }
 
-// toWireBookError returns the Connect error that classifyBookError converts back to err.
+// toWireBookError returns the Connect error for err, from which classifyBookError restores a
+// *coordinator.KeyReusedError. Any other error becomes an internal error.
 func toWireBookError(err error) error {
 	var reused *coordinator.KeyReusedError
 	if errors.As(err, &reused) {
--- a/cicadagraded/messenger/server.go
+++ b/cicadagraded/messenger/server.go
@@ -47,8 +47,9 @@
 	begin  func(name string) (end func())
 }
 
-// NewServer returns the server of a VM. begin is called at the start of each request that another
-// VM forwards, and end when it has finished, so that a graceful shutdown can wait for them.
+// NewServer returns the server of a VM. begin is called at the start of each request that
+// another VM forwards, and end when it has finished, so that a graceful shutdown can wait for
+// them.
 func NewServer(clock *tier.Clock, o Owners, b Booker, e Exchanger, f Fetcher, begin func(name string) (end func())) *Server {
 	return &Server{Exchanger: e, Fetcher: f, clock: clock, owners: o, booker: b, begin: begin}
 }
@@ -69,11 +70,11 @@
 	}
 	snapshot := fromPeerSnapshot(r.Msg.GetSnapshot())
 	deadline := s.clock.Now() + tier.Millis(r.Msg.GetDeadlineMs())
-	end := s.search(ctx, r.Msg.GetSet(), owner.NewSearch(p, snapshot, r.Msg.GetShards(), r.Msg.GetTerm(), deadline))
-	if _, ok := end.(*owner.Unknown); ok {
+	result := s.search(ctx, r.Msg.GetSet(), owner.NewSearch(p, snapshot, r.Msg.GetShards(), r.Msg.GetTerm(), deadline))
+	if _, ok := result.(*owner.Unknown); ok {
 		return nil, connect.NewError(connect.CodeDeadlineExceeded, errors.New("the part was given up"))
 	}
-	reply := toAskReply(r.Msg.GetPart(), snapshot, end)
+	reply := toAskReply(r.Msg.GetPart(), snapshot, result)
 	reply.Request = r.Msg.GetRequest()
 	reply.Admission = toAdmission(s.owners.Threshold(r.Msg.GetSet()))
 	return connect.NewResponse(reply), nil
