--- a/cicadagraded/watcher/fleet_test.go
+++ b/cicadagraded/watcher/fleet_test.go
@@ -77,8 +77,8 @@
 	value   []byte
 }
 
-// fleet is a group of VMs with one store. Published values reach at once all VMs on the same side
-// of a network partition.
+// fleet is a group of VMs with one store. Published values reach at once all VMs on the same
+// side of a network partition.
 type fleet struct {
 	t      *testing.T
 	server *storeserver.Server
--- a/cicadagraded/watcher/index.go
+++ b/cicadagraded/watcher/index.go
@@ -67,8 +67,8 @@
 
 func indexKey(i int) string { return fmt.Sprintf("%s%d", IndexKeyPrefix, i) }
 
-// OnIndexEntry handles a gossip entry that another VM has published under a key that starts with
-// IndexKeyPrefix. An empty value withdraws the earlier one.
+// OnIndexEntry handles a gossip entry that another VM has published under a key that starts
+// with IndexKeyPrefix. An empty value withdraws the earlier one.
 func (w *Watcher) OnIndexEntry(vm, key string, value []byte) error {
 	if vm == w.name || !strings.HasPrefix(key, IndexKeyPrefix) {
 		return nil
@@ -84,7 +84,8 @@
 	return nil
 }
 
-// mergeIndexEntry records an index entry of a VM and returns the references of all its entries.
+// mergeIndexEntry records an index entry of a VM and returns the references of all its
+// entries.
 func (w *Watcher) mergeIndexEntry(vm, key string, refs []replicator.Ref) []replicator.Ref {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -105,8 +106,9 @@
 	return all
 }
 
-// OnMembers sets the names of the VMs of this data centre, including this VM, and of the other
-// data centres. Both lists have to be sorted.
+// OnMembers sets the names of the VMs that replicate the configuration: those of this data
+// centre, including this VM, and those of the other data centres. Both lists have to be
+// sorted.
 func (w *Watcher) OnMembers(local, remote []string) {
 	if w.updateMembers(local, remote) {
 		w.handleEvent(replicator.NewMembers(local, remote))
--- a/cicadagraded/watcher/index_bench_test.go
+++ b/cicadagraded/watcher/index_bench_test.go
@@ -7,8 +7,8 @@
 	"cicadagrade.example/tier/replicator"
 )
 
-// BenchmarkIndexBytes measures how many bytes a watcher publishes after one document has changed,
-// and the size of its whole index.
+// BenchmarkIndexBytes measures how many bytes a watcher publishes after one document has
+// changed, and the size of its whole index.
 func BenchmarkIndexBytes(b *testing.B) {
 	for _, sets := range []int{4, 24, 120, 360} {
 		b.Run(fmt.Sprintf("sets=%d", sets), func(b *testing.B) {
--- a/cicadagraded/watcher/loops.go
+++ b/cicadagraded/watcher/loops.go
@@ -26,7 +26,8 @@
 	}
 }
 
-// runWatches watches the store whenever the replicator requests it, until the watch is cancelled.
+// runWatches watches the store whenever the replicator requests it, until the watch is
+// cancelled.
 func (w *Watcher) runWatches(ctx context.Context) error {
 	for {
 		request, err := w.watchRequests.Pop(ctx)
@@ -81,8 +82,8 @@
 	return decodeUpdates(reply.Msg.GetUpdates()), nil
 }
 
-// Fetch implements the peer service's Fetch: it returns the documents that are newer than those
-// that the other VM holds.
+// Fetch implements the peer service's Fetch: it returns the documents that are newer than
+// those that the other VM holds.
 func (w *Watcher) Fetch(_ context.Context, r *connect.Request[peerv1.FetchRequest]) (*connect.Response[peerv1.FetchReply], error) {
 	have := decodeRefs(r.Msg.GetHave())
 	w.mu.Lock()
--- a/cicadagraded/watcher/propagation_bench_test.go
+++ b/cicadagraded/watcher/propagation_bench_test.go
@@ -95,9 +95,9 @@
 	return n
 }
 
-// BenchmarkInForce measures the time from when a change is accepted until it is in force on every
-// VM, over loopback, and the number of store calls of all VMs. It runs with seven VMs in three
-// data centres and with thirty VMs in one.
+// BenchmarkInForce measures the time from when a change is accepted until it is in force on
+// every VM, over loopback, and the number of store calls of all VMs. It runs with seven VMs
+// in three data centres and with thirty VMs in one.
 func BenchmarkInForce(b *testing.B) {
 	thirty := make([]string, 30)
 	for i := range thirty {
@@ -163,7 +163,8 @@
 	return nodes
 }
 
-// awaitInForce waits until all VMs serve the queue limit and returns the milliseconds since start.
+// awaitInForce waits until all VMs serve the queue limit and returns the milliseconds since
+// start.
 func awaitInForce(b *testing.B, nodes []*node, limit string, start time.Time) float64 {
 	for _, n := range nodes {
 		for !servesQueueLimit(n.watcher, limit) {
--- a/cicadagraded/watcher/view.go
+++ b/cicadagraded/watcher/view.go
@@ -48,8 +48,9 @@
 // Ready reports whether any document is in force.
 func (w *Watcher) Ready() bool { return len(w.view.Load().documents) > 0 }
 
-// Changed receives a value after changes have come into force. It is buffered for one value, so
-// several changes may be signalled only once and a reader has to look at the whole configuration.
+// Changed receives a value after changes have come into force. It is buffered for one value,
+// so several changes may be signalled only once and a reader has to look at the whole
+// configuration.
 func (w *Watcher) Changed() <-chan struct{} { return w.changed.Chan() }
 
 // Document returns the stored form of a document in force, with which the store can be
--- a/cicadagraded/watcher/warnings.go
+++ b/cicadagraded/watcher/warnings.go
@@ -27,8 +27,8 @@
 	return out
 }
 
-// publishWarnings publishes this VM's warnings if they have changed. Only the VMs that watch the
-// store notice its problems, but an operator may look at any VM.
+// publishWarnings publishes this VM's warnings if they have changed. Only the VMs that watch
+// the store notice its problems, but an operator may look at any VM.
 func (w *Watcher) publishWarnings() {
 	var value []byte
 	if lines := w.localWarnings(); len(lines) > 0 {
@@ -40,7 +40,8 @@
 	w.publishedWarnings = value
 }
 
-// recordWarnings records the warnings that another VM has published. An empty value withdraws them.
+// recordWarnings records the warnings that another VM has published. An empty value withdraws
+// them.
 func (w *Watcher) recordWarnings(vm string, value []byte) error {
 	var lines []string
 	if len(value) > 0 {
@@ -58,8 +59,8 @@
 	return nil
 }
 
-// Warnings lists the warnings of this VM and those that other members have published, each with
-// the names of the VMs that report it.
+// Warnings lists the warnings of this VM and those that other members have published, each
+// with the names of the VMs that report it.
 func (w *Watcher) Warnings() []string {
 	seen := map[string][]string{}
 	for _, line := range w.localWarnings() {
--- a/cicadagraded/watcher/watcher.go
+++ b/cicadagraded/watcher/watcher.go
@@ -78,8 +78,8 @@
 	return func(w *Watcher) { w.dial = dial }
 }
 
-// WithPublisher sets how the index and the warnings of this VM are published. The other VMs pass
-// them to OnIndexEntry.
+// WithPublisher sets how the index and the warnings of this VM are published. The other VMs
+// pass them to OnIndexEntry.
 func WithPublisher(publish func(key string, value []byte) error) Option {
 	return func(w *Watcher) { w.publish = publish }
 }
@@ -157,15 +157,15 @@
 	return min(max(next-w.clock.Now(), minTickWait), maxTickWait)
 }
 
-// handleEvent passes an event to the replicator, and wakes runTicks because the next tick may be
-// due earlier.
+// handleEvent passes an event to the replicator, and wakes runTicks because the next tick may
+// be due earlier.
 func (w *Watcher) handleEvent(e replicator.Event) {
 	w.stepReplicator(e)
 	w.wake.TryPush(struct{}{})
 }
 
-// stepReplicator passes an event to the replicator, signals changes that have come into force and
-// alerts, and publishes the index.
+// stepReplicator passes an event to the replicator, signals changes that have come into force
+// and alerts, and publishes the index.
 func (w *Watcher) stepReplicator(e replicator.Event) {
 	adopted, alerts := w.dispatchActions(e)
 	if adopted {
@@ -177,8 +177,8 @@
 	w.publishIndex()
 }
 
-// dispatchActions passes an event to the replicator and its actions to the goroutines that carry
-// them out. It reports whether a document was adopted, and the alerts that were raised.
+// dispatchActions passes an event to the replicator and its actions to the goroutines that
+// carry them out. It reports whether a document was adopted, and the alerts that were raised.
 func (w *Watcher) dispatchActions(e replicator.Event) (adopted bool, alerts []replicator.Alert) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/cicadagraded/watcher/watcher_test.go
+++ b/cicadagraded/watcher/watcher_test.go
@@ -99,8 +99,8 @@
 	f.partitioned[name] = partitioned
 }
 
-// check waits until the condition of a script line holds on the VMs it names. Only "serves" does
-// not wait.
+// check waits until the condition of a script line holds on the VMs it names. Only "serves"
+// does not wait.
 func (f *fleet) check(line string, w []string) error {
 	names := w[2:]
 	var ok func(*watcher.Watcher) bool
@@ -127,8 +127,9 @@
 	return nil
 }
 
-// A VM is replaced while it is the only one that holds the latest state, and the store has been
-// restored from an older copy. The new VM takes the older state, and fleet.check must detect this.
+// A VM is replaced while it is the only one that holds the latest state, and the store has
+// been restored from an older copy. The new VM takes the older state, and fleet.check must
+// detect this.
 func TestCheckDetectsRevertedConfiguration(t *testing.T) {
 	f := newFleet(t)
 	for _, line := range []string{
