--- a/cicadagraded/handler/bench_test.go
+++ b/cicadagraded/handler/bench_test.go
@@ -9,9 +9,9 @@
 	"cicadagrade.example/tier"
 )
 
-// BenchmarkAnswer measures encoding the response to a search over 110 shards, by the number of
-// records of 100 bytes.
-func BenchmarkAnswer(b *testing.B) {
+// BenchmarkSearchResponse measures encoding the response to a search over 110 shards,
+// by the number of records of 100 bytes.
+func BenchmarkSearchResponse(b *testing.B) {
 	for _, n := range []int{1, 10, 100, 1000} {
 		b.Run(fmt.Sprintf("records=%d", n), func(b *testing.B) {
 			var records []tier.Record
--- a/cicadagraded/handler/book.go
+++ b/cicadagraded/handler/book.go
@@ -30,20 +30,20 @@
 		return errors.Wrap(err, "Handler.book")
 	}
 	b := coordinator.NewBooking(q.RequestID, p, q.Set, q.RecordKey, q.Body, h.absoluteDeadline(p, q.DeadlineMs), coordinator.WithIdempotencyKey(q.IdempotencyKey, q.FirstSending))
-	receipt, err := h.front.Book(c.Request().Context(), b)
+	result, err := h.front.Book(c.Request().Context(), b)
 	if err != nil {
 		return errors.Wrap(err, "Handler.book")
 	}
 	w := bookResponse{
 		commonFields:   commonFields{RequestID: q.RequestID, Rank: p.Rank().String()},
-		IdempotencyKey: receipt.IdempotencyKey(),
+		IdempotencyKey: result.IdempotencyKey(),
 	}
-	status := h.fillOutcome(c, &w.commonFields, receipt.Outcome())
-	if o, ok := receipt.Outcome().(*tier.Booked); ok {
+	status := h.fillOutcome(c, &w.commonFields, result.Outcome())
+	if o, ok := result.Outcome().(*tier.Booked); ok {
 		w.Receipt = o.Receipt()
 		w.Repeated = o.Repeated()
 	}
-	if epoch, shard, ok := receipt.ExecutedOn(); ok {
+	if epoch, shard, ok := result.ExecutedOn(); ok {
 		w.Snapshot = wireSnapshot(tier.NewSnapshot(epoch, 0))
 		w.Coverage = wireCoverage(tier.NewCoverage([]string{shard}, nil))
 	}
--- a/cicadagraded/handler/errors.go
+++ b/cicadagraded/handler/errors.go
@@ -45,8 +45,8 @@
 	_ = c.JSON(status, w)
 }
 
-// Keys of the context values that writeError reads: the request id, and whether the same booking
-// may have been sent, and run, before.
+// Keys of the context values that writeError reads: the request id, and whether the same
+// booking may have been sent, and run, before.
 const (
 	requestIDKey      = "request-id"
 	earlierSendingKey = "earlier"
--- a/cicadagraded/handler/handler.go
+++ b/cicadagraded/handler/handler.go
@@ -118,9 +118,9 @@
 	return c.String(http.StatusOK, "ready\n")
 }
 
-// readBody decodes the request's body into a wire type. It clears the connection's read deadline
-// after the body has been read: otherwise the server would cancel the request's context when the
-// deadline passes, as if the caller had disconnected.
+// readBody decodes the request's body into a wire type. It clears the connection's read
+// deadline after the body has been read: otherwise the server would cancel the request's
+// context when the deadline passes, as if the caller had disconnected.
 func (h *Handler) readBody(c echo.Context, into any) error {
 	r := c.Request()
 	conn := http.NewResponseController(c.Response())
@@ -143,7 +143,8 @@
 	return h.clock.Now() + d
 }
 
-// setRetryAfterHeader sets the Retry-After header, rounded up to whole seconds.
+// setRetryAfterHeader sets the Retry-After header, rounded up to whole seconds as the header
+// requires.
 func setRetryAfterHeader(c echo.Context, m tier.Millis) {
 	if m > 0 {
 		s := int64(math.Ceil(float64(m) / float64(tier.Second)))
@@ -158,7 +159,8 @@
 	outcomeUnknown  = "unknown"
 )
 
-// fillOutcome fills the common fields of a response from an outcome and returns its status code.
+// fillOutcome fills the common fields of a response from an outcome and returns its status
+// code.
 func (h *Handler) fillOutcome(c echo.Context, w *commonFields, o tier.Outcome) int {
 	w.VM = h.vm
 	switch o := o.(type) {
@@ -199,7 +201,8 @@
 	}
 }
 
-// unreachableRetryAfter is how long a caller should wait while a needed component is unreachable.
+// unreachableRetryAfter is how long a caller should wait while a needed component is
+// unreachable.
 const unreachableRetryAfter = 2 * tier.Second
 
 func refusedStatus(r tier.RefuseReason) int {
--- a/cicadagraded/handler/search.go
+++ b/cicadagraded/handler/search.go
@@ -31,16 +31,16 @@
 		return errors.Wrap(err, "Handler.search")
 	}
 	s := coordinator.NewSearch(q.RequestID, p, q.Set, q.Term, h.absoluteDeadline(p, q.DeadlineMs))
-	a := h.front.Search(c.Request().Context(), s)
+	result := h.front.Search(c.Request().Context(), s)
 	w := searchResponse{
 		commonFields:   commonFields{RequestID: q.RequestID, Rank: p.Rank().String()},
 		Records:        []record{},
 		Digest:         tier.Digest(nil),
-		LeafCalls:      a.LeafCalls(),
-		ExtraLeafCalls: a.ExtraCalls(),
+		LeafCalls:      result.LeafCalls(),
+		ExtraLeafCalls: result.ExtraCalls(),
 	}
-	status := h.fillOutcome(c, &w.commonFields, a.Outcome())
-	w.fillResult(a.Outcome())
+	status := h.fillOutcome(c, &w.commonFields, result.Outcome())
+	w.fillResult(result.Outcome())
 	h.observeRequest("search", w.Rank, w.Outcome, h.clock.Now()-started)
 	return c.JSON(status, w)
 }
--- a/cicadagraded/handler/session_test.go
+++ b/cicadagraded/handler/session_test.go
@@ -27,12 +27,12 @@
 // session is a scripted session: configuration, reachable data centres, versions of the shards
 // and steps.
 type session struct {
-	Home      string                               `json:"home"`
-	Profiles  json.RawMessage                      `json:"profiles"`
-	Set       json.RawMessage                      `json:"set"`
-	Reachable []string                             `json:"reachable"`
-	Versions  map[string]map[string][]tier.Version `json:"versions"`
-	Steps     []sessionStep                        `json:"steps"`
+	LocalDataCentre string                               `json:"home"`
+	Profiles        json.RawMessage                      `json:"profiles"`
+	Set             json.RawMessage                      `json:"set"`
+	Reachable       []string                             `json:"reachable"`
+	Versions        map[string]map[string][]tier.Version `json:"versions"`
+	Steps           []sessionStep                        `json:"steps"`
 }
 
 // sessionStep is one request, with the behaviour of the owners by data centre.
@@ -170,8 +170,8 @@
 	return send(ctx), nil
 }
 
-// TestSessions runs each script of testdata/sessions against the real handlers, front, planner
-// and merger, and compares requests and responses with a golden file.
+// TestSessions runs each script of testdata/sessions against the real handlers, coordinator,
+// planner and merger, and compares requests and responses with a golden file.
 func TestSessions(t *testing.T) {
 	files, err := filepath.Glob("testdata/sessions/*.json")
 	if err != nil || len(files) < 5 {
@@ -204,8 +204,8 @@
 		t.Fatal(err)
 	}
 	c.set = d.Set()
-	front := coordinator.New(c.session.Home, c.clock.Clock(), c, c, fakeClaims{})
-	routes := New("vm-1", c.clock.Clock(), c, front, c, nil, WithMaxBodyBytes(2048)).Routes()
+	coord := coordinator.New(c.session.LocalDataCentre, c.clock.Clock(), c, c, fakeClaims{})
+	routes := New("vm-1", c.clock.Clock(), c, coord, c, nil, WithMaxBodyBytes(2048)).Routes()
 	var out bytes.Buffer
 	for _, step := range c.session.Steps {
 		c.step, c.calls = step, nil
@@ -214,7 +214,8 @@
 	return out.Bytes()
 }
 
-// runStep sends the request of the current step and writes the calls to owners and the response.
+// runStep sends the request of the current step and writes the calls to owners and the
+// response.
 func (c *fakeCluster) runStep(routes http.Handler, out *bytes.Buffer) {
 	body := c.step.Body
 	fmt.Fprintf(out, "# %s\nPOST %s\n%s\n", c.step.About, c.step.Path, truncate(body))
--- a/cicadagraded/handler/status.go
+++ b/cicadagraded/handler/status.go
@@ -124,20 +124,20 @@
 }
 
 func wireOwner(o owner.Status) ownerStatus {
-	core := o.Dispatcher()
-	counters := core.Counters()
+	dispatcher := o.Dispatcher()
+	counters := dispatcher.Counters()
 	w := ownerStatus{
 		Set: o.Set(), Owned: o.Owned, Epoch: o.Epoch(), Parts: o.Parts(),
-		HedgeTokens: core.HedgeTokens(), LeafCalls: counters.Calls(), ExtraLeafCalls: counters.ExtraCalls(),
+		HedgeTokens: dispatcher.HedgeTokens(), LeafCalls: counters.Calls(), ExtraLeafCalls: counters.ExtraCalls(),
 		RejectedReplies: o.RejectedReplies(), Ranks: []rankStatus{}, Servers: []backendStatus{},
 	}
 	for _, r := range tier.Ranks {
 		w.Ranks = append(w.Ranks, rankStatus{
-			Rank: r.String(), Queued: core.Queued(r), WaitMs: core.DrainTime(r),
-			AdmittedFraction: core.Threshold().Fraction(r), Refused: counters.Refused(r),
+			Rank: r.String(), Queued: dispatcher.Queued(r), WaitMs: dispatcher.DrainTime(r),
+			AdmittedFraction: dispatcher.Threshold().Fraction(r), Refused: counters.Refused(r),
 		})
 	}
-	for _, b := range core.Servers() {
+	for _, b := range dispatcher.Servers() {
 		w.Servers = append(w.Servers, backendStatus{
 			Server: b.Name(), State: b.State().String(), UsedSlots: b.UsedSlots(),
 			SlotLimit: b.SlotLimit(), LatencyMs: b.Latency(),
--- a/cicadagraded/handler/wire.go
+++ b/cicadagraded/handler/wire.go
@@ -104,8 +104,9 @@
 	Allowed string `json:"allowed"`
 }
 
-// decode reads exactly one JSON object without unknown fields. It returns the read error for a
-// body that is too long or arrives too slowly, and a *malformedError for any other failure.
+// decode reads exactly one JSON object without unknown fields. It returns the read error for
+// a body that is too long or arrives too slowly, and a *malformedError for any other failure,
+// such as invalid framing, a truncated body or invalid JSON.
 func decode(r io.Reader, into any) error {
 	body, err := io.ReadAll(r)
 	var large *http.MaxBytesError
