--- a/cicadagrade/apply.go
+++ b/cicadagrade/apply.go
@@ -112,8 +112,8 @@
 	return dc.commit(c, ch, committer.New(d, ch.id, ch.who, ch.reason, dc.clock.WallTime(), opts...))
 }
 
-// highestServed returns the newest reference to a document that the VMs of --vms serve. It prints
-// a warning if no VM responds.
+// highestServed returns the newest reference to a document that the VMs of --vms serve. It
+// prints a warning if no VM responds.
 func (dc *documentCommand) highestServed(c *cobra.Command, key string) replicator.Ref {
 	configurations := dc.queryVMs(c.Context())
 	highest := replicator.NewRef(key, 0, 0, "")
--- a/cicadagrade/explain.go
+++ b/cicadagrade/explain.go
@@ -56,8 +56,8 @@
 	return c
 }
 
-// readLogs reads all files, or stdin if there are none. It returns their lines and the number of
-// lines that could not be parsed.
+// readLogs reads all files, or stdin if there are none. It returns their lines and the number
+// of lines that could not be parsed.
 func readLogs(stdin io.Reader, files []string) ([]logLine, int, error) {
 	if len(files) == 0 {
 		lines, skipped, err := readLog(stdin)
@@ -80,8 +80,8 @@
 	return all, skipped, nil
 }
 
-// readLog reads lines of key=value pairs. It ignores any text before the first "time=", which some
-// log collectors add, and returns the number of lines that could not be parsed.
+// readLog reads lines of key=value pairs. It ignores any text before the first "time=", which
+// some log collectors add, and returns the number of lines that could not be parsed.
 func readLog(r io.Reader) ([]logLine, int, error) {
 	const maxLineBytes = 1 << 20
 	scanner := bufio.NewScanner(r)
--- a/cicadagrade/history.go
+++ b/cicadagrade/history.go
@@ -77,8 +77,8 @@
 	return time.UnixMilli(int64(e.At())).UTC().Format(time.RFC3339)
 }
 
-// auditTrail returns up to limit audit entries, latest first. It reads them from the document, and
-// from the archive if the document holds fewer than limit.
+// auditTrail returns up to limit audit entries, latest first. It reads them from the
+// document, and from the archive if the document holds fewer than limit.
 func auditTrail(ctx context.Context, store storer.Store, key string, limit int) ([]replicator.Entry, error) {
 	s, err := loadRequired(ctx, store, key)
 	if err != nil {
@@ -120,8 +120,8 @@
 	return out, nil
 }
 
-// withDetachedChanges returns the entry with its field changes, which are read from a key of their
-// own if they are not stored in the entry.
+// withDetachedChanges returns the entry with its field changes, which are read from a key of
+// their own if they are not stored in the entry.
 func withDetachedChanges(ctx context.Context, store storer.Store, key string, e replicator.Entry) (replicator.Entry, error) {
 	if !e.ChangesDetached() {
 		return e, nil
--- a/cicadagrade/outcome.go
+++ b/cicadagrade/outcome.go
@@ -13,7 +13,7 @@
 	exitUnknown  = 4
 )
 
-// requestError reports a request with another outcome than answered.
+// requestError reports a request with an outcome other than answered.
 type requestError struct {
 	outcome string
 	reason  string
--- a/cicadagrade/propagation.go
+++ b/cicadagrade/propagation.go
@@ -83,9 +83,9 @@
 	defer cancel()
 	v := vmConfiguration{address: address, refs: map[string]replicator.Ref{}}
 	var body vmStatusBody
-	a, err := requester.New(address).Get(ctx, "/v1/status")
+	response, err := requester.New(address).Get(ctx, "/v1/status")
 	if err == nil {
-		err = a.Decode(&body)
+		err = response.Decode(&body)
 	}
 	if err != nil {
 		v.err = err
@@ -116,8 +116,8 @@
 	NotAsked []string `json:"not-asked"`
 }
 
-// waitInForce polls the VMs until the state, or a newer one, is in force on all of them, or until
-// the time limit.
+// waitInForce polls the VMs until the state, or a newer one, is in force on all of them, or
+// until the time limit.
 func (dc *documentCommand) waitInForce(ctx context.Context, ref replicator.Ref, limit tier.Millis) *propagation {
 	end := dc.clock.Now() + limit
 	for {
--- a/cicadagrade/reconcile.go
+++ b/cicadagrade/reconcile.go
@@ -72,16 +72,16 @@
 	return dc.commit(c, ch, committer.NewReconciliation(served, ch.id, ch.who, ch.reason, dc.clock.WallTime(), opts...))
 }
 
-// isUnreadable reports whether err means that the stored document is corrupt or invalid, so that a
-// reconciliation may replace it.
+// isUnreadable reports whether err means that the stored document is corrupt or invalid, so
+// that a reconciliation may replace it.
 func isUnreadable(err error) bool {
 	var corrupt *replicator.CorruptError
 	var invalid *tier.InvalidError
 	return errors.As(err, &corrupt) || errors.As(err, &invalid)
 }
 
-// pickSource returns the VM that serves the newest state of a document. If from is not empty, only
-// the VM of that name is considered.
+// pickSource returns the VM that serves the newest state of a document. If from is not empty,
+// only the VM of that name is considered.
 func pickSource(configurations []vmConfiguration, key, from string) (vmConfiguration, error) {
 	var best vmConfiguration
 	highest := replicator.NewRef(key, 0, 0, "")
--- a/cicadagrade/requester/requester.go
+++ b/cicadagrade/requester/requester.go
@@ -90,8 +90,8 @@
 	return Response{status: reply.StatusCode, body: body}, nil
 }
 
-// CheckComplete checks the records of a response against the count and digest that it states. The
-// error is a *MismatchError.
+// CheckComplete checks the records of a response against the count and digest that it states.
+// The error is a *MismatchError.
 func CheckComplete(records []tier.Record, count int, digest string) error {
 	if len(records) != count {
 		return errors.WithStack(&MismatchError{problem: fmt.Sprintf("%d of %d records", len(records), count)})
--- a/cicadagrade/session_test.go
+++ b/cicadagrade/session_test.go
@@ -71,8 +71,8 @@
 	vmNames []string
 }
 
-// TestSessions runs each script of testdata/sessions and compares the output of its commands with
-// a golden file.
+// TestSessions runs each script of testdata/sessions and compares the output of its commands
+// with a golden file.
 func TestSessions(t *testing.T) {
 	files, err := filepath.Glob("testdata/sessions/*.txt")
 	if err != nil || len(files) == 0 {
