--- a/tier/coverage.go
+++ b/tier/coverage.go
@@ -11,7 +11,7 @@
 	MissNoReplica     MissReason = "no-replica"
 	MissRefused       MissReason = "refused"
 	MissWrongSnapshot MissReason = "wrong-snapshot"
-	MissUnreachable   MissReason = "cut-off" // no owner was reached, or its reply was lost
+	MissUnreachable   MissReason = "cut-off" // no owner could be reached, or its reply was lost
 	MissBadReply      MissReason = "bad-reply"
 	MissCancelled     MissReason = "cancelled" // abandoned before the deadline
 )
--- a/tier/outcome.go
+++ b/tier/outcome.go
@@ -84,15 +84,15 @@
 
 // The reasons for an unknown outcome.
 const (
-	UnknownInProgress       UnknownReason = "in-progress"
+	UnknownInProgress       UnknownReason = "in-progress" // a request with the same idempotency key is running
 	UnknownLostReply        UnknownReason = "lost-reply"
 	UnknownDeadline         UnknownReason = "deadline"
-	UnknownHolderGone       UnknownReason = "holder-gone"
+	UnknownHolderGone       UnknownReason = "holder-gone" // the VM that claimed the idempotency key has stopped
 	UnknownLowCoverage      UnknownReason = "low-coverage"
-	UnknownOtherIncarnation UnknownReason = "other-incarnation"
+	UnknownOtherIncarnation UnknownReason = "other-incarnation" // the key was issued by another VM or incarnation
 	UnknownCallerGone       UnknownReason = "caller-gone"
-	UnknownEarlier          UnknownReason = "earlier-sending"
-	UnknownForgotten        UnknownReason = "forgotten"
+	UnknownEarlier          UnknownReason = "earlier-sending" // an earlier request with the same key may have run
+	UnknownForgotten        UnknownReason = "forgotten"       // the outcome was not kept
 )
 
 // Unknown is the outcome of a request that may have run.
--- a/tier/parser/delta.go
+++ b/tier/parser/delta.go
@@ -80,7 +80,7 @@
 	if path == "" {
 		return name
 	}
-	if _, list := itemKeys[path]; list {
+	if _, isList := itemKeys[path]; isList {
 		return fmt.Sprintf("%s[%s]", path, name)
 	}
 	return path + "." + name
@@ -145,8 +145,8 @@
 			continue
 		}
 		byKey := make(map[string]any, len(items))
-		for _, i := range items {
-			item := i.(map[string]any)
+		for _, v := range items {
+			item := v.(map[string]any)
 			byKey[item[key].(string)] = item
 		}
 		m[list] = byKey
@@ -168,8 +168,8 @@
 			continue
 		}
 		items := make([]any, 0, len(byKey))
-		for _, i := range byKey {
-			items = append(items, i)
+		for _, item := range byKey {
+			items = append(items, item)
 		}
 		m[list] = items
 	}
--- a/tier/parser/encode.go
+++ b/tier/parser/encode.go
@@ -87,7 +87,7 @@
 	}
 	b, err := json.Marshal(body)
 	if err != nil {
-		panic(err) // can't happen: the bodies hold only encodable values
+		panic(err) // can't happen: the bodies hold only text, finite numbers and booleans
 	}
 	return b
 }
--- a/tier/router/route.go
+++ b/tier/router/route.go
@@ -61,7 +61,8 @@
 // WithRank sets the rank; 0 is the most urgent.
 func WithRank(rank int) Option { return func(r *Route) { r.rank = rank } }
 
-// WithMaxAttempts sets to how many leafs a request may be sent at most, for each shard.
+// WithMaxAttempts sets to how many leafs, the backend servers of a service, a request may be
+// sent at most, for each shard.
 func WithMaxAttempts(n int) Option { return func(r *Route) { r.maxAttempts = max(n, 1) } }
 
 // ToTargets makes the route send each request to one of the targets.
@@ -114,8 +115,8 @@
 // MinimumParts is the least number of shards whose replies an answer needs.
 func (r *Route) MinimumParts() int { return r.MinimumPartsOf(len(r.shards)) }
 
-// MinimumPartsOf is the least number out of n shards, all or some of the route's, whose
-// replies meet the route's minimum share.
+// MinimumPartsOf is the least number of replies from n shards, all or some of the route's,
+// that meets the route's minimum share.
 func (r *Route) MinimumPartsOf(n int) int {
 	// The tolerance absorbs floating-point errors, so that 0.75 * 20 gives 15 and not 16.
 	const tolerance = 1e-9
--- a/tier/router/table.go
+++ b/tier/router/table.go
@@ -68,7 +68,7 @@
 	return t
 }
 
-// Version is the version of the configuration; a higher one is newer.
+// Version is the operators' number of the configuration version; a higher one is newer.
 func (t *Table) Version() int64 { return t.version }
 
 // Limits are the bounds on the requests and connections of callers.
