--- a/tier/simulator/result.go
+++ b/tier/simulator/result.go
@@ -54,8 +54,8 @@
 	return l[min(len(l)-1, int(q*float64(len(l))))]
 }
 
-// UsefulFraction is the slot time spent on a rank's complete answers, as a fraction of the slot time
-// of all servers while queries arrived.
+// UsefulFraction is the slot time spent on a rank's complete answers, as a fraction of the slot
+// time of all servers while queries arrived.
 func (r *Result) UsefulFraction(k tier.Rank) float64 {
 	return float64(r.ranks[k].usefulSlotTime) / (float64(r.scenario.duration) * float64(r.scenario.shape.totalSlots()))
 }
@@ -79,7 +79,7 @@
 
 // PrintHeader writes the header of a Markdown table of results.
 func PrintHeader(w io.Writer) error {
-	_, err := fmt.Fprint(w, "| scenario | way | rank | offered | refused (at front) | callers gone | partial | p50 | p99 | p99.9 | useful | all useful | extra calls | shed calls | over-booked |\n"+
+	_, err := fmt.Fprint(w, "| scenario | sharing mode | rank | offered | refused (at front) | callers gone | partial | p50 | p99 | p99.9 | useful | all useful | extra calls | shed calls | over-booked |\n"+
 		"|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|\n")
 	return err
 }
--- a/tier/simulator/run.go
+++ b/tier/simulator/run.go
@@ -69,7 +69,7 @@
 	jobs         []map[uint64]*job // by dispatcher and attempt number
 	serverOf     map[*job]*server
 	queries      map[uint64]*query
-	fronts       []*admitter.Admitter
+	admitters    []*admitter.Admitter // of the fronts, by entry VM
 	published    admitter.ReceivedThreshold
 	result       *Result
 }
@@ -126,7 +126,7 @@
 		}
 	}
 	for range entryVMs {
-		sm.fronts = append(sm.fronts, admitter.New())
+		sm.admitters = append(sm.admitters, admitter.New())
 	}
 	for _, k := range tier.Ranks {
 		sm.scheduleArrival(k)
@@ -140,10 +140,10 @@
 	}
 }
 
-func (sm *simulation) addEvent(h event) {
+func (sm *simulation) addEvent(e event) {
 	sm.lastSequence++
-	h.sequence = sm.lastSequence
-	heap.Push(&sm.events, h)
+	e.sequence = sm.lastSequence
+	heap.Push(&sm.events, e)
 }
 
 // scheduleArrival schedules the next arrival of a query of a rank, unless it is after the end
@@ -168,9 +168,9 @@
 	for {
 		i, at, ok := sm.nextTick()
 		if len(sm.events) > 0 && (!ok || sm.events[0].at <= at) {
-			h := heap.Pop(&sm.events).(event)
-			sm.now = h.at
-			sm.handle(h)
+			e := heap.Pop(&sm.events).(event)
+			sm.now = e.at
+			sm.handle(e)
 			continue
 		}
 		if !ok || sm.now > sm.scenario.duration+2*deadlines[tier.Reports] {
@@ -181,6 +181,7 @@
 	}
 }
 
+// nextTick returns the index of the dispatcher whose next tick is due first, and its time.
 func (sm *simulation) nextTick() (int, tier.Millis, bool) {
 	first, at, found := 0, tier.Millis(0), false
 	for i, d := range sm.dispatchers {
@@ -191,25 +192,25 @@
 	return first, at, found
 }
 
-func (sm *simulation) handle(h event) {
-	switch h.kind {
+func (sm *simulation) handle(e event) {
+	switch e.kind {
 	case arrival:
-		sm.scheduleArrival(h.rank)
-		sm.addQuery(h.rank)
+		sm.scheduleArrival(e.rank)
+		sm.addQuery(e.rank)
 	case jobEnded:
-		if !h.job.ended {
-			sm.endJob(h.job, h.server, &dispatcher.ReplyOK{})
+		if !e.job.ended {
+			sm.endJob(e.job, e.server, &dispatcher.ReplyOK{})
 		}
 	case retry:
-		sm.submit(sm.queries[h.query])
+		sm.submit(sm.queries[e.query])
 	case callShed:
-		e := dispatcher.NewCallEnded(h.job.attempt, dispatcher.NewReplyNotRun(dispatcher.NotRunShed))
-		sm.perform(h.job.entryVM, sm.dispatchers[h.job.entryVM].Step(sm.now, e))
+		ended := dispatcher.NewCallEnded(e.job.attempt, dispatcher.NewReplyNotRun(dispatcher.NotRunShed))
+		sm.perform(e.job.entryVM, sm.dispatchers[e.job.entryVM].Step(sm.now, ended))
 	case callerLeft:
-		sm.perform(h.entryVM, sm.dispatchers[h.entryVM].Step(sm.now, dispatcher.NewCancelled(h.query)))
+		sm.perform(e.entryVM, sm.dispatchers[e.entryVM].Step(sm.now, dispatcher.NewCancelled(e.query)))
 	case sheddingChanged:
 		for _, s := range sm.servers {
-			s.shedSlots = h.sheddingSlots
+			s.shedSlots = e.sheddingSlots
 		}
 	case thresholdPublished:
 		sm.published = admitter.NewReceivedThreshold(sm.dispatchers[0].Status().Threshold(), sm.now)
@@ -237,7 +238,7 @@
 		entryVM = sm.random.IntN(entryVMs)
 	}
 	if sm.scenario.sharing == Owner {
-		if retryAfter, ok := sm.fronts[entryVM].Admit(sm.now, k, sm.published); !ok && sm.published != (admitter.ReceivedThreshold{}) {
+		if retryAfter, ok := sm.admitters[entryVM].Admit(sm.now, k, sm.published); !ok && sm.published != (admitter.ReceivedThreshold{}) {
 			sm.result.ranks[k].refusedByFront++
 			sm.retryOrRefuse(q, retryAfter)
 			return
@@ -323,19 +324,19 @@
 
 func (sm *simulation) recordAnswer(entryVM int, a *dispatcher.PartDone) {
 	q := sm.queries[a.Part()]
-	k := &sm.result.ranks[q.rank]
-	if p := sm.scenario.callerTimeout; p > 0 && sm.now >= q.arrived+p {
-		k.abandoned++
+	counts := &sm.result.ranks[q.rank]
+	if timeout := sm.scenario.callerTimeout; timeout > 0 && sm.now >= q.arrived+timeout {
+		counts.abandoned++
 		return
 	}
 	if len(a.Misses()) > 0 {
-		k.partial++
+		counts.partial++
 		return
 	}
-	k.latencies = append(k.latencies, sm.now-q.arrived)
+	counts.latencies = append(counts.latencies, sm.now-q.arrived)
 	for _, w := range a.Winners() {
 		if j := sm.jobs[entryVM][w.Attempt()]; j.endedAt <= sm.scenario.duration {
-			k.usefulSlotTime += j.serviceTime
+			counts.usefulSlotTime += j.serviceTime
 		}
 	}
 }
--- a/tier/simulator/scenario.go
+++ b/tier/simulator/scenario.go
@@ -21,7 +21,7 @@
 )
 
 // String returns the mode's name, as used in tables.
-func (w SharingMode) String() string { return [...]string{"alone", "static", "owner"}[w] }
+func (m SharingMode) String() string { return [...]string{"alone", "static", "owner"}[m] }
 
 // The modelled data centre.
 const (
@@ -91,7 +91,7 @@
 func WithSeed(seed uint64) Option { return func(s *Scenario) { s.seed = seed } }
 
 // WithSharingMode sets how the entry VMs share the servers.
-func WithSharingMode(w SharingMode) Option { return func(s *Scenario) { s.sharing = w } }
+func WithSharingMode(m SharingMode) Option { return func(s *Scenario) { s.sharing = m } }
 
 // WithShape sets the size of the shard set.
 func WithShape(h Shape) Option { return func(s *Scenario) { s.shape = h } }
@@ -145,8 +145,8 @@
 	return s
 }
 
-// SetDefaults sets every field but the name to its default: a small set with an owner, and work
-// for six tenths of all slot time.
+// SetDefaults sets every field but the name to its default: a small set with an owner, and
+// work for six tenths of all slot time.
 func (s *Scenario) SetDefaults() {
 	s.seed = 1
 	s.sharing = Owner
--- a/tier/simulator/measurer_test.go
+++ b/tier/simulator/simulator_test.go
@@ -128,12 +128,12 @@
 }
 
 // missedTargets returns the names of the targets that are not met.
-func (m figures) missedTargets() string {
+func (f figures) missedTargets() string {
 	var out []string
 	for name, ok := range map[string]bool{
-		"straggler": m.stragglerRatio <= 1.5, "extra": m.extraFraction <= 0.05, "urgent-p99": m.urgentRatio <= 1.25,
-		"urgent-refused": m.urgentRefused == 0, "reports-floor": m.reportsUseful >= tier.DefaultReportsFloor, "reports-finish": m.reportsPartial == 0,
-		"useful": m.urgentFloodUseful >= 0.9, "overbooked": m.overbooked == 0,
+		"straggler": f.stragglerRatio <= 1.5, "extra": f.extraFraction <= 0.05, "urgent-p99": f.urgentRatio <= 1.25,
+		"urgent-refused": f.urgentRefused == 0, "reports-floor": f.reportsUseful >= tier.DefaultReportsFloor, "reports-finish": f.reportsPartial == 0,
+		"useful": f.urgentFloodUseful >= 0.9, "overbooked": f.overbooked == 0,
 	} {
 		if !ok {
 			out = append(out, name)
@@ -143,17 +143,18 @@
 	return strings.Join(out, " ")
 }
 
-// TestTargets checks that the mode Owner meets the targets. To show that the check can fail, it
-// also expects the mode Alone without hedging, at a load that makes calls queue, to miss them.
+// TestTargets checks that the mode Owner meets the targets. To show that the check can fail,
+// it also expects the mode Alone without hedging, at a load that makes calls queue, to miss
+// them.
 func TestTargets(t *testing.T) {
 	seeds, duration := uint64(1), 10*tier.Second
 	if *long {
 		seeds, duration = 5, 40*tier.Second
 	}
 	for seed := uint64(1); seed <= seeds; seed++ {
-		m := measureFigures(t, seed, duration, Owner, true, 0.3)
-		t.Logf("seed %d: %+v", seed, m)
-		if s := m.missedTargets(); s != "" {
+		measured := measureFigures(t, seed, duration, Owner, true, 0.3)
+		t.Logf("seed %d: %+v", seed, measured)
+		if s := measured.missedTargets(); s != "" {
 			t.Errorf("seed %d missed the targets %s", seed, s)
 		}
 	}
