--- a/tier/prover/check_test.go
+++ b/tier/prover/check_test.go
@@ -42,17 +42,17 @@
 	if cl.mutation.keepDuplicates {
 		records = nil
 		for _, shard := range a.Coverage().Covered() {
-			for _, whole := range sr.servedRecords[a.Snapshot()][shard][:1] {
-				records = append(records, whole...)
+			for _, served := range sr.servedRecords[a.Snapshot()][shard][:1] {
+				records = append(records, served...)
 			}
 		}
 	}
 	return tier.NewAnswered(a.Snapshot(), coverage, records)
 }
 
-// checkAnswer checks that the records are those of the covered shards at the snapshot, for this
-// search and without duplicate keys. If several shards returned a key, the value has to be that
-// of the shard that holds the key according to the shard map.
+// checkAnswer checks that the records are those of the covered shards at the snapshot, for
+// this search and without duplicate keys. If several shards returned a key, the value has to
+// be that of the shard that holds the key according to the shard map.
 func (cl *cluster) checkAnswer(sr *search, a *tier.Answered) {
 	cl.checkCoverage(sr, a.Snapshot(), a.Coverage())
 	merged := sr.expectedMerge[a.Snapshot()]
@@ -60,22 +60,22 @@
 	got := map[string]bool{}
 	for _, r := range a.Records() {
 		if got[r.Key()] {
-			cl.violationf("doubled: %s has the key %s twice", sr.term, r.Key())
+			cl.violationf("duplicate: %s has the key %s twice", sr.term, r.Key())
 		}
 		got[r.Key()] = true
-		_, owned := merged[set.ShardOf(r.Key()).ID()]
-		if r != recordAt(r.Key(), a.Snapshot(), sr.term, owned) {
+		_, current := merged[set.ShardOf(r.Key()).ID()]
+		if r != recordAt(r.Key(), a.Snapshot(), sr.term, current) {
 			cl.violationf("record: %s at %s has %s = %q", sr.term, a.Snapshot(), r.Key(), r.Value())
 		}
 	}
 	want := map[string]bool{}
-	for _, whole := range merged {
-		for k := range whole {
+	for _, recordsByKey := range merged {
+		for k := range recordsByKey {
 			want[k] = true
 		}
 	}
 	if len(want) != len(got) {
-		cl.violationf("whole: %s has %d keys, expected %d", sr.term, len(got), len(want))
+		cl.violationf("complete: %s has %d keys, expected %d", sr.term, len(got), len(want))
 	}
 }
 
@@ -171,8 +171,8 @@
 	v.cluster.configOperations[id] = append(v.cluster.configOperations[id], o)
 }
 
-// maxRegister is the sequential model of a VM's configuration: a register that adopts an offered
-// revision if it is higher than the current one. A search reads the register.
+// maxRegister is the sequential model of a VM's configuration: a register that adopts an
+// offered revision if it is higher than the current one. A search reads the register.
 var maxRegister = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, _ any) (bool, any) {
--- a/tier/prover/cluster_test.go
+++ b/tier/prover/cluster_test.go
@@ -126,8 +126,8 @@
 	cl.violations = append(cl.violations, fmt.Sprintf("at %d: ", cl.now)+fmt.Sprintf(format, args...))
 }
 
-// linkDelay returns how long a message from one data centre to another takes, or false if it is
-// lost.
+// linkDelay returns how long a message from one data centre to another takes, or false if it
+// is lost.
 func (cl *cluster) linkDelay(from, to string) (tier.Millis, bool) {
 	if cl.cutLinks[from+to] || cl.withProbability(2) {
 		return 0, false
@@ -143,8 +143,8 @@
 	from, to uint64
 }
 
-// createShardSets creates three shard maps, in five revisions of the set document. From the first
-// to the third, one shard is split and two are merged, in random order.
+// createShardSets creates three shard maps, in five revisions of the set document. From the
+// first to the third, one shard is split and two are merged, in random order.
 func (cl *cluster) createShardSets() {
 	const q = uint64(1) << 62
 	whole := []keyRange{{"a", 0, q - 1}, {"b", q, 2*q - 1}, {"c", 2 * q, 3*q - 1}, {"d", 3 * q, math.MaxUint64}}
@@ -183,8 +183,8 @@
 	return set
 }
 
-// chooseReplicas returns the replicas of a shard: two servers in each data centre, or in all but
-// one of them.
+// chooseReplicas returns the replicas of a shard: two servers in each data centre, or in all
+// but one of them.
 func (cl *cluster) chooseReplicas(e tier.Epoch, i int, id string) []string {
 	if old, ok := cl.sets[e]; ok {
 		return old.Shards()[i].Replicas()
@@ -199,9 +199,9 @@
 	return out
 }
 
-// callStarted adds a call to its server and checks that the server has at most as many calls as
-// slots, plus one for each VM beyond the first that has calls there or believes that it owns the
-// set in that data centre.
+// callStarted adds a call to its server and checks that the server has at most as many calls
+// as slots, plus one for each VM beyond the first that has calls there or believes that it
+// owns the set in that data centre.
 func (cl *cluster) callStarted(c *call) {
 	s := c.server
 	s.openCalls = append(s.openCalls, c)
@@ -214,14 +214,14 @@
 			holders[v] = holders[v] || v.dataCentre == s.backend.DataCentre()
 		}
 	}
-	others := -1
+	beyondFirst := -1
 	for _, h := range holders {
 		if h {
-			others++
+			beyondFirst++
 		}
 	}
-	if most := s.backend.Slots() + max(others, 0); len(s.openCalls) > most {
-		cl.violationf("slots: %d calls on %s, at most %d", len(s.openCalls), s.backend.Name(), most)
+	if limit := s.backend.Slots() + max(beyondFirst, 0); len(s.openCalls) > limit {
+		cl.violationf("slots: %d calls on %s, at most %d", len(s.openCalls), s.backend.Name(), limit)
 	}
 	cl.counts["beyond slots"] += max(0, min(1, len(s.openCalls)-s.backend.Slots()))
 }
--- a/tier/prover/front_test.go
+++ b/tier/prover/front_test.go
@@ -95,15 +95,16 @@
 	})
 }
 
-// partReplied passes an owner's reply to the plan. If it is the first reply of the part and the
-// search has no outcome yet, the shard results that arrived intact are expected in the answer.
+// partReplied passes an owner's reply to the plan. If it is the first reply of the part and
+// the search has no outcome yet, the shard results that arrived intact are expected in the
+// answer.
 func (sr *search) partReplied(part uint64, at tier.Snapshot, results []merger.ShardResult, held []planner.HeldVersions, leafCalls int) {
 	if sr.outcome == nil && sr.waitingParts[part] {
 		sr.waitingParts[part] = false
 		for _, r := range results {
-			for _, whole := range sr.servedRecords[at][r.Shard()] {
-				if r.Miss() == "" && r.Count() == len(r.Records()) && r.Digest() == tier.Digest(whole) && slices.Equal(r.Records(), whole) {
-					sr.addExpectedMerge(at, r.Shard(), whole)
+			for _, served := range sr.servedRecords[at][r.Shard()] {
+				if r.Miss() == "" && r.Count() == len(r.Records()) && r.Digest() == tier.Digest(served) && slices.Equal(r.Records(), served) {
+					sr.addExpectedMerge(at, r.Shard(), served)
 				}
 			}
 		}
@@ -111,12 +112,12 @@
 	sr.step(planner.NewPartReplied(part, at, results, held, leafCalls))
 }
 
-func (sr *search) addExpectedMerge(at tier.Snapshot, shard string, whole []tier.Record) {
+func (sr *search) addExpectedMerge(at tier.Snapshot, shard string, records []tier.Record) {
 	if sr.expectedMerge[at] == nil {
 		sr.expectedMerge[at] = map[string]map[string]tier.Record{}
 	}
 	sr.expectedMerge[at][shard] = map[string]tier.Record{}
-	for _, r := range whole {
+	for _, r := range records {
 		sr.expectedMerge[at][shard][r.Key()] = r
 	}
 }
@@ -183,9 +184,9 @@
 		pr.notifyFront(5, pr.tryNextOwner) // no connection, so nothing was sent
 		return
 	}
-	took, ok := cl.linkDelay(sr.vm.dataCentre, to.dataCentre)
+	delay, ok := cl.linkDelay(sr.vm.dataCentre, to.dataCentre)
 	if ok {
-		cl.schedule(took, func() { pr.submit(to) })
+		cl.schedule(delay, func() { pr.submit(to) })
 	}
 }
 
@@ -198,7 +199,7 @@
 	to.partRequests = append(to.partRequests, pr)
 	to.scheduleOn(to.incarnation, 0, func() {
 		p := &part{search: pr.search, snapshot: pr.send.Snapshot()}
-		p.end = func(end any, leafCalls int) { pr.ownerEnded(to, end, leafCalls) }
+		p.finish = func(result any, leafCalls int) { pr.ownerEnded(to, result, leafCalls) }
 		to.submit(p, profiles[0], pr.send.Deadline(), pr.send.Shards())
 		number := p.number
 		pr.cancel = func() {
@@ -209,15 +210,15 @@
 
 // ownerEnded sends the owner's result of the part back to the front. The reply may be lost,
 // duplicated or truncated on the way, or name another snapshot.
-func (pr *partRequest) ownerEnded(from *vm, end any, leafCalls int) {
+func (pr *partRequest) ownerEnded(from *vm, result any, leafCalls int) {
 	sr, cl, part := pr.search, from.cluster, pr.send.Part()
 	pr.answeredBy[from] = true
-	took, ok := cl.linkDelay(from.dataCentre, sr.vm.dataCentre)
+	delay, ok := cl.linkDelay(from.dataCentre, sr.vm.dataCentre)
 	if !ok {
 		return
 	}
-	if r, refused := end.(*dispatcher.PartRefused); refused {
-		pr.notifyFront(took, func() {
+	if r, refused := result.(*dispatcher.PartRefused); refused {
+		pr.notifyFront(delay, func() {
 			if pr.ownerDied && !cl.mutation.lostAsRefused {
 				pr.fail(tier.MissRefused)
 				return
@@ -226,7 +227,7 @@
 		})
 		return
 	}
-	results := end.([]merger.ShardResult)
+	results := result.([]merger.ShardResult)
 	if cl.withProbability(3) {
 		results = truncateResult(results)
 	}
@@ -242,14 +243,14 @@
 		}
 		sr.partReplied(part, at, results, held, leafCalls)
 	}
-	sr.vm.scheduleOn(sr.incarnation, took, deliver)
+	sr.vm.scheduleOn(sr.incarnation, delay, deliver)
 	if cl.withProbability(5) {
-		sr.vm.scheduleOn(sr.incarnation, took+cl.upTo(50), deliver)
+		sr.vm.scheduleOn(sr.incarnation, delay+cl.upTo(50), deliver)
 	}
 }
 
-// truncateResult returns a copy of results in which the first result that has records lacks its
-// last one.
+// truncateResult returns a copy of results in which the first result that has records lacks
+// its last one.
 func truncateResult(results []merger.ShardResult) []merger.ShardResult {
 	out := slices.Clone(results)
 	for i, r := range out {
@@ -289,17 +290,17 @@
 	if l := v.owners(cl.dataCentres[cl.rng.IntN(len(cl.dataCentres))]); len(l) > 0 {
 		to = l[0]
 	}
-	took, ok := cl.linkDelay(v.dataCentre, to.dataCentre)
+	delay, ok := cl.linkDelay(v.dataCentre, to.dataCentre)
 	if !ok {
 		return
 	}
 	incarnation, deadline, shard := v.incarnation, cl.now+timeout, v.set.ShardOf(keys[cl.rng.IntN(len(keys))]).ID()
-	cl.schedule(took, func() {
+	cl.schedule(delay, func() {
 		to.scheduleOn(to.incarnation, 0, func() {
 			p := &part{booking: b}
-			p.end = func(end any, _ int) {
-				if back, ok := cl.linkDelay(to.dataCentre, v.dataCentre); ok {
-					v.scheduleOn(incarnation, back, func() { b.setOutcome(end) })
+			p.finish = func(result any, _ int) {
+				if replyDelay, ok := cl.linkDelay(to.dataCentre, v.dataCentre); ok {
+					v.scheduleOn(incarnation, replyDelay, func() { b.setOutcome(result) })
 				}
 			}
 			to.submit(p, profiles[0], deadline, []string{shard})
@@ -307,12 +308,12 @@
 	})
 }
 
-func (b *booking) setOutcome(end any) {
-	switch e := end.(type) {
+func (b *booking) setOutcome(result any) {
+	switch r := result.(type) {
 	case string:
-		b.outcome = tier.NewBooked(e, false)
+		b.outcome = tier.NewBooked(r, false)
 	case *dispatcher.PartRefused:
-		b.outcome = tier.NewRefused(e.Reason(), e.RetryAfter())
+		b.outcome = tier.NewRefused(r.Reason(), r.RetryAfter())
 	default:
 		b.outcome = tier.NewUnknown(tier.UnknownLostReply)
 	}
--- a/tier/prover/history_test.go
+++ b/tier/prover/history_test.go
@@ -17,8 +17,8 @@
 	firstSeed = flag.Uint64("first-seed", 1, "the seed of the first history")
 )
 
-// runHistory simulates callers that search and book at all VMs while index versions, shard maps,
-// members and links change, and checks the history.
+// runHistory simulates callers that search and book at all VMs while index versions, shard
+// maps, members and links change, and checks the history.
 func runHistory(seed uint64, m mutation) *cluster {
 	cl := newCluster(seed, m)
 	cl.scheduleDisturbances()
@@ -128,8 +128,8 @@
 	}
 }
 
-// TestRandomHistories checks random histories, and that each kind of outcome and of faulty reply
-// occurs in them.
+// TestRandomHistories checks random histories, and that each kind of outcome and of faulty
+// reply occurs in them.
 func TestRandomHistories(t *testing.T) {
 	counts := map[string]int{}
 	for i := range *histories {
@@ -152,24 +152,24 @@
 	}
 }
 
-// TestChecksFindViolations breaks one mechanism at a time and expects the check that guards it to
-// report a violation.
+// TestChecksFindViolations breaks one mechanism at a time and expects the check that guards it
+// to report a violation.
 func TestChecksFindViolations(t *testing.T) {
 	const takeover = dispatcher.DefaultTakeoverDelay
 	for name, c := range map[string]struct {
 		mutation mutation
 		want     string
 	}{
-		"snapshot":  {mutation{takeoverDelay: takeover, ignoredField: correlator.FieldSnapshot}, ": record:"},
-		"caller":    {mutation{takeoverDelay: takeover, ignoredField: correlator.FieldAttempt}, ": record:"},
-		"truncated": {mutation{takeoverDelay: takeover, ignoredField: correlator.FieldCount}, ": coverage:"},
-		"corrupt":   {mutation{takeoverDelay: takeover, ignoredField: correlator.FieldDigest}, ": record:"},
-		"asked":     {mutation{takeoverDelay: takeover, coverAsked: true}, ": coverage:"},
-		"doubled":   {mutation{takeoverDelay: takeover, keepDuplicates: true}, ": doubled:"},
-		"hedged":    {mutation{takeoverDelay: takeover, hedgeBookings: true}, ": once:"},
-		"lower":     {mutation{takeoverDelay: takeover, acceptOlderConfig: true}, ": config:"},
-		"refusing":  {mutation{takeoverDelay: takeover, lostAsRefused: true}, ": refused:"},
-		"takeover":  {mutation{}, ": slots:"},
+		"snapshot not checked":          {mutation{takeoverDelay: takeover, ignoredField: correlator.FieldSnapshot}, ": record:"},
+		"attempt not checked":           {mutation{takeoverDelay: takeover, ignoredField: correlator.FieldAttempt}, ": record:"},
+		"count not checked":             {mutation{takeoverDelay: takeover, ignoredField: correlator.FieldCount}, ": coverage:"},
+		"digest not checked":            {mutation{takeoverDelay: takeover, ignoredField: correlator.FieldDigest}, ": record:"},
+		"coverage of asked shards":      {mutation{takeoverDelay: takeover, coverAsked: true}, ": coverage:"},
+		"duplicates kept":               {mutation{takeoverDelay: takeover, keepDuplicates: true}, ": duplicate:"},
+		"bookings hedged":               {mutation{takeoverDelay: takeover, hedgeBookings: true}, ": once:"},
+		"older configuration adopted":   {mutation{takeoverDelay: takeover, acceptOlderConfig: true}, ": config:"},
+		"lost part reported as refused": {mutation{takeoverDelay: takeover, lostAsRefused: true}, ": refused:"},
+		"no takeover delay":             {mutation{}, ": slots:"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(100) {
--- a/tier/prover/server_test.go
+++ b/tier/prover/server_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// scheduleDisturbances schedules the server's changes to new index versions and shard maps, and
-// possibly a period in which it sheds load or is leaving.
+// scheduleDisturbances schedules the server's changes to new index versions and shard maps,
+// and possibly a period in which it sheds load or is leaving.
 func (s *server) scheduleDisturbances(epochsAt []tier.Millis) {
 	cl := s.cluster
 	for i, at := range epochsAt {
@@ -109,11 +109,12 @@
 	return out
 }()
 
-// recordAt returns the record of a key at a snapshot for a search term. A server that does not
-// own the key has an outdated value.
-func recordAt(key string, at tier.Snapshot, term string, owned bool) tier.Record {
+// recordAt returns the record of a key at a snapshot for a search term. Replicas of the shard
+// that holds the key have its current value. A record that a server kept of another shard has
+// an outdated one.
+func recordAt(key string, at tier.Snapshot, term string, current bool) tier.Record {
 	v := at.String() + " " + term + " " + key
-	if !owned {
+	if !current {
 		v += " old"
 	}
 	return tier.NewRecord(key, v)
@@ -123,9 +124,9 @@
 	h, _ := shardOf(s.cluster.sets[at.Epoch()], shard)
 	var out []tier.Record
 	for i, k := range keys {
-		owned := h.Holds(tier.HashKey(k))
-		if owned || s.keepsForeignRecords && i%3 == 0 {
-			out = append(out, recordAt(k, at, term, owned))
+		current := h.Holds(tier.HashKey(k))
+		if current || s.keepsForeignRecords && i%3 == 0 {
+			out = append(out, recordAt(k, at, term, current))
 		}
 	}
 	return out
@@ -136,45 +137,45 @@
 	if c.released {
 		return
 	}
-	a := &leafReply{}
+	reply := &leafReply{}
 	switch {
 	case s.state == tier.BackendLeaving:
-		a.notRun = dispatcher.NewReplyNotRun(dispatcher.NotRunLeaving)
+		reply.notRun = dispatcher.NewReplyNotRun(dispatcher.NotRunLeaving)
 	case s.state == tier.BackendShedding && s.cluster.withProbability(50) || s.cluster.withProbability(2):
-		a.notRun = dispatcher.NewReplyNotRun(dispatcher.NotRunShed)
+		reply.notRun = dispatcher.NewReplyNotRun(dispatcher.NotRunShed)
 	case c.part.booking != nil:
-		s.runBooking(c, a)
+		s.runBooking(c, reply)
 	case s.holds(c.shard, c.snapshot):
-		s.runSearch(c, c.snapshot, a)
+		s.runSearch(c, c.snapshot, reply)
 	case s.cluster.withProbability(70) || len(s.heldVersions[c.snapshot.Epoch()]) == 0:
-		a.notRun = dispatcher.NewReplyNotRun(dispatcher.NotRunWrongSnapshot)
+		reply.notRun = dispatcher.NewReplyNotRun(dispatcher.NotRunWrongSnapshot)
 	default:
 		// Serves the newest version that it has, and names that in its reply.
-		s.runSearch(c, tier.NewSnapshot(c.snapshot.Epoch(), slices.Max(s.heldVersions[c.snapshot.Epoch()])), a)
+		s.runSearch(c, tier.NewSnapshot(c.snapshot.Epoch(), slices.Max(s.heldVersions[c.snapshot.Epoch()])), reply)
 	}
-	took := 1 + s.cluster.upTo(15)
+	delay := 1 + s.cluster.upTo(15)
 	if s.slow {
-		took *= 20
+		delay *= 20
 	}
 	if s.cluster.withProbability(2) {
 		return // the call hangs
 	}
-	s.cluster.schedule(took, func() { s.sendReply(c, a) })
+	s.cluster.schedule(delay, func() { s.sendReply(c, reply) })
 }
 
-func (s *server) runBooking(c *call, a *leafReply) {
+func (s *server) runBooking(c *call, reply *leafReply) {
 	b := c.part.booking
 	b.runs++
 	r := correlator.NewBookingReply(c.id.String(), setName, c.shard, b.key)
 	if s.cluster.withProbability(5) {
 		r = correlator.NewBookingReply("other/1/1", setName, c.shard, "other")
 	}
-	a.booking = &r
+	reply.booking = &r
 }
 
 // runSearch creates the reply to a search, which may be that to another call, truncated or
 // corrupted. It records the records served in an intact reply.
-func (s *server) runSearch(c *call, at tier.Snapshot, a *leafReply) {
+func (s *server) runSearch(c *call, at tier.Snapshot, reply *leafReply) {
 	records := s.records(c.shard, at, c.part.search.term)
 	id, shard, count, digest := c.id.String(), c.shard, len(records), tier.Digest(records)
 	kind := s.cluster.rng.IntN(100)
@@ -193,8 +194,8 @@
 		c.part.search.recordServed(at, c.shard, records)
 	}
 	r := correlator.NewSearchReply(id, setName, shard, at, records, count, digest)
-	a.search = &r
-	a.epoch, a.held = c.snapshot.Epoch(), s.reportedVersions(c.snapshot.Epoch())
+	reply.search = &r
+	reply.epoch, reply.held = c.snapshot.Epoch(), s.reportedVersions(c.snapshot.Epoch())
 }
 
 // otherSearch returns a call of another search that runs on the server, or nil.
@@ -207,7 +208,7 @@
 	return nil
 }
 
-func (s *server) sendReply(c *call, a *leafReply) {
+func (s *server) sendReply(c *call, reply *leafReply) {
 	if c.released {
 		return
 	}
@@ -215,7 +216,7 @@
 	if s.cluster.withProbability(2) {
 		return // lost; the VM waits until the deadline
 	}
-	deliver := func() { c.vm.callReplied(c, a) }
+	deliver := func() { c.vm.callReplied(c, reply) }
 	c.vm.scheduleOn(c.incarnation, s.cluster.upTo(2), deliver)
 	if s.cluster.withProbability(5) {
 		c.vm.scheduleOn(c.incarnation, s.cluster.upTo(50), deliver)
--- a/tier/prover/vm_test.go
+++ b/tier/prover/vm_test.go
@@ -48,13 +48,15 @@
 	epoch         tier.Epoch
 }
 
-// part is a part of a request as its owner got it, of either a search or a booking.
+// part is a part of a request as its owner got it, of either a search or a booking. The result
+// that finish gets is a booking's receipt as a string, the []merger.ShardResult of a part
+// without a receipt, a *dispatcher.PartRefused or a *dispatcher.PartUnknown.
 type part struct {
 	number   uint64
 	search   *search
 	booking  *booking
 	snapshot tier.Snapshot
-	end      func(end any, leafCalls int)
+	finish   func(result any, leafCalls int)
 }
 
 // start starts a new incarnation of the VM, with the latest published set document.
@@ -73,8 +75,8 @@
 	v.updateOwnership()
 }
 
-// scheduleOn calls do on an incarnation of the VM after a delay. While the VM is paused the call
-// is postponed, and after a crash it is dropped.
+// scheduleOn calls do on an incarnation of the VM after a delay. While the VM is paused the
+// call is postponed, and after a crash it is dropped.
 func (v *vm) scheduleOn(incarnation int, after tier.Millis, do func()) {
 	v.cluster.schedule(after, func() {
 		switch {
@@ -96,8 +98,8 @@
 		return
 	}
 	for _, a := range v.replicator.Step(v.cluster.now, replicator.NewChanged(storer.NewValue(s.Ref().Key(), v.cluster.encodedStates[s], 1))) {
-		if t, ok := a.(*replicator.Adopted); ok {
-			v.adoptDocument(t.State())
+		if adopted, ok := a.(*replicator.Adopted); ok {
+			v.adoptDocument(adopted.State())
 		}
 	}
 }
@@ -171,8 +173,8 @@
 	}
 }
 
-// updateOwnership tells the dispatcher whether this VM owns the set according to its own view of
-// the members.
+// updateOwnership tells the dispatcher whether this VM owns the set according to its own view
+// of the members.
 func (v *vm) updateOwnership() {
 	l := v.owners(v.dataCentre)
 	v.believesOwner = len(l) > 0 && l[0] == v
@@ -267,28 +269,28 @@
 }
 
 // callReplied checks a server's reply in the same way as the daemon does.
-func (v *vm) callReplied(c *call, a *leafReply) {
+func (v *vm) callReplied(c *call, reply *leafReply) {
 	if c.ended {
 		v.cluster.counts["duplicate reply"]++
 		return
 	}
 	c.ended = true
-	var result dispatcher.Result = a.notRun
+	var result dispatcher.Result = reply.notRun
 	var err error
 	switch {
-	case a.search != nil:
-		result, err = &dispatcher.ReplyOK{}, correlator.CheckSearchReply(c.expectation(), *a.search)
-		c.records = a.search.Records()
-	case a.booking != nil:
-		result, err = &dispatcher.ReplyOK{}, correlator.CheckBookingReply(c.expectation(), *a.booking)
-		c.receipt = a.booking.Receipt()
+	case reply.search != nil:
+		result, err = &dispatcher.ReplyOK{}, correlator.CheckSearchReply(c.expectation(), *reply.search)
+		c.records = reply.search.Records()
+	case reply.booking != nil:
+		result, err = &dispatcher.ReplyOK{}, correlator.CheckBookingReply(c.expectation(), *reply.booking)
+		c.receipt = reply.booking.Receipt()
 	}
 	var m *correlator.MismatchError
 	if errors.As(err, &m) && m.Field() != v.cluster.mutation.ignoredField {
 		v.cluster.counts["rejected "+string(m.Field())]++
 		result = &dispatcher.ReplyRejected{}
-	} else if a.search != nil {
-		v.reportHolding(c.server.backend.Name(), c.shard, a.epoch, a.held)
+	} else if reply.search != nil {
+		v.reportHolding(c.server.backend.Name(), c.shard, reply.epoch, reply.held)
 	}
 	v.step(dispatcher.NewCallEnded(c.attempt, result))
 }
@@ -318,14 +320,14 @@
 	v.endPart(a.Part(), results, a.Calls())
 }
 
-func (v *vm) endPart(number uint64, end any, leafCalls int) {
+func (v *vm) endPart(number uint64, result any, leafCalls int) {
 	p := v.parts[number]
 	delete(v.parts, number)
-	p.end(end, leafCalls)
+	p.finish(result, leafCalls)
 }
 
-// probeReplied handles a server's health reply. Only VMs in the server's data centre call it, so
-// only these pass the reply on to their dispatcher.
+// probeReplied handles a server's health reply. Only VMs in the server's data centre send it
+// leaf calls, so only these pass the reply on to their dispatcher.
 func (v *vm) probeReplied(s *server, state tier.BackendState, held map[tier.Epoch][]tier.Version) {
 	v.probedVersions[s.backend.Name()] = held
 	if v.dataCentre != s.backend.DataCentre() {
