--- a/tier/simulator/result.go
+++ b/tier/simulator/result.go
@@ -54,8 +54,8 @@
 	return l[min(len(l)-1, int(q*float64(len(l))))]
 }
 
-// UsefulFraction is the slot time spent on a rank's complete answers, as a fraction of the slot
-// time of all servers while queries arrived.
+// UsefulFraction is the slot time spent on a rank's complete answers, as a fraction of the
+// slot time of all servers while queries arrived.
 func (r *Result) UsefulFraction(k tier.Rank) float64 {
 	return float64(r.ranks[k].usefulSlotTime) / (float64(r.scenario.duration) * float64(r.scenario.shape.totalSlots()))
 }
