--- a/standin/soaker/caller.go
+++ b/standin/soaker/caller.go
@@ -34,8 +34,8 @@
 	maxRequestsPerConnection = 200
 )
 
-// pollReadiness keeps the list of ready VMs up to date. It plays the platform's load
-// balancer.
+// pollReadiness keeps the list of ready VMs up to date, as the platform's load balancer
+// does.
 func (s *Soak) pollReadiness(ctx context.Context) error {
 	misses := map[string]int{}
 	client := &http.Client{Timeout: readinessInterval.Duration(), Transport: &http.Transport{DisableKeepAlives: true}}
--- a/standin/soaker/checks.go
+++ b/standin/soaker/checks.go
@@ -37,8 +37,8 @@
 	unreadTolerance = 200 * tier.Millisecond
 	// maxBreaches is how many breaches pass in checks that allow a few.
 	maxBreaches = 3
-	// toleratedOverruns is how many runs may be told too much time left, if that is more
-	// than a fifth of them.
+	// toleratedOverruns runs, or a fifth of all runs if that is more, may be told too much
+	// time left.
 	toleratedOverruns = 20
 	// toleratedDenials requests, and one more in requestsPerDenial, may end with a 3xx or
 	// 4xx although every configuration has their route.
@@ -251,8 +251,8 @@
 }
 
 // boundedRetries checks that in each window the calls to a service beyond the first of each
-// request stay within the retry budget. The budget is a share of the requests in this window, in
-// the one before, or in one half a window earlier, whichever has most.
+// request stay within the retry budget: budgetSlack plus a share of the requests in this
+// window, in the one before, or in one half a window earlier, whichever has most.
 func boundedRetries(h *history) []string {
 	type key struct{ attempt, service string }
 	seen := map[key]bool{}
--- a/standin/soaker/checks_test.go
+++ b/standin/soaker/checks_test.go
@@ -16,7 +16,8 @@
 // after is the time m after the origin.
 func after(m tier.Millis) time.Time { return origin.Add(m.Duration()) }
 
-const attempt = "1-2-3"
+// attemptPrefix starts the attempt IDs of the sound history.
+const attemptPrefix = "1-2-3"
 
 // newSoundHistory returns a history of a served sweep, line and booking, in which no check
 // finds a breach.
@@ -30,7 +31,7 @@
 	h.versions = []version{{number: 1, confirmedAt: origin, routes: routes}}
 	for i, route := range []string{routeSweep, routeLine, routeBook} {
 		q := &request{
-			attempt: fmt.Sprint(attempt, i), method: http.MethodGet, route: route, vm: "vm-0", timeout: callerTimeoutMs,
+			attempt: fmt.Sprint(attemptPrefix, i), method: http.MethodGet, route: route, vm: "vm-0", timeout: callerTimeoutMs,
 			path: fmt.Sprintf("/%s/%d", route, i), sentAt: after(20_000), endedAt: after(20_050), status: 200,
 			alwaysRouted: true, atMostOnce: route == routeBook, header: http.Header{},
 		}
@@ -60,12 +61,12 @@
 	return h
 }
 
-// repeatRun adds calls and runs of a request, each at another leaf.
-func (h *history) repeatRun(request, times int, leaf string, at tier.Millis) {
+// repeatRun adds calls and runs of the request with an index, each at another leaf.
+func (h *history) repeatRun(index, times int, leafPrefix string, at tier.Millis) {
 	for _, r := range h.runs {
-		if r.AttemptID == h.sent[request].attempt {
+		if r.AttemptID == h.sent[index].attempt {
 			for i := range times {
-				r.Leaf, r.ReceivedAt = fmt.Sprint(leaf, i), after(at)
+				r.Leaf, r.ReceivedAt = fmt.Sprint(leafPrefix, i), after(at)
 				h.addCall(r)
 				h.addRun(r)
 			}
--- a/standin/soaker/inject.go
+++ b/standin/soaker/inject.go
@@ -51,8 +51,8 @@
 		s.degradeLink(ctx, "", f.String(), s.leafs[f.leaf].link, relay.NewCondition(f.cut, 0, false), t.duration)
 	case delayLeaf:
 		s.degradeLink(ctx, "", f.String(), s.leafs[f.leaf].link, relay.NewCondition(relay.CutNone, f.delay, false), t.duration)
-	case leafMoods:
-		s.setMoods(ctx, f, t.duration)
+	case leafFaults:
+		s.setFaultModes(ctx, f, t.duration)
 	case drainLeaf:
 		s.drainAndReplace(ctx, s.leafs[f.leaf])
 	case reuseAddress:
@@ -102,8 +102,8 @@
 	l.SetCondition(relay.NewCondition(relay.CutNone, 0, false))
 }
 
-// setMoods has leafs misbehave for a while.
-func (s *Soak) setMoods(ctx context.Context, f leafMoods, duration tier.Millis) {
+// setFaultModes puts leafs into a fault mode for a while.
+func (s *Soak) setFaultModes(ctx context.Context, f leafFaults, duration tier.Millis) {
 	var group sync.WaitGroup
 	for _, i := range f.leafs {
 		w, _, _ := s.leafs[i].current()
@@ -111,7 +111,7 @@
 			continue
 		}
 		group.Go(func() {
-			w.SetFaultMode(f.mood)
+			w.SetFaultMode(f.mode)
 			sleep(ctx, duration)
 			w.SetFaultMode(responder.Healthy)
 		})
--- a/standin/soaker/plan.go
+++ b/standin/soaker/plan.go
@@ -42,9 +42,9 @@
 	storeSlow         struct{ delay tier.Millis } // every call is delayed
 	storeLosesReplies struct{}                    // writes take effect without a reply
 	storeLosesHistory struct{}                    // watches cannot resume from their revision
-	leafMoods         struct {
+	leafFaults        struct {
 		leafs []int
-		mood  responder.FaultMode
+		mode  responder.FaultMode
 	} // leafs misbehave in one way
 	drainLeaf           struct{ leaf int }     // a leaf drains, and a new one replaces it
 	reuseAddress        struct{ leaf, by int } // a leaf stops, and another service gets its address
@@ -64,7 +64,7 @@
 func (storeSlow) isFault()           {}
 func (storeLosesReplies) isFault()   {}
 func (storeLosesHistory) isFault()   {}
-func (leafMoods) isFault()           {}
+func (leafFaults) isFault()          {}
 func (drainLeaf) isFault()           {}
 func (reuseAddress) isFault()        {}
 func (changeConfiguration) isFault() {}
@@ -88,7 +88,7 @@
 func (f storeSlow) String() string       { return fmt.Sprintf("the store takes %d ms", f.delay) }
 func (storeLosesReplies) String() string { return "the store loses its answers to writes" }
 func (storeLosesHistory) String() string { return "the store forgets its history" }
-func (f leafMoods) String() string       { return fmt.Sprintf("leafs %v are in mood %d", f.leafs, f.mood) }
+func (f leafFaults) String() string      { return fmt.Sprintf("leafs %v are in mood %d", f.leafs, f.mode) }
 func (f drainLeaf) String() string       { return fmt.Sprintf("leaf %d drains", f.leaf) }
 func (f reuseAddress) String() string {
 	return fmt.Sprintf("leaf %d ends, leaf %d takes its address", f.leaf, f.by)
@@ -134,7 +134,8 @@
 // drawSubset draws distinct indices below n: at least one, and at most half of them.
 func drawSubset(r *rand.Rand, n int) []int { return r.Perm(n)[:1+r.IntN(max(1, n/2))] }
 
-// drawFault draws a fault. It draws the VM, leaf, cut and delay in any case.
+// drawFault draws a fault. A VM, a leaf, a cut and a delay are drawn for every fault, even if
+// its kind does not use them.
 func drawFault(r *rand.Rand, vms, leafs int) fault {
 	vm, leaf := r.IntN(vms), r.IntN(leafs)
 	cut := []relay.Cut{relay.CutStall, relay.CutReset}[r.IntN(2)]
@@ -167,7 +168,7 @@
 	case 14:
 		return []fault{storeLosesReplies{}, storeLosesHistory{}}[r.IntN(2)]
 	case 15, 16:
-		return leafMoods{drawSubset(r, leafs), responder.FaultMode(1 + r.IntN(responder.FaultModeCount-1))}
+		return leafFaults{drawSubset(r, leafs), responder.FaultMode(1 + r.IntN(responder.FaultModeCount-1))}
 	case 17:
 		return drainLeaf{leaf}
 	case 18:
--- a/standin/soaker/soaker.go
+++ b/standin/soaker/soaker.go
@@ -62,7 +62,7 @@
 	leafs               []*leaf
 	storeServer         *storeserver.Server
 	store               *platform.Store
-	workerCount         atomic.Int64
+	instanceCount       atomic.Int64
 	readyVMs            atomic.Pointer[[]*vm]
 	configurationMu     sync.Mutex
 	configurationNumber int64 // version of the newest configuration
@@ -158,11 +158,11 @@
 	s.group.Go(func() error { return s.monitor(ctx) })
 	start := time.Now()
 	var injections sync.WaitGroup
-	for _, step := range makePlan(s.seed, s.faultCount, len(s.vms), len(s.leafs), s.faultPeriod) {
+	for _, t := range makePlan(s.seed, s.faultCount, len(s.vms), len(s.leafs), s.faultPeriod) {
 		injections.Go(func() {
-			sleep(ctx, step.at-tier.Millis(time.Since(start).Milliseconds()))
-			if err := s.inject(ctx, step); err != nil {
-				s.log.Error("fault not inflicted", "fault", step.fault, "error", err)
+			sleep(ctx, t.at-tier.Millis(time.Since(start).Milliseconds()))
+			if err := s.inject(ctx, t); err != nil {
+				s.log.Error("fault not inflicted", "fault", t.fault, "error", err)
 			}
 		})
 	}
@@ -304,7 +304,7 @@
 		f := &leaf{number: i, zone: zoneNames[(i+i/len(services))%len(zoneNames)]}
 		f.listen = fmt.Sprintf("%s.200:%d", s.subnet(), 9000+i)
 		f.link = relay.NewLink(fmt.Sprintf("leaf-%d", i), "vms", "leaf", f.listen, target, relay.NewCondition(relay.CutNone, 0, false))
-		f.replaceWorker(s.newWorker(service))
+		f.replaceInstance(s.newInstance(service))
 		if err := s.serve(ctx, target, f); err != nil {
 			return err
 		}
--- a/standin/soaker/world.go
+++ b/standin/soaker/world.go
@@ -43,8 +43,8 @@
 	drainingServeTime = drainBound + tier.Second
 )
 
-// leaf is the address of a backend server, and the worker that serves it now. Workers of
-// other services may get the same address later.
+// leaf is the address of a backend server, and the simulated instance that serves it now.
+// Instances of other services may get the same address later.
 type leaf struct {
 	number int
 	zone   string
@@ -52,50 +52,50 @@
 	listen string      // the link's address
 
 	mu       sync.Mutex
-	worker   *responder.SimulatedLeaf // nil while no worker serves the address
+	instance *responder.SimulatedLeaf // nil while no instance serves the address
 	draining bool
 	sequence int64
 }
 
-// current returns the worker, whether it is draining, and the sequence number of the next
+// current returns the instance, whether it is draining, and the sequence number of the next
 // registration.
 func (f *leaf) current() (*responder.SimulatedLeaf, bool, int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.sequence++
-	return f.worker, f.draining, f.sequence
+	return f.instance, f.draining, f.sequence
 }
 
-func (f *leaf) replaceWorker(w *responder.SimulatedLeaf) {
+func (f *leaf) replaceInstance(w *responder.SimulatedLeaf) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.worker, f.draining = w, false
+	f.instance, f.draining = w, false
 }
 
-// ServeHTTP passes the request to the current worker; without one it cuts the connection.
+// ServeHTTP passes the request to the current instance; without one it cuts the connection.
 func (f *leaf) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.mu.Lock()
-	worker := f.worker
+	instance := f.instance
 	f.mu.Unlock()
-	if worker == nil {
+	if instance == nil {
 		panic(http.ErrAbortHandler)
 	}
-	worker.ServeHTTP(w, r)
+	instance.ServeHTTP(w, r)
 }
 
-// newWorker returns a worker of a service under an ID of its own, which reports its
+// newInstance returns an instance of a service under an ID of its own, which reports its
 // calls and runs to the history.
-func (s *Soak) newWorker(service string) *responder.SimulatedLeaf {
-	n := s.workerCount.Add(1)
+func (s *Soak) newInstance(service string) *responder.SimulatedLeaf {
+	n := s.instanceCount.Add(1)
 	return responder.NewSimulatedLeaf(fmt.Sprintf("w%d", n), service, leafServiceTime, s.history.addCall, s.history.addRun)
 }
 
 // keepRegistered writes a leaf's registration at intervals, which real leafs do themselves.
 func (s *Soak) keepRegistered(ctx context.Context, f *leaf) error {
 	for ctx.Err() == nil {
-		if worker, draining, sequence := f.current(); worker != nil {
-			if err := s.putRegistration(ctx, f, worker, draining, sequence); err != nil && ctx.Err() == nil {
-				s.log.Debug("leaf not registered", "leaf", worker.ID(), "error", err)
+		if instance, draining, sequence := f.current(); instance != nil {
+			if err := s.putRegistration(ctx, f, instance, draining, sequence); err != nil && ctx.Err() == nil {
+				s.log.Debug("leaf not registered", "leaf", instance.ID(), "error", err)
 			}
 		}
 		sleep(ctx, registrationInterval)
@@ -103,8 +103,8 @@
 	return nil
 }
 
-// putRegistration writes a worker's registration under a new lease. It records when the
-// store first holds the worker as draining.
+// putRegistration writes an instance's registration under a new lease. It records when the
+// store first holds the instance as draining.
 func (s *Soak) putRegistration(ctx context.Context, f *leaf, w *responder.SimulatedLeaf, draining bool, sequence int64) error {
 	raw, err := w.Registration(f.listen, f.zone, draining, sequence)
 	if err != nil {
@@ -128,31 +128,31 @@
 	return nil
 }
 
-// drainAndReplace drains a leaf's worker, and replaces it by a new one of its service.
+// drainAndReplace drains a leaf's instance, and replaces it by a new one of its service.
 func (s *Soak) drainAndReplace(ctx context.Context, f *leaf) {
-	worker, draining, _ := f.current()
-	if worker == nil || draining {
+	instance, draining, _ := f.current()
+	if instance == nil || draining {
 		return
 	}
 	f.mu.Lock()
 	f.draining = true
 	f.mu.Unlock()
 	sleep(ctx, drainingServeTime)
-	f.replaceWorker(s.newWorker(worker.Service()))
+	f.replaceInstance(s.newInstance(instance.Service()))
 }
 
-// reuseAddress stops a leaf's worker without notice and has one of another service use the
+// reuseAddress stops a leaf's instance without notice and has one of another service use the
 // address for a while, as when the platform assigns a freed address again.
 func (s *Soak) reuseAddress(ctx context.Context, f *leaf, otherService string, duration tier.Millis) {
-	worker, _, _ := f.current()
-	if worker == nil {
+	instance, _, _ := f.current()
+	if instance == nil {
 		return
 	}
-	f.replaceWorker(nil)
+	f.replaceInstance(nil)
 	sleep(ctx, registrationTTL)
-	f.replaceWorker(s.newWorker(otherService))
+	f.replaceInstance(s.newInstance(otherService))
 	sleep(ctx, duration)
-	f.replaceWorker(s.newWorker(worker.Service()))
+	f.replaceInstance(s.newInstance(instance.Service()))
 }
 
 // configuration returns a version of the configuration as JSON, and the services of each
@@ -308,7 +308,7 @@
 	listen, _ := l.Addresses()
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
-		return errors.Wrap(err, "Soak.join")
+		return errors.Wrap(err, "Soak.serveLink")
 	}
 	s.group.Go(func() error { return l.ServeOn(ctx, ln) })
 	return nil
