--- a/standin/leafserver/client.go
+++ b/standin/leafserver/client.go
@@ -58,8 +58,8 @@
 	return reply.Servers, errors.Wrap(err, "Client.Counters")
 }
 
-// AppliedBookings lists the bookings that took effect, from the given journal entry on. It fails
-// when the journal was full and skipped some.
+// AppliedBookings lists the bookings that took effect, from the given journal entry on. It
+// fails when the journal was full and skipped some.
 func (c *Client) AppliedBookings(ctx context.Context, from int) ([]AppliedBooking, error) {
 	var reply bookedReply
 	if err := c.get(ctx, fmt.Sprintf("/booked?from=%d", from), &reply); err != nil {
--- a/standin/leafserver/control.go
+++ b/standin/leafserver/control.go
@@ -119,8 +119,9 @@
 	return out
 }
 
-// ControlHandler returns the handler of the control port: POST /faults and /started, GET /served,
-// /booked and /counters. /served and /booked list the journal's entries from index ?from=N.
+// ControlHandler returns the handler of the control port: POST /faults and /started, GET
+// /served, /booked and /counters. /served and /booked list the journal's entries from index
+// ?from=N.
 func (f *Fleet) ControlHandler() http.Handler {
 	e := echo.New()
 	e.POST("/faults", f.postFaults)
--- a/standin/leafserver/listener.go
+++ b/standin/leafserver/listener.go
@@ -65,7 +65,7 @@
 func (l *boundedListener) awaitUp() (net.Listener, error) {
 	for {
 		l.mu.Lock()
-		inner, back, closed := l.listener, l.upAgain, l.closed
+		inner, upAgain, closed := l.listener, l.upAgain, l.closed
 		l.mu.Unlock()
 		if closed {
 			return nil, net.ErrClosed
@@ -73,7 +73,7 @@
 		if inner != nil {
 			return inner, nil
 		}
-		<-back
+		<-upAgain
 	}
 }
 
--- a/standin/leafserver/service.go
+++ b/standin/leafserver/service.go
@@ -98,8 +98,8 @@
 	return connect.NewResponse(out), nil
 }
 
-// admit takes a slot for a call, or returns the error of a call that is not to run. It draws
-// the fault of the call, and carries out those that come before the call runs.
+// admit takes a slot for a call. If it returns an error, the call has not run. It draws the
+// fault of the call, and applies the kinds that take effect before the call runs.
 func (s *Server) admit(ctx context.Context) (CallFault, error) {
 	switch s.State() {
 	case backendv1.ServerState_SERVER_STATE_LEAVING:
--- a/standin/leafserver/slots.go
+++ b/standin/leafserver/slots.go
@@ -19,11 +19,11 @@
 	shed         atomic.Int64
 }
 
-func newSlotPool(slots int, patience time.Duration) *slotPool {
+func newSlotPool(slots int, queueTimeout time.Duration) *slotPool {
 	return &slotPool{
 		slots:        make(chan struct{}, slots),
 		queueLimit:   int64(slots),
-		queueTimeout: patience,
+		queueTimeout: queueTimeout,
 	}
 }
 
--- a/standin/loadgenerator/run.go
+++ b/standin/loadgenerator/run.go
@@ -23,9 +23,9 @@
 // answerGrace is how long after its deadline a request still waits for an answer.
 const answerGrace = 2 * tier.Second
 
-// resultRingSize is the maximum number of request results waiting to be added to the
+// resultQueueSize is the maximum number of request results waiting to be added to the
 // summary.
-const resultRingSize = 1024
+const resultQueueSize = 1024
 
 // Run executes a workload on a deployment once.
 type Run struct {
@@ -60,7 +60,7 @@
 		bookings:      checker.NewBookingHistory(),
 		backends:      leafserver.NewClient(d.BackendControlAddress()),
 		balancer:      newBalancer(d),
-		results:       queue.New[requestResult](resultRingSize),
+		results:       queue.New[requestResult](resultQueueSize),
 		directVersion: 1,
 	}
 	for _, o := range opts {
@@ -133,12 +133,12 @@
 // runPhase runs one sender for each stream and posts the control commands of the phase.
 func (r *Run) runPhase(ctx context.Context, i int, f phase, start, end time.Time) error {
 	g, ctx := errgroup.WithContext(ctx)
-	for j, stream := range f.streams {
+	for j, x := range f.streams {
 		s := &sender{
 			run:         r,
 			phase:       i,
 			streamIndex: j,
-			stream:      stream,
+			stream:      x,
 			random:      rand.New(rand.NewPCG(r.workload.seed, uint64(i)<<32|uint64(j))),
 		}
 		g.Go(func() error { return s.sendAll(ctx, start, end) })
--- a/standin/loadgenerator/run_test.go
+++ b/standin/loadgenerator/run_test.go
@@ -181,8 +181,8 @@
 		t.Fatal(files, err)
 	}
 	for _, f := range files {
-		user, _, _ := strings.Cut(filepath.Base(f), "-")
-		d, err := deployer.Read(filepath.Join(deploymentDir, user+".json"))
+		organisation, _, _ := strings.Cut(filepath.Base(f), "-")
+		d, err := deployer.Read(filepath.Join(deploymentDir, organisation+".json"))
 		if err != nil {
 			continue // an experiment file, which belongs to no deployment
 		}
--- a/standin/loadgenerator/summary.go
+++ b/standin/loadgenerator/summary.go
@@ -53,30 +53,30 @@
 	return s
 }
 
-// collect adds results until ctx ends, and then those left in the ring.
-func (s *summary) collect(ctx context.Context, ends *queue.Queue[requestResult]) error {
+// collect adds results until ctx ends, and then those left in the queue.
+func (s *summary) collect(ctx context.Context, results *queue.Queue[requestResult]) error {
 	for {
-		e, err := ends.Pop(ctx)
+		r, err := results.Pop(ctx)
 		if err != nil {
 			break
 		}
-		s.add(e)
+		s.add(r)
 	}
-	for ends.Len() > 0 {
-		s.add(<-ends.Chan())
+	for results.Len() > 0 {
+		s.add(<-results.Chan())
 	}
 	return nil
 }
 
-func (s *summary) add(e requestResult) {
-	x := s.run.workload.phases[e.phase].streams[e.stream]
-	s.streams[e.phase][e.stream].add(e)
+func (s *summary) add(r requestResult) {
+	x := s.run.workload.phases[r.phase].streams[r.stream]
+	s.streams[r.phase][r.stream].add(r)
 	if !x.direct {
-		s.ranks[e.phase][x.profile.Rank()].add(e)
+		s.ranks[r.phase][x.profile.Rank()].add(r)
 	}
-	s.addViolations(e.violations)
-	if e.answer != nil && !x.book && e.answer.Outcome() == checker.OutcomeRefused {
-		s.refused = append(s.refused, e.answer.RequestID())
+	s.addViolations(r.violations)
+	if r.answer != nil && !x.book && r.answer.Outcome() == checker.OutcomeRefused {
+		s.refused = append(s.refused, r.answer.RequestID())
 	}
 }
 
--- a/standin/loadgenerator/workload.go
+++ b/standin/loadgenerator/workload.go
@@ -101,7 +101,7 @@
 	After     tier.Millis     `json:"after-ms"`
 	To        string          `json:"to"` // backends, links or store
 	Command   json.RawMessage `json:"order"`
-	LearnFile string          `json:"learn-file"` // set document that backend servers add; replaces the order
+	LearnFile string          `json:"learn-file"` // set document that backend servers add; replaces "order"
 }
 
 // The values of "to": whose control port a command goes to.
