--- a/standin/experiment.go
+++ b/standin/experiment.go
@@ -118,9 +118,9 @@
 }
 
 // postCommands sends fault commands to the control port of the backend servers.
-func postCommands(ctx context.Context, d *deployer.Deployment, commands []json.RawMessage) error {
-	for _, command := range commands {
-		if _, err := leafserver.NewClient(d.BackendControlAddress()).SetFaults(ctx, command); err != nil {
+func postCommands(ctx context.Context, d *deployer.Deployment, requests []json.RawMessage) error {
+	for _, request := range requests {
+		if _, err := leafserver.NewClient(d.BackendControlAddress()).SetFaults(ctx, request); err != nil {
 			return err
 		}
 	}
--- a/standin/relay/link.go
+++ b/standin/relay/link.go
@@ -52,7 +52,7 @@
 
 	mu        sync.Mutex
 	condition Condition
-	changed   chan struct{} // closed at each change
+	changed   chan struct{} // closed and replaced at each change
 	open      atomic.Int64  // connections
 	lostBytes atomic.Int64
 }
--- a/standin/relay/pump.go
+++ b/standin/relay/pump.go
@@ -22,8 +22,8 @@
 	bytes []byte
 }
 
-// pump forwards one direction of a connection. Its reader and its writer are joined by a
-// ring buffer, so that a delay does not limit the throughput.
+// pump forwards one direction of a connection. A bounded queue connects its reader to
+// its writer, so that a delay does not limit the throughput.
 type pump struct {
 	link        *Link
 	from        *net.TCPConn
--- a/standin/storeserver/server.go
+++ b/standin/storeserver/server.go
@@ -65,8 +65,8 @@
 	s.backups[name] = keys
 }
 
-// Restart plays a restart of the store from the backup of that name, or without keys if the
-// name is "". It ends all watches and leases.
+// Restart simulates a restart of the store from the backup of that name, or without keys if
+// the name is "". It ends all watches and leases.
 func (s *Server) Restart(name string) error {
 	s.mu.Lock()
 	backup, ok := s.backups[name]
